--- a/entry/amounts.go
+++ b/entry/amounts.go
@@ -10,19 +10,19 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// firstAsked is how many keepers are asked at once; more only if they lack too.
-const firstAsked = 2
+// firstHolders is how many keepers are asked at once; more only if they lack too.
+const firstHolders = 2
 
-// ask asks keepers of an organisation's allowance for an amount: first some of those
+// requestGrants asks keepers of an organisation's allowance for an amount: first some of those
 // that are near and alive, then all others.
-func (p *peers) ask(want allowance.Request, more bool) {
-	asked := p.keepers(want.Organisation)
+func (p *peers) requestGrants(want allowance.Request, more bool) {
+	asked := p.holdersByDistance(want.Organisation)
 	if more {
-		asked = asked[min(firstAsked, len(asked)):]
+		asked = asked[min(firstHolders, len(asked)):]
 	} else {
-		asked = asked[:min(firstAsked, len(asked))]
+		asked = asked[:min(firstHolders, len(asked))]
 	}
-	n := p.note()
+	n := p.newNote()
 	n.Wants = []*schema.AllowanceGrant{{Organisation: want.Organisation, Amount: want.Units, Reserve: want.Reserve}}
 	b := p.encode(n)
 	for _, pe := range asked {
@@ -30,16 +30,16 @@
 	}
 }
 
-// keepers returns those that keep an organisation's allowance, but for this VM: the
+// holdersByDistance returns those that keep an organisation's allowance, but for this VM: the
 // living first, and of those the ones of the own failure domain.
-func (p *peers) keepers(organisation string) []*peer {
-	list := p.d.shares.keepersOf(organisation)
+func (p *peers) holdersByDistance(organisation string) []*peer {
+	list := p.d.shares.holdersOf(organisation)
 	now := p.d.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var found []*peer
 	for _, v := range list {
-		if pe := p.addrs[v.Address]; pe != nil {
+		if pe := p.byAddress[v.Address]; pe != nil {
 			found = append(found, pe)
 		}
 	}
@@ -63,33 +63,33 @@
 // keep goes to a keeper.
 func (p *peers) refund(a allowance.Amount) {
 	back := p.d.shares.refund(a)
-	if k := p.keepers(a.Organisation); back > 0 && len(k) > 0 {
-		p.giveBack(a.Organisation, back, k[0].addr)
+	if k := p.holdersByDistance(a.Organisation); back > 0 && len(k) > 0 {
+		p.returnUnits(a.Organisation, back, k[0].addr)
 	}
 }
 
-// giveBack returns an amount that was not used.
-func (p *peers) giveBack(organisation string, units float64, to *net.UDPAddr) {
-	n := p.note()
+// returnUnits returns an amount that was not used.
+func (p *peers) returnUnits(organisation string, units float64, to *net.UDPAddr) {
+	n := p.newNote()
 	n.Returned = true
 	n.Grants = []*schema.AllowanceGrant{{Organisation: organisation, Amount: units}}
 	p.send(n, to)
 }
 
-func request(w *schema.AllowanceGrant) allowance.Request {
+func allowanceRequest(w *schema.AllowanceGrant) allowance.Request {
 	return allowance.Request{Amount: allowance.Amount{Organisation: w.Organisation, Units: w.Amount}, Reserve: w.Reserve}
 }
 
-// answer gives what can be spared.
-func (p *peers) answer(wants []*schema.AllowanceGrant, to *net.UDPAddr) {
+// grantWants gives what can be spared.
+func (p *peers) grantWants(wants []*schema.AllowanceGrant, to *net.UDPAddr) {
 	var grants []*schema.AllowanceGrant
 	for _, w := range wants {
-		if units := p.d.shares.give(request(w)); units > 0 {
+		if units := p.d.shares.grant(allowanceRequest(w)); units > 0 {
 			grants = append(grants, &schema.AllowanceGrant{Organisation: w.Organisation, Amount: units})
 		}
 	}
 	if len(grants) > 0 {
-		n := p.note()
+		n := p.newNote()
 		n.Grants = grants
 		p.send(n, to)
 	}
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// announceEvery is how often the VM that reads for its failure domain reads the
+	// readerListInterval is how often the VM that reads for its failure domain reads the
 	// list of VMs, listEvery how often the others do, who hear of new VMs by notes.
-	announceEvery = 5 * time.Second
-	listEvery     = time.Minute
+	readerListInterval = 5 * time.Second
+	listInterval       = time.Minute
 )
 
-// announce writes this VM's record to the store once, and reads those of all after that and
+// followVMs writes this VM's record to the store once, and reads those of all after that and
 // now and then: VMs that start together must be written before the list counts as whole,
 // or what all share would be divided by too few.
-func (d *Daemon) announce(ctx context.Context) error {
-	var dep dependency
-	var again retry
+func (d *Daemon) followVMs(ctx context.Context) error {
+	var health storeHealth
+	var delay backoff
 	written := false
 	for ctx.Err() == nil {
 		list, err := d.listVMs(ctx, &written)
-		d.noteStore(&dep, "vms", err)
+		d.recordStoreResult(&health, "vms", err)
 		if err != nil {
-			pause(ctx, again.failed(d.mostRetry()))
+			sleepJittered(ctx, delay.next(d.maxRetryPause()))
 			continue
 		}
-		again.succeeded()
-		d.noteEra(list.era)
-		d.learnVMs(list)
+		delay.reset()
+		d.observeEra(list.era)
+		d.applyVMList(list)
 		d.retries.noteListed(d.apart)
-		d.claim()
+		d.claimRestartAllowance()
 		if d.peers.reads() {
-			d.heal(ctx, list)
-			d.pauseOrEra(ctx, announceEvery)
+			d.rewriteVMRecords(ctx, list)
+			d.pauseUntilRelist(ctx, readerListInterval)
 		} else {
-			d.pauseOrEra(ctx, listEvery)
+			d.pauseUntilRelist(ctx, listInterval)
 		}
 	}
 	return nil
@@ -53,7 +53,7 @@
 // listVMs returns the records of all VMs, once this VM's own is written.
 func (d *Daemon) listVMs(ctx context.Context, written *bool) (vmList, error) {
 	if !*written {
-		before, err := d.writeRecord(ctx)
+		before, err := d.writeOwnRecord(ctx)
 		if err != nil {
 			return vmList{}, err
 		}
@@ -66,33 +66,33 @@
 	return vmList{records, next.Era}, err
 }
 
-// writeRecord writes this VM's record, and finds out before when its process before started. It
+// writeOwnRecord writes this VM's record, and finds out before when its process before started. It
 // returns the list of VMs if what was read before is whole: a VM that is in it was known to all that
 // started since, so no two can miss each other.
-func (d *Daemon) writeRecord(ctx context.Context) (*vmList, error) {
+func (d *Daemon) writeOwnRecord(ctx context.Context) (*vmList, error) {
 	self := d.ownRecord()
 	before, next, err := d.opts.Store.Newest(ctx, FeedVMs)
 	if err != nil {
 		return nil, err
 	}
 	self.era = next.Era
-	last, found := d.lastRecord(before)
+	last, found := d.previousRecord(before)
 	if err := d.opts.Store.Write(ctx, Record{Key: d.set.Vm.Name, Value: []byte(self.String())}); err != nil {
 		return nil, err
 	}
-	d.claimed = found && mayClaim(last, self, d.set.AllowanceWindow)
-	d.apart = found && mayClaim(last, self, d.set.RetryWindow) || !found && next.Era == 0
+	d.claimed = found && mayClaimRestart(last, self, d.set.AllowanceWindow)
+	d.apart = found && mayClaimRestart(last, self, d.set.RetryWindow) || !found && next.Era == 0
 	d.log.Info().Bool("started_before", found).Dur("since_last_start", self.started.Sub(last.started)).Bool("claims", d.claimed).
 		Bool("apart", d.apart).Msg("previous_start")
-	if slices.ContainsFunc(before, d.isOwn) {
-		d.peers.noteKnownBefore()
+	if slices.ContainsFunc(before, d.isOwnRecord) {
+		d.peers.setListedBefore()
 		return &vmList{before, next.Era}, nil
 	}
 	return nil, nil
 }
 
-// lastRecord is the record of this VM's process before this one.
-func (d *Daemon) lastRecord(before []Record) (last vmRecord, found bool) {
+// previousRecord is the record of this VM's process before this one.
+func (d *Daemon) previousRecord(before []Record) (last vmRecord, found bool) {
 	for _, r := range before {
 		if r.Key != d.set.Vm.Name {
 			continue
@@ -106,56 +106,56 @@
 	return vmRecord{}, false
 }
 
-// isOwn says whether a record of the list of VMs is that of this VM at its address.
-func (d *Daemon) isOwn(r Record) bool {
+// isOwnRecord says whether a record of the list of VMs is that of this VM at its address.
+func (d *Daemon) isOwnRecord(r Record) bool {
 	own, err := parseVMRecord(string(r.Value))
 	return err == nil && r.Key == d.set.Vm.Name && own.Address == d.set.Listen.Peers
 }
 
-func (d *Daemon) learnVMs(list vmList) {
-	d.suspects.learn(list.records)
-	d.rollouts.learn(list.records)
+func (d *Daemon) applyVMList(list vmList) {
+	d.suspects.loadStored(list.records)
+	d.rollouts.loadStatuses(list.records)
 	d.noteInformed()
 	named := make(map[string]string)
 	for _, r := range list.records {
-		if d.isVM(r) {
+		if d.isVMRecord(r) {
 			named[r.Key] = string(r.Value)
 		}
 	}
-	d.peers.learnNamed(named, d.isComplete(list))
+	d.peers.mergeStoreList(named, d.isCompleteList(list))
 }
 
-// isVM says whether a record of FeedVMs is that of a VM.
-func (d *Daemon) isVM(r Record) bool {
-	return len(r.Value) > 0 && !isSuspect(r) && !isMark(r) && !d.isStatus(r)
+// isVMRecord says whether a record of FeedVMs is that of a VM.
+func (d *Daemon) isVMRecord(r Record) bool {
+	return len(r.Value) > 0 && !isSuspectRecord(r) && !isEraMark(r) && !d.isStatusRecord(r)
 }
 
 const (
-	// restartsApart is by how much longer than the window of allowances the starts of two
+	// restartMargin is by how much longer than the window of allowances the starts of two
 	// processes of a VM must lie apart for the second to get what is kept for restarts.
 	// Starts are told by clocks that jump by seconds, and a lost write may be done seconds
 	// after.
-	restartsApart = 12 * time.Second
-	// restartLate is after what uptime it is not asked for any more: balances have been
+	restartMargin = 12 * time.Second
+	// restartClaimDeadline is after what uptime it is not asked for any more: balances have been
 	// earned by then.
-	restartLate = 3 * time.Second
+	restartClaimDeadline = 3 * time.Second
 )
 
-// claim takes what is kept for restarts once this VM's parts are known.
-func (d *Daemon) claim() {
+// claimRestartAllowance takes what is kept for restarts once this VM's parts are known.
+func (d *Daemon) claimRestartAllowance() {
 	if !d.claimed {
 		return
 	}
 	d.claimed = false
-	if d.now() > restartLate || d.set.Off.Has(mechanism.RestartAllowance) {
+	if d.now() > restartClaimDeadline || d.set.Off.Has(mechanism.RestartAllowance) {
 		return
 	}
-	d.shares.restarted()
+	d.shares.creditRestartAllowance()
 }
 
-// mayClaim says whether a VM's process may take what is kept for restarts, by the record
+// mayClaimRestart says whether a VM's process may take what is kept for restarts, by the record
 // of the one before. A record that was written before the store came back from a copy says
 // nothing: the record of a process since, which may have taken it, may be lost.
-func mayClaim(last, self vmRecord, window time.Duration) bool {
-	return last.era == self.era && !last.started.IsZero() && self.started.Sub(last.started) > window+restartsApart
+func mayClaimRestart(last, self vmRecord, window time.Duration) bool {
+	return last.era == self.era && !last.started.IsZero() && self.started.Sub(last.started) > window+restartMargin
 }
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -63,7 +63,7 @@
 	// a new version, visit is the attempt under way.
 	avoided []uint64
 	trial   bool
-	visit   *visit
+	visit   *trackedAttempt
 	// ran says that an endpoint may have run it.
 	ran  bool
 	held int64
@@ -97,7 +97,7 @@
 		c.refuse(refusal{status: http.StatusServiceUnavailable, reason: reasonEndsEndpoints})
 		return
 	}
-	defer d.suspects.over(c)
+	defer d.suspects.unregister(c)
 	if bad := c.spend(ctx); bad != nil {
 		c.refuse(*bad)
 		return
@@ -231,8 +231,8 @@
 		}
 	}
 	v := c.d.shares.spend(ctx, allowance.Request{
-		Amount: allowance.Amount{Organisation: c.org.Name, Units: c.units}, Reserve: c.d.shares.reserve(c.route.Tier),
-	}, c.d.peers.ask)
+		Amount: allowance.Amount{Organisation: c.org.Name, Units: c.units}, Reserve: c.d.shares.reserveFor(c.route.Tier),
+	}, c.d.peers.requestGrants)
 	if v.OK {
 		return nil
 	}
@@ -251,7 +251,7 @@
 		Handle: c.d.lastHandle.Add(1), Service: c.service, Tier: c.route.Tier,
 		Prompt: c.call.Prompt, Events: c.events(), Tried: c.tried, Avoided: c.avoided,
 		Objective: arrived + c.route.Objective, Abandon: limit,
-		Request: c.digest, Suspicion: suspicionOf(c.d.suspects.look(c.digest)),
+		Request: c.digest, Suspicion: suspicionFor(c.d.suspects.status(c.digest)),
 	}
 	if c.org != nil {
 		j.Tier += c.org.Tier * routeTiers
--- a/entry/copies.go
+++ b/entry/copies.go
@@ -23,23 +23,23 @@
 //     divided only by a list that is marked as whole.
 
 const (
-	// healSpread is how long after a copy the records of VMs are written again, with spread:
+	// rewriteDelay is how long after a copy the records of VMs are written again, with spread:
 	// what is lost is lost to those that start now.
-	healSpread = 400 * time.Millisecond
-	// healUptime is after what uptime a process says that the list is whole: by then VMs
+	rewriteDelay = 400 * time.Millisecond
+	// rewriteUptime is after what uptime a process says that the list is whole: by then VMs
 	// that started beside it have written themselves, and those that live were heard.
-	healUptime = 2 * time.Second
+	rewriteUptime = 2 * time.Second
 	// completeAfter is after what uptime a process takes the list for whole though no VM of
 	// some failure domain says so: none lives there.
 	completeAfter = 5 * time.Second
-	// incompleteEvery is how often the list is read until it is whole.
-	incompleteEvery = time.Second
-	// markKey begins the keys of marks, which end with the failure domain.
-	markKey = "era-"
+	// incompleteListInterval is how often the list is read until it is whole.
+	incompleteListInterval = time.Second
+	// eraMarkPrefix begins the keys of marks, which end with the failure domain.
+	eraMarkPrefix = "era-"
 )
 
-// eras is what this process knows of the store's eras.
-type eras struct {
+// eraTracker is what this process knows of the store's eraTracker.
+type eraTracker struct {
 	mu    sync.Mutex
 	known bool
 	era   uint64
@@ -47,10 +47,10 @@
 	changed chan struct{}
 }
 
-func newEras() *eras { return &eras{changed: make(chan struct{}, 1)} }
+func newEraTracker() *eraTracker { return &eraTracker{changed: make(chan struct{}, 1)} }
 
-// note takes in an era, and reports whether the store came back from a copy since.
-func (e *eras) note(era uint64) bool {
+// observe takes in an era, and reports whether the store came back from a copy since.
+func (e *eraTracker) observe(era uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.known && era <= e.era {
@@ -68,51 +68,51 @@
 	return true
 }
 
-// noteEra takes in the era that an answer of the store told, or another VM.
-func (d *Daemon) noteEra(era uint64) {
-	if !d.eras.note(era) {
+// observeEra takes in the era that an answer of the store told, or another VM.
+func (d *Daemon) observeEra(era uint64) {
+	if !d.eras.observe(era) {
 		return
 	}
 	d.count("store_copies")
 	d.log.Warn().Uint64("era", era).Msg("store_copied")
-	d.suspects.rewrite()
-	d.rollouts.rewrite()
+	d.suspects.rewriteStored()
+	d.rollouts.rewriteStatuses()
 }
 
-// pauseOrEra waits for a time, until a while after the store came back from a copy, or until the list
+// pauseUntilRelist waits for a time, until a while after the store came back from a copy, or until the list
 // has to be read oftener: a cut may begin while it waits.
-func (d *Daemon) pauseOrEra(ctx context.Context, most time.Duration) {
-	end := d.now() + spread(most)
+func (d *Daemon) pauseUntilRelist(ctx context.Context, longest time.Duration) {
+	end := d.now() + jitter(longest)
 	for ctx.Err() == nil && d.now() < end {
-		t := time.NewTimer(min(spread(incompleteEvery), end-d.now()))
+		t := time.NewTimer(min(jitter(incompleteListInterval), end-d.now()))
 		select {
 		case <-ctx.Done():
 		case <-t.C:
 		case <-d.eras.changed:
 			t.Stop()
-			pause(ctx, healSpread)
+			sleepJittered(ctx, rewriteDelay)
 			return
 		}
 		t.Stop()
-		if !d.peers.knowsAll() || d.rollouts.cutOff() {
+		if !d.peers.listComplete() || d.rollouts.judgesInPartition() {
 			return
 		}
 	}
 }
 
-// isMark says whether a record of FeedVMs says that those of a failure domain are whole.
-func isMark(r Record) bool { return strings.HasPrefix(r.Key, markKey) }
+// isEraMark says whether a record of FeedVMs says that those of a failure domain are whole.
+func isEraMark(r Record) bool { return strings.HasPrefix(r.Key, eraMarkPrefix) }
 
 // ownRecord is this VM's record.
 func (d *Daemon) ownRecord() vmRecord {
 	return vmRecord{VM: allowance.VM{Address: d.set.Listen.Peers, Domain: d.set.Vm.FailureDomain}, started: d.startedAt}
 }
 
-// marks are the eras in which the records of failure domains were last whole.
-func (l vmList) marks() map[string]uint64 {
+// eraMarks are the eras in which the records of failure domains were last whole.
+func (l vmList) eraMarks() map[string]uint64 {
 	marks := make(map[string]uint64)
 	for _, r := range l.records {
-		domain, ok := strings.CutPrefix(r.Key, markKey)
+		domain, ok := strings.CutPrefix(r.Key, eraMarkPrefix)
 		if !ok {
 			continue
 		}
@@ -124,14 +124,14 @@
 	return marks
 }
 
-// isComplete says whether a list holds all VMs: a store that never came back from a copy loses
+// isCompleteList says whether a list holds all VMs: a store that never came back from a copy loses
 // none, and before the first start of the deployment there was nothing to lose; after a copy each
 // failure domain says when its own are there again.
-func (d *Daemon) isComplete(l vmList) bool {
+func (d *Daemon) isCompleteList(l vmList) bool {
 	if l.era == 0 || d.set.Vm.FirstStart || d.now() >= completeAfter {
 		return true
 	}
-	marks := l.marks()
+	marks := l.eraMarks()
 	for _, domain := range d.set.FailureDomains {
 		if marks[domain.Name] != l.era {
 			return false
@@ -140,29 +140,29 @@
 	return marks[d.set.Vm.FailureDomain] == l.era
 }
 
-// heal writes again what the store may have lost of this failure domain's VMs.
-func (d *Daemon) heal(ctx context.Context, l vmList) {
+// rewriteVMRecords writes again what the store may have lost of this failure domain's VMs.
+func (d *Daemon) rewriteVMRecords(ctx context.Context, l vmList) {
 	domain := d.set.Vm.FailureDomain
-	if l.era == 0 || l.marks()[domain] == l.era || d.now() < healUptime {
+	if l.era == 0 || l.eraMarks()[domain] == l.era || d.now() < rewriteUptime {
 		return
 	}
-	records := d.lost(l)
-	mark := Record{Key: markKey + domain, Value: []byte(strconv.FormatUint(l.era, 10))}
+	records := d.missingRecords(l)
+	mark := Record{Key: eraMarkPrefix + domain, Value: []byte(strconv.FormatUint(l.era, 10))}
 	err := d.opts.Store.Write(ctx, append(records, mark)...)
 	d.log.Info().Uint64("era", l.era).Int("records", len(records)).Err(err).Msg("store_healed")
 }
 
-// lost are the records of VMs of this failure domain that the store does not have as of its era.
+// missingRecords are the records of VMs of this failure domain that the store does not have as of its era.
 // The start of a VM's process is known from its notes; without it the record says none, so
 // that nothing is taken for it.
-func (d *Daemon) lost(l vmList) []Record {
+func (d *Daemon) missingRecords(l vmList) []Record {
 	current := make(map[string]bool)
 	for _, r := range l.records {
-		if rec, err := parseVMRecord(string(r.Value)); d.isVM(r) && err == nil && rec.era == l.era {
+		if rec, err := parseVMRecord(string(r.Value)); d.isVMRecord(r) && err == nil && rec.era == l.era {
 			current[r.Key] = true
 		}
 	}
-	known := d.peers.recordsOf(d.set.Vm.FailureDomain)
+	known := d.peers.vmRecordsIn(d.set.Vm.FailureDomain)
 	known[d.set.Vm.Name] = d.ownRecord()
 	var records []Record
 	for name, rec := range known {
@@ -174,12 +174,12 @@
 	return records
 }
 
-// recordsOf are the records of the other VMs of a failure domain as this VM knows them, by name.
-func (p *peers) recordsOf(domain string) map[string]vmRecord {
+// vmRecordsIn are the records of the other VMs of a failure domain as this VM knows them, by name.
+func (p *peers) vmRecordsIn(domain string) map[string]vmRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	records := make(map[string]vmRecord)
-	for address, pe := range p.addrs {
+	for address, pe := range p.byAddress {
 		if pe.domain != domain || pe.name == "" {
 			continue
 		}
@@ -192,9 +192,9 @@
 	return records
 }
 
-// knowsAll says whether the whole list of VMs is known.
-func (p *peers) knowsAll() bool {
+// listComplete says whether the whole list of VMs is known.
+func (p *peers) listComplete() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.complete
+	return p.listIsComplete
 }
--- a/entry/copies_test.go
+++ b/entry/copies_test.go
@@ -14,22 +14,22 @@
 	"github.com/chivefield/chivefield/logging"
 )
 
-// scripted is a store whose answers a test sets.
-type scripted struct {
+// scriptedStore is a store whose answers a test sets.
+type scriptedStore struct {
 	Store
 	records []Record
 	next    Position
 	err     error
-	// whole counts reads of everything.
-	whole int
+	// fullReads counts reads of everything.
+	fullReads int
 }
 
-func (s *scripted) Newest(context.Context, Feed) ([]Record, Position, error) {
-	s.whole++
+func (s *scriptedStore) Newest(context.Context, Feed) ([]Record, Position, error) {
+	s.fullReads++
 	return s.records, s.next, s.err
 }
 
-func (s *scripted) Read(context.Context, Feed, uint64, time.Duration) ([]Record, Position, error) {
+func (s *scriptedStore) Read(context.Context, Feed, uint64, time.Duration) ([]Record, Position, error) {
 	return s.records, s.next, s.err
 }
 
@@ -40,16 +40,16 @@
 func TestFeedIsReadAgainInANewEra(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &scripted{next: Position{Offset: 100}}
-	c := cursor{store: s, feed: FeedEndpoints}
+	s := &scriptedStore{next: Position{Offset: 100}}
+	c := feedCursor{store: s, feed: FeedEndpoints}
 	got, err := c.read(ctx, 0)
 	is.NoErr(err)
-	is.True(got.whole && !got.copied)
+	is.True(got.full && !got.restored)
 	s.next = Position{Era: 1, Offset: 105}
 	got, err = c.read(ctx, 0)
 	is.NoErr(err)
-	is.True(got.whole && got.copied)
-	is.Equal(s.whole, 2)
+	is.True(got.full && got.restored)
+	is.Equal(s.fullReads, 2)
 	is.Equal(c.next, Position{Era: 1, Offset: 105})
 	// Without an offset that the store has it is the same.
 	s.next, s.err = Position{Era: 2, Offset: 3}, &TrimmedError{From: 105}
@@ -58,7 +58,7 @@
 	s.err = nil
 	got, err = c.read(ctx, 0)
 	is.NoErr(err)
-	is.True(got.whole && got.copied)
+	is.True(got.full && got.restored)
 	// An answer of before that was long under way changes nothing, whichever call it answers.
 	s.records, s.next = []Record{{Key: "e", Value: []byte("old")}}, Position{Era: 1, Offset: 106}
 	got, err = c.read(ctx, 0)
@@ -106,7 +106,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					claims = mayClaim(last, self, window)
+					claims = mayClaimRestart(last, self, window)
 				}
 				if rapid.IntRange(0, 3).Draw(t, "copy between") == 0 {
 					era++
@@ -159,34 +159,34 @@
 // Symptom: a VM that started after the store had come back from a copy let organisations spend the
 // parts of VMs whose records were lost. Cause: the list was taken for whole. It is, once each
 // failure domain has said that its own VMs are there again.
-func TestListOfVMsIsWholeWhenMarked(t *testing.T) {
+func TestVMListIsCompleteWhenMarked(t *testing.T) {
 	is := is.New(t)
 	set := testSettings(t, false)
 	d := New(Options{Settings: set, Log: logging.New(io.Discard), Codec: noStatuses{}})
 	own := Record{Key: "other", Value: []byte("10.0.0.9:1 a 1786786484342")}
-	is.True(d.isComplete(vmList{records: []Record{own}}))
-	is.True(!d.isComplete(vmList{records: []Record{own}, era: 1}))
+	is.True(d.isCompleteList(vmList{records: []Record{own}}))
+	is.True(!d.isCompleteList(vmList{records: []Record{own}, era: 1}))
 	mark := func(domain string, era int) Record {
-		return Record{Key: markKey + domain, Value: []byte(fmt.Sprint(era))}
+		return Record{Key: eraMarkPrefix + domain, Value: []byte(fmt.Sprint(era))}
 	}
-	is.True(!d.isComplete(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 0)}, era: 1}))
-	is.True(d.isComplete(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 1)}, era: 1}))
+	is.True(!d.isCompleteList(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 0)}, era: 1}))
+	is.True(d.isCompleteList(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 1)}, era: 1}))
 	// A store may begin at any era: at the first start of a deployment nothing can be missing.
-	is.True(New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard), Codec: noStatuses{}}).isComplete(vmList{era: 1}))
-	d.learnVMs(vmList{records: []Record{own}, era: 1})
-	is.True(!d.peers.knowsAll())
-	d.learnVMs(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 1)}, era: 1})
-	is.True(d.peers.knowsAll())
+	is.True(New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard), Codec: noStatuses{}}).isCompleteList(vmList{era: 1}))
+	d.applyVMList(vmList{records: []Record{own}, era: 1})
+	is.True(!d.peers.listComplete())
+	d.applyVMList(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 1)}, era: 1})
+	is.True(d.peers.listComplete())
 }
 
-// writes is a store that takes down what is written.
-type writes struct {
+// writeRecorder is a store that takes down what is written.
+type writeRecorder struct {
 	Store
 	records []Record
 	calls   int
 }
 
-func (w *writes) Write(_ context.Context, records ...Record) error {
+func (w *writeRecorder) Write(_ context.Context, records ...Record) error {
 	w.records = append(w.records, records...)
 	w.calls++
 	return nil
@@ -194,21 +194,21 @@
 
 // What a failure domain's VMs had written is written again in one call, by one of them: only what
 // is missing or of before the copy, with the starts as they were heard.
-func TestRecordsAreWrittenAgainAfterACopy(t *testing.T) {
+func TestRecordsAreRewrittenAfterARestore(t *testing.T) {
 	is := is.New(t)
 	set := testSettings(t, false)
-	w := &writes{}
+	w := &writeRecorder{}
 	d := New(Options{Settings: set, Log: logging.New(io.Discard), Codec: noStatuses{}, Store: w})
-	d.start = d.start.Add(-healUptime)
+	d.start = d.start.Add(-rewriteUptime)
 	domain := set.Vm.FailureDomain
-	d.peers.learnNamed(map[string]string{
+	d.peers.mergeStoreList(map[string]string{
 		"missing": "10.0.0.2:1 " + domain + " 5", "old": "10.0.0.3:1 " + domain + " 5", "current": "10.0.0.4:1 " + domain + " 5 2", "far": "10.0.0.5:1 elsewhere 5",
 	}, true)
-	d.peers.addrs["10.0.0.2:1"].incarnation = uint64(time.UnixMilli(1786786484342).UnixNano())
+	d.peers.byAddress["10.0.0.2:1"].incarnation = uint64(time.UnixMilli(1786786484342).UnixNano())
 	list := vmList{era: 2, records: []Record{
 		{Key: "old", Value: []byte("10.0.0.3:1 " + domain + " 5 1")}, {Key: "current", Value: []byte("10.0.0.4:1 " + domain + " 5 2")},
 	}}
-	d.heal(context.Background(), list)
+	d.rewriteVMRecords(context.Background(), list)
 	is.Equal(w.calls, 1)
 	got := make(map[string]string)
 	for _, r := range w.records {
@@ -217,9 +217,9 @@
 	is.Equal(len(got), 4) // these two, this VM and the mark
 	is.Equal(got["missing"], "10.0.0.2:1 "+domain+" 1786786484342 2")
 	is.Equal(got["old"], "10.0.0.3:1 "+domain+" 0 2")
-	is.Equal(got[markKey+domain], "2")
+	is.Equal(got[eraMarkPrefix+domain], "2")
 	list.records = w.records
-	d.heal(context.Background(), list)
+	d.rewriteVMRecords(context.Background(), list)
 	is.Equal(w.calls, 1)
-	is.Equal(len(d.lost(vmList{era: 2, records: w.records})), 1) // the one that had been there
+	is.Equal(len(d.missingRecords(vmList{era: 2, records: w.records})), 1) // the one that had been there
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -67,7 +67,7 @@
 	// registryLostAt is when this VM last failed to read the registry, 0 if it did not
 	// or could read it since.
 	registryLostAt atomic.Int64
-	registry       registry
+	registry       registryCache
 	// unreadable are the entries of the registry that could not be understood, with
 	// their faults. Only the goroutine that follows the registry uses it.
 	unreadable map[string]string
@@ -87,10 +87,10 @@
 	suspects   *suspects
 	notices    *notices
 	rollouts   *rollouts
-	eras       *eras
+	eras       *eraTracker
 	// startedAt is when the process started, by the VM's clock.
 	startedAt time.Time
-	shares    *sharing
+	shares    *sharedAllowances
 	retries   *retries
 	pool      *upstream.Pool
 	idle      *idleLimit
@@ -126,7 +126,7 @@
 	}
 	d := &Daemon{
 		opts: opts, set: opts.Settings, log: opts.Log, codec: opts.Codec, start: time.Now(),
-		metrics: metrics.NewRegistry(), eras: newEras(), startedAt: time.Now(), idle: newIdleLimit(), unreadable: make(map[string]string), informed: make(chan struct{}),
+		metrics: metrics.NewRegistry(), eras: newEraTracker(), startedAt: time.Now(), idle: newIdleLimit(), unreadable: make(map[string]string), informed: make(chan struct{}),
 	}
 	d.pool = upstream.NewPool(opts.Dial, maxIdlePerEndpoint)
 	d.bodies = newMemoryBudget(int64(float64(d.set.Limits.MemoryMb) * bodyShare * (1 << 20)))
@@ -137,10 +137,10 @@
 	d.sched.remote = d.remoteJobs.decided
 	d.suspects, d.notices = newSuspects(d), newNotices(d)
 	d.rollouts = newRollouts(d)
-	d.sched.usable = d.rollouts.usable
-	d.sched.departed = d.suspects.departed
+	d.sched.usable = d.rollouts.usableEndpoints
+	d.sched.departed = d.suspects.recordDepartures
 	d.sched.follow(d.set.Listen.Peers, false)
-	d.shares, d.retries = newSharing(d.set, d.now), newRetries(d)
+	d.shares, d.retries = newSharedAllowances(d.set, d.now), newRetries(d)
 	d.peers = newPeers(d)
 	return d
 }
@@ -184,15 +184,15 @@
 		return err
 	}
 	d.serve(group, work, &http.Server{Handler: d.peers.relayHandler(), ReadHeaderTimeout: headerTimeout}, relays)
-	group.Go(func() error { return d.peers.receive(work) })
-	group.Go(func() error { return d.peers.tell(work) })
+	group.Go(func() error { return d.peers.receiveNotes(work) })
+	group.Go(func() error { return d.peers.sendNotes(work) })
 	group.Go(func() error { return d.followConfig(work) })
 	group.Go(func() error { return d.fetchConfigs(work) })
 	group.Go(func() error { return d.followEndpoints(work) })
-	group.Go(func() error { return d.announce(work) })
-	group.Go(func() error { return d.suspects.keep(work) })
-	group.Go(func() error { return d.rollouts.keep(work) })
-	group.Go(func() error { return d.rollouts.follow(work) })
+	group.Go(func() error { return d.followVMs(work) })
+	group.Go(func() error { return d.suspects.processStoreQueue(work) })
+	group.Go(func() error { return d.rollouts.processStatusQueue(work) })
+	group.Go(func() error { return d.rollouts.announceChanges(work) })
 	group.Go(func() error { return d.retries.keep(work) })
 	group.Go(func() error { return d.sched.tick(work) })
 	group.Go(func() error { return d.sweep(work) })
@@ -248,7 +248,7 @@
 
 // noteInformed lets requests go on that wait for what a process must know.
 func (d *Daemon) noteInformed() {
-	if d.knowsAll() && d.rollouts.allKnown() {
+	if d.knowsAll() && d.rollouts.allPhasesKnown() {
 		d.informedOnce.Do(func() { close(d.informed) })
 	}
 }
@@ -320,7 +320,7 @@
 		case <-t.C:
 			d.pool.Sweep()
 			d.suspects.expire()
-			d.notices.forget()
+			d.notices.evict()
 		}
 	}
 }
@@ -381,8 +381,8 @@
 			d.log.Error().Err(err).Msg("settings_refused")
 			continue
 		}
-		d.suspects.release(set.Released)
-		d.rollouts.hold(set.Rollouts.Held)
+		d.suspects.setReleased(set.Released)
+		d.rollouts.setHeld(set.Rollouts.Held)
 		d.log.Info().Msg("settings_reloaded")
 	}
 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -47,11 +47,11 @@
 	var s *stream
 	for try := 0; ; try++ {
 		j := c.jobFor(s)
-		j.Trial = c.d.rollouts.reserve(c.service)
+		j.Trial = c.d.rollouts.reserveCanary(c.service)
 		dec, ok := c.d.placing.place(ctx, c.call.ID, j)
 		c.trial = j.Trial && dec.Endpoint != nil && dec.Endpoint.Trial
 		if j.Trial && !c.trial {
-			c.d.rollouts.giveBack(c.service)
+			c.d.rollouts.releaseCanary(c.service)
 		}
 		if !ok {
 			c.giveUp(s)
@@ -187,7 +187,7 @@
 	ep := dec.Endpoint
 	// The one place where bytes of a caller's request leave for an endpoint, whichever VM
 	// chose it and however long that took.
-	view := c.d.suspects.look(c.digest)
+	view := c.d.suspects.status(c.digest)
 	if view.Convicted() {
 		return attempt{outcome: dispatch.Left, stopped: true}
 	}
@@ -203,7 +203,7 @@
 		Body: c.body, HasBody: c.r.ContentLength != 0 || c.r.Header.Get("Content-Length") != "",
 		Mine: func(resp *http.Response) bool { return c.mine(resp) },
 	}
-	visit, ok := c.d.rollouts.begin(c, ep, c.trial)
+	visit, ok := c.d.rollouts.beginAttempt(c, ep, c.trial)
 	if !ok {
 		return attempt{outcome: dispatch.Left, heldBack: true}
 	}
@@ -221,8 +221,8 @@
 			a.outcome, a.cut = dispatch.Silent, true
 		}
 	}
-	c.d.suspects.tried(c, ep, sent, view.Generation, a)
-	visit.end(a, c.sent > before, before > 0)
+	c.d.suspects.recordAttempt(c, ep, sent, view.Generation, a)
+	visit.finish(a, c.sent > before, before > 0)
 	return a
 }
 
@@ -247,12 +247,12 @@
 		if whole.Err() != nil {
 			return attempt{outcome: dispatch.Left, err: err}
 		}
-		return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
+		return attempt{outcome: dispatch.Broken, cut: isConnectionBroken(err), err: err}
 	}
 	defer ans.Finish()
 	reply := c.d.codec.Reply(ans.Response)
-	c.d.notices.heard(ep, sent, reply)
-	c.d.suspects.answering(c, ep, sent, reply)
+	c.d.notices.observe(ep, sent, reply)
+	c.d.suspects.recordAnswerStart(c, ep, sent, reply)
 	return c.pass(whole, dec.Handle, ans, reply, s, watch)
 }
 
@@ -298,14 +298,14 @@
 		if ctx.Err() != nil {
 			return attempt{outcome: dispatch.Left, err: err}
 		}
-		return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
+		return attempt{outcome: dispatch.Broken, cut: isConnectionBroken(err), err: err}
 	}
-	c.d.suspects.succeeded(c.digest, ans)
+	c.d.suspects.recordSuccess(c.digest, ans)
 	if ans.StatusCode >= http.StatusInternalServerError && c.route.Repeatable() && c.sent < c.route.MaxEndpoints &&
 		time.Until(c.limit) > shortWait && c.again.pay() {
 		return attempt{outcome: dispatch.Failed, err: &FailedAnswerError{Status: ans.StatusCode}}
 	}
-	c.visit.event()
+	c.visit.markFirstEvent()
 	c.d.placing.events(handle, 1)
 	c.write(ans.Response, body)
 	if ans.StatusCode >= http.StatusInternalServerError {
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -46,10 +46,10 @@
 		}
 		d := New(Options{Settings: set, Log: logging.New(io.Discard)})
 		d.peers.conn = closed
-		d.peers.take(n, from)
-		d.peers.take(n, from)
+		d.peers.handleNote(n, from)
+		d.peers.handleNote(n, from)
 		d.remoteJobs.sweep()
 		d.placing.choose()
-		d.peers.tellOnce(0)
+		d.peers.sendRound(0)
 	})
 }
--- a/entry/note_test.go
+++ b/entry/note_test.go
@@ -21,7 +21,7 @@
 				n.Uses = append(n.Uses, &schema.EndpointUse{Endpoint: uint64(i) << 40, Running: 2, Waiting: 1, PromptTokens: 5000, EventGapUs: 20000})
 			}
 			for i := range c.vms {
-				n.Vms = append(n.Vms, entryOf(allowance.VM{Address: fmt.Sprintf("10.%d.%d.25:7600", i/250, i%250), Domain: "kewdale-a"}))
+				n.Vms = append(n.Vms, listEntry(allowance.VM{Address: fmt.Sprintf("10.%d.%d.25:7600", i/250, i%250), Domain: "kewdale-a"}))
 			}
 			size := 0
 			for b.Loop() {
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -16,89 +16,89 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// names lists the VMs known, or none if the list is not whole.
-func (p *peers) names() []string {
+// listEntries lists the VMs known, or none if the list is not whole.
+func (p *peers) listEntries() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.complete || len(p.addrs) >= maxListed {
+	if !p.listIsComplete || len(p.byAddress) >= maxListedVMs {
 		return nil
 	}
-	names := make([]string, 0, len(p.addrs))
-	for a, pe := range p.addrs {
-		names = append(names, entryOf(allowance.VM{Address: a, Domain: pe.domain}))
+	names := make([]string, 0, len(p.byAddress))
+	for a, pe := range p.byAddress {
+		names = append(names, listEntry(allowance.VM{Address: a, Domain: pe.domain}))
 	}
 	slices.Sort(names)
-	return append(names, entryOf(allowance.VM{Address: p.d.set.Listen.Peers, Domain: p.d.set.Vm.FailureDomain}))
+	return append(names, listEntry(allowance.VM{Address: p.d.set.Listen.Peers, Domain: p.d.set.Vm.FailureDomain}))
 }
 
-func (p *peers) note() *schema.PeerNote {
-	n := &schema.PeerNote{Vm: p.d.set.Vm.Name, Incarnation: p.inc, Address: p.d.set.Listen.Peers, FailureDomain: p.d.set.Vm.FailureDomain}
+func (p *peers) newNote() *schema.PeerNote {
+	n := &schema.PeerNote{Vm: p.d.set.Vm.Name, Incarnation: p.incarnation, Address: p.d.set.Listen.Peers, FailureDomain: p.d.set.Vm.FailureDomain}
 	if t := p.d.table.Load(); t != nil {
 		n.ConfigVersion = t.Document.Version
 	}
-	n.FollowsConfig, n.StoreLost = p.follows.Load(), p.d.registryLost(p.d.now())
+	n.FollowsConfig, n.StoreLost = p.followsConfig.Load(), p.d.registryReadFailed(p.d.now())
 	return n
 }
 
-// tell sends notes until ctx ends.
-func (p *peers) tell(ctx context.Context) error {
-	t := time.NewTicker(noteEvery)
+// sendNotes sends notes until ctx ends.
+func (p *peers) sendNotes(ctx context.Context) error {
+	t := time.NewTicker(noteInterval)
 	defer t.Stop()
 	for i := uint64(0); ; i++ {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-p.d.suspects.fresh:
-			pause(ctx, suspectsSettle)
-			p.tellNews(i)
+		case <-p.d.suspects.urgent:
+			sleepJittered(ctx, suspectsPushDelay)
+			p.pushUpdates(i)
 			continue
-		case <-p.d.notices.fresh:
-			p.tellNews(i)
+		case <-p.d.notices.urgent:
+			p.pushUpdates(i)
 			continue
 		case <-t.C:
 		}
 		p.d.remoteJobs.sweep()
 		p.reconsider()
 		p.d.placing.choose()
-		p.d.sched.setReach(p.reach())
+		p.d.sched.setReach(p.coverage())
 		p.d.rollouts.step()
-		p.tellOnce(i)
+		p.sendRound(i)
 	}
 }
 
-// heartbeat is the i-th note without loads.
-func (p *peers) heartbeat(i uint64) *schema.PeerNote {
-	n := p.note()
+// newHeartbeat is the i-th note without loads.
+func (p *peers) newHeartbeat(i uint64) *schema.PeerNote {
+	n := p.newNote()
 	n.Number = i + 1
 	n.Places, n.CpuShare = p.offers(), p.d.set.Limits.CpuShare
 	at := p.d.registry.position()
 	n.Registry, n.RegistryEra = at.Offset, at.Era
 	n.Members = uint32(len(p.d.remoteJobs.members()))
-	n.Rollouts = p.d.rollouts.describe()
+	n.Rollouts = p.d.rollouts.forNote()
 	if placer := p.d.placing.followed(); placer != nil {
 		n.Placer = placer.addr.String()
 	}
 	return n
 }
 
-// tellOnce sends the i-th note: with loads to those who place requests, with what a
+// sendRound sends the i-th note: with loads to those who place requests, with what a
 // cell needs to the rest of it, and a heartbeat to some others.
-func (p *peers) tellOnce(i uint64) {
+func (p *peers) sendRound(i uint64) {
 	to := p.recipients(i)
-	heartbeat := p.heartbeat(i)
-	whole := i%vmsEvery == 0
-	heartbeat.Suspects, heartbeat.Notices = p.d.suspects.news(whole), p.d.notices.news(whole)
+	heartbeat := p.newHeartbeat(i)
+	full := i%fullNoteEvery == 0
+	heartbeat.Suspects, heartbeat.Notices = p.d.suspects.forNote(full), p.d.notices.forNote(full)
 	p.writeAll(p.encode(heartbeat), to.Heartbeats)
 	state := proto.Clone(heartbeat).(*schema.PeerNote)
 	p.d.placing.describe(state)
-	if whole {
-		state.Vms = p.names()
+	if full {
+		state.Vms = p.listEntries()
 		// Those who ask need the paces for when they place for themselves.
-		state.Loads, state.Uses = true, p.d.sched.uses(true)
+		state.Loads, state.Uses = true, p.d.sched.endpointLoads(true)
 	}
 	p.writeAll(p.encode(state), to.State)
-	if !whole {
-		state.Loads, state.Uses = true, p.d.sched.uses(false)
+	if !full {
+		state.Loads, state.Uses = true, p.d.sched.endpointLoads(false)
 	}
 	p.writeAll(p.encode(state), to.Loads)
 }
@@ -107,7 +107,7 @@
 	p.mu.Lock()
 	addrs := make([]*net.UDPAddr, 0, len(to))
 	for _, a := range to {
-		if pe := p.addrs[a]; pe != nil {
+		if pe := p.byAddress[a]; pe != nil {
 			addrs = append(addrs, pe.addr)
 		}
 	}
@@ -129,11 +129,11 @@
 	now := p.d.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.share()
-	peers := make([]cell.Peer, 0, len(p.addrs))
-	for a, pe := range p.addrs {
+	p.updateShares()
+	peers := make([]cell.Peer, 0, len(p.byAddress))
+	for a, pe := range p.byAddress {
 		peers = append(peers, cell.Peer{
-			Address: a, Near: pe.domain == p.d.set.Vm.FailureDomain, Places: pe.placing(now),
+			Address: a, Near: pe.domain == p.d.set.Vm.FailureDomain, Places: pe.placesRequests(now),
 			Cell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
@@ -142,10 +142,10 @@
 	return cell.RecipientsOf(peers, i+p.offset, placer == nil)
 }
 
-// turnRange bounds offsets; more than the turns of a list of any length in use.
-const turnRange = 1 << 16
+// turnOffsetRange bounds offsets; more than the turns of a list of any length in use.
+const turnOffsetRange = 1 << 16
 
-func turnOffset(address string) uint64 { return xxhash.Sum64String(address) % turnRange }
+func turnOffset(address string) uint64 { return xxhash.Sum64String(address) % turnOffsetRange }
 
 func (p *peers) encode(n *schema.PeerNote) []byte {
 	b, err := proto.Marshal(n)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (p *peers) receive(ctx context.Context) error {
+func (p *peers) receiveNotes(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram)
@@ -190,12 +190,12 @@
 			p.d.count("notes_unreadable")
 			continue
 		}
-		p.take(n, from)
+		p.handleNote(n, from)
 	}
 }
 
-// take takes in one note.
-func (p *peers) take(n *schema.PeerNote, from *net.UDPAddr) {
+// handleNote takes in one note.
+func (p *peers) handleNote(n *schema.PeerNote, from *net.UDPAddr) {
 	p.d.placing.take(n, from)
 	p.d.remoteJobs.take(n, from)
 	if n.Address == "" {
@@ -203,7 +203,7 @@
 		return
 	}
 	p.mu.Lock()
-	pe := p.learn(allowance.VM{Address: n.Address, Domain: n.FailureDomain})
+	pe := p.addVM(allowance.VM{Address: n.Address, Domain: n.FailureDomain})
 	started := false
 	if pe != nil {
 		started = pe.incarnation != n.Incarnation
@@ -211,46 +211,46 @@
 		pe.hear(p.d.now())
 	}
 	if len(n.Vms) > 0 {
-		p.learnList(n.Vms)
+		p.mergeListLocked(n.Vms)
 	}
-	p.share()
+	p.updateShares()
 	if pe != nil {
 		pe.followsConfig, pe.storeLost = n.FollowsConfig, n.StoreLost
-		if placer := p.addrs[n.Placer]; placer != nil {
-			placer.named = p.d.now()
+		if placer := p.byAddress[n.Placer]; placer != nil {
+			placer.namedAt = p.d.now()
 		}
 		if n.Number > 0 {
-			pe.places, pe.share, pe.asks, pe.members = n.Places, n.CpuShare, n.Placer != "", int(n.Members)
-			pe.registry = Position{Era: n.RegistryEra, Offset: n.Registry}
+			pe.placesForOthers, pe.cpuShare, pe.asksPlacer, pe.members = n.Places, n.CpuShare, n.Placer != "", int(n.Members)
+			pe.registryPosition = Position{Era: n.RegistryEra, Offset: n.Registry}
 		}
 	}
 	p.mu.Unlock()
 	if n.Registry > 0 {
-		p.d.noteEra(n.RegistryEra)
+		p.d.observeEra(n.RegistryEra)
 	}
-	p.d.suspects.told(n.Suspects)
-	p.d.notices.told(n.Notices)
-	p.d.rollouts.told(n.Rollouts)
-	p.d.rollouts.takeReports(n)
+	p.d.suspects.mergeRemote(n.Suspects)
+	p.d.notices.mergeRemote(n.Notices)
+	p.d.rollouts.mergeRemote(n.Rollouts)
+	p.d.rollouts.mergeReports(n)
 	if started {
-		p.tellStarted(pe)
+		p.sendStartState(pe)
 	}
 	p.takeRelayed(n)
 	if n.Loads {
-		p.d.sched.peerUses(n)
+		p.d.sched.applyPeerLoads(n)
 	}
 	for _, g := range n.Grants {
-		back := p.d.shares.receive(allowance.Amount{Organisation: g.Organisation, Units: g.Amount})
+		back := p.d.shares.receiveGrant(allowance.Amount{Organisation: g.Organisation, Units: g.Amount})
 		// What was returned once is not sent again, or it would go to and fro.
 		if back > 0 && !n.Returned {
-			p.giveBack(g.Organisation, back, from)
+			p.returnUnits(g.Organisation, back, from)
 		}
 	}
-	p.answer(n.Wants, from)
+	p.grantWants(n.Wants, from)
 }
 
-// uses returns this VM's load as others need it.
-func (s *scheduling) uses(paces bool) []*schema.EndpointUse {
+// endpointLoads returns this VM's load as others need it.
+func (s *scheduling) endpointLoads(paces bool) []*schema.EndpointUse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*schema.EndpointUse
@@ -263,7 +263,7 @@
 	return list
 }
 
-func (s *scheduling) peerUses(n *schema.PeerNote) {
+func (s *scheduling) applyPeerLoads(n *schema.PeerNote) {
 	uses := make([]dispatch.NamedUse, 0, len(n.Uses))
 	for _, u := range n.Uses {
 		uses = append(uses, dispatch.NamedUse{Name: u.Endpoint, Use: dispatch.Use{
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -56,11 +56,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	chosen := cell.Placer(self, p.known, willing, current)
+	chosen := cell.Placer(self, p.counts, willing, current)
 	if chosen == "" || chosen == self.Address {
 		return self.Address, nil
 	}
-	return chosen, p.addrs[chosen]
+	return chosen, p.byAddress[chosen]
 }
 
 // reconsider finds out whether this VM places for others yet, and whether it steps down,
@@ -88,7 +88,7 @@
 		return
 	}
 	p.eligible.Store(true)
-	p.writeAll(p.encode(p.heartbeat(0)), p.domain())
+	p.writeAll(p.encode(p.newHeartbeat(0)), p.domainAddresses())
 }
 
 // cellPlaced says whether another VM of those that may place for this one does so for
@@ -105,17 +105,17 @@
 func (p *peers) fleet() cell.Fleet {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known
+	return p.counts
 }
 
 // countKnown counts a VM that was learned of.
 func (p *peers) countKnown(domain string) {
 	own := p.d.set.Vm.FailureDomain
 	if p.d.set.Region(domain) == p.d.set.Region(own) {
-		p.known.Region++
+		p.counts.Region++
 	}
 	if domain == own {
-		p.known.Domain++
+		p.counts.Domain++
 	}
 }
 
@@ -130,9 +130,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for a, pe := range p.addrs {
-		if pe.places && pe.heardLately(now) && now >= pe.avoidUntil && !pe.silent {
-			willing = append(willing, cell.VM{Address: a, Domain: pe.domain, Region: p.d.set.Region(pe.domain), Share: pe.share, Members: pe.members})
+	for a, pe := range p.byAddress {
+		if pe.placesForOthers && pe.heardLately(now) && now >= pe.avoidUntil && !pe.wentSilent {
+			willing = append(willing, cell.VM{Address: a, Domain: pe.domain, Region: p.d.set.Region(pe.domain), Share: pe.cpuShare, Members: pe.members})
 		}
 	}
 	return self, willing
@@ -142,7 +142,7 @@
 func (p *peers) heardWithin(pe *peer, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.d.now()-pe.heard < d
+	return p.d.now()-pe.lastHeard < d
 }
 
 // avoidSilent leaves a VM out of the choice of placers until it is heard again. Heartbeats of
@@ -151,5 +151,5 @@
 func (p *peers) avoidSilent(pe *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pe.silent = true
+	pe.wentSilent = true
 }
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -46,9 +46,9 @@
 	is.True(d.remoteJobs.willing())
 
 	d = startedAgo(t, 400*time.Millisecond)
-	other := d.peers.learn(allowance.VM{Address: "127.0.0.1:9", Domain: "a"})
+	other := d.peers.addVM(allowance.VM{Address: "127.0.0.1:9", Domain: "a"})
 	other.hear(d.now())
-	other.places, other.members = true, 7
+	other.placesForOthers, other.members = true, 7
 	d.peers.reconsider()
 	is.True(!d.remoteJobs.willing())
 	other.members = 0
@@ -74,10 +74,10 @@
 	for i := range 246 {
 		entries = append(entries, fmt.Sprintf("127.0.1.%d:7600 far", i))
 	}
-	d.peers.learnAll(append(entries, "127.0.2.1:7600 a"))
+	d.peers.mergeList(append(entries, "127.0.2.1:7600 a"))
 	const placer = "127.0.1.7:7600"
 	from := &net.UDPAddr{IP: net.IPv4(127, 0, 1, 99), Port: 7600}
-	d.peers.take(&schema.PeerNote{Vm: "far-99", Address: from.String(), FailureDomain: "far", Number: 1, Placer: placer}, from)
+	d.peers.handleNote(&schema.PeerNote{Vm: "far-99", Address: from.String(), FailureDomain: "far", Number: 1, Placer: placer}, from)
 	for i := range uint64(10) {
 		is.Equal(d.peers.recipients(i).Loads, []string{placer})
 	}
--- a/entry/placing.go
+++ b/entry/placing.go
@@ -102,7 +102,7 @@
 		if p.d.now()+wait >= j.Abandon {
 			return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonRest, RetryAfter: wait}, true, true
 		}
-		if !pause(ctx, wait) {
+		if !sleepJittered(ctx, wait) {
 			return dec, false, true
 		}
 	}
@@ -206,7 +206,7 @@
 func (p *placing) adopt(to *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.Unusable) {
 	// While requests move, which go to the new version is the placer's to say: it may be some ms
 	// ahead of this VM, whose own list still holds the new endpoints back.
-	j.Trial = j.Trial || p.d.rollouts.moving(j.Service)
+	j.Trial = j.Trial || p.d.rollouts.isShifting(j.Service)
 	j.Counted = m.Counted
 	dec, why := p.d.sched.adopt(j, m.Endpoint, micros(m.PredictedUs), int(m.PromptTokens))
 	if dec == nil {
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -38,13 +38,13 @@
 // and each would read for its failure domain.
 func (p *peers) reads() bool {
 	now := p.d.now()
-	if p.d.registryLost(now) {
+	if p.d.registryReadFailed(now) {
 		return false
 	}
 	own := rendezvous.Hash(readerKey, p.d.set.Listen.Peers)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, pe := range p.addrs {
+	for address, pe := range p.byAddress {
 		if pe.presumedAlive(now) && pe.domain == p.d.set.Vm.FailureDomain && !pe.storeLost && rendezvous.Hash(readerKey, address) > own {
 			return false
 		}
@@ -54,21 +54,21 @@
 
 // heardLately says whether the VM counts as alive.
 func (pe *peer) heardLately(now time.Duration) bool {
-	return pe.heard > 0 && now-pe.heard < max(aliveFor, aliveNotes*pe.every)
+	return pe.lastHeard > 0 && now-pe.lastHeard < max(aliveFor, aliveNotes*pe.usualInterval)
 }
 
 // presumedAlive says whether the VM is alive as far as is known, heard or not yet.
 func (pe *peer) presumedAlive(now time.Duration) bool {
-	return pe.heardLately(now) || pe.heard == 0 && now-pe.learned < unheardFor
+	return pe.heardLately(now) || pe.lastHeard == 0 && now-pe.learnedAt < unheardFor
 }
 
 // hear notes that the VM spoke. A silence counts as no more than aliveFor, or a VM that
 // was away would count as alive for long after.
 func (pe *peer) hear(now time.Duration) {
-	if pe.heard > 0 {
-		pe.every += time.Duration(everyWeight * float64(min(now-pe.heard, aliveNotes*aliveFor)-pe.every))
+	if pe.lastHeard > 0 {
+		pe.usualInterval += time.Duration(everyWeight * float64(min(now-pe.lastHeard, aliveNotes*aliveFor)-pe.usualInterval))
 	}
-	pe.heard, pe.silent = now, false
+	pe.lastHeard, pe.wentSilent = now, false
 }
 
 // configFollowed says whether a VM of this failure domain follows the
@@ -81,7 +81,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, pe := range p.addrs {
+	for _, pe := range p.byAddress {
 		if pe.heardLately(now) && pe.domain == p.d.set.Vm.FailureDomain && pe.followsConfig {
 			return true
 		}
@@ -89,7 +89,7 @@
 	return false
 }
 
-func (p *peers) setFollows(v bool) { p.follows.Store(v) }
+func (p *peers) setFollows(v bool) { p.followsConfig.Store(v) }
 
 // relayBytes is about how much of the registry one note passes on before it is packed;
 // longer notes are not sent. When all endpoints start, 82 and more change between two reads.
@@ -165,14 +165,14 @@
 
 // relay passes on to the VMs of the own failure domain what was read of the registry.
 func (p *peers) relay(parts []*schema.EndpointRelay) {
-	to := p.domain()
+	to := p.domainAddresses()
 	for _, part := range parts {
 		packed, err := pack(part)
 		if err != nil {
 			p.d.log.Error().Err(err).Msg("relay_unsendable")
 			return
 		}
-		n := p.note()
+		n := p.newNote()
 		n.Endpoints = packed
 		p.writeAll(p.encode(n), to)
 	}
@@ -198,7 +198,7 @@
 		return
 	}
 	select {
-	case p.hints <- configHint{n.Address, n.ConfigVersion}:
+	case p.configHints <- configHint{n.Address, n.ConfigVersion}:
 	default:
 	}
 }
@@ -230,5 +230,5 @@
 	if t == nil || rec == nil || t.Document.Version <= r.NewerThan {
 		return &schema.ConfigReply{}, nil
 	}
-	return &schema.ConfigReply{Record: &schema.StoreRecord{Key: rec.Key, Value: rec.Value}, Rollouts: s.d.rollouts.describe()}, nil
+	return &schema.ConfigReply{Record: &schema.StoreRecord{Key: rec.Key, Value: rec.Value}, Rollouts: s.d.rollouts.forNote()}, nil
 }
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -76,12 +76,12 @@
 		return
 	}
 	j := r.job(m)
-	view := r.d.suspects.look(j.Request)
+	view := r.d.suspects.status(j.Request)
 	if view.Convicted() {
 		r.reply(from, &schema.PlaceDecision{Handle: m.Handle, Verdict: schema.PlaceDecision_REFUSED, Reason: reasonEndsEndpoints})
 		return
 	}
-	j.Suspicion = max(j.Suspicion, suspicionOf(view))
+	j.Suspicion = max(j.Suspicion, suspicionFor(view))
 	r.mu.Lock()
 	known := r.jobs[m.Handle]
 	if known == nil {
@@ -253,7 +253,7 @@
 		Handle: m.Handle, Service: m.Service, Tier: int(m.Tier), Prompt: int(m.Prompt), Events: int(m.Events),
 		Objective: now + time.Duration(m.ObjectiveUs)*time.Microsecond, Abandon: now + time.Duration(m.AbandonUs)*time.Microsecond,
 		MaxPause: micros(m.MaxPauseUs), Tried: m.Tried, Avoided: m.Avoided, Remote: true, Domain: m.FailureDomain,
-		Request: digestOf(m.Digest), Suspicion: dispatch.Suspicion(min(m.Suspicion, uint32(dispatch.OnTrial))), Trial: m.Trial,
+		Request: digestFromWire(m.Digest), Suspicion: dispatch.Suspicion(min(m.Suspicion, uint32(dispatch.OnTrial))), Trial: m.Trial,
 	}
 	if m.LimitUs != 0 {
 		j.Limit = now + time.Duration(m.LimitUs)*time.Microsecond
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -11,37 +11,37 @@
 //
 // What says nothing of it: endpoints that were full or gone, and requests cut off by the
 // crash of their endpoint, which comes to good versions too.
-func (v *visit) observe(a attempt) {
-	took := v.r.d.now() - v.began
+func (v *trackedAttempt) observe(a attempt) {
+	took := v.rollouts.d.now() - v.startedAt
 	switch a.outcome {
 	case dispatch.Answered:
 		v.count(func(c *rollout.Counts) {
 			c.Answers++
 			if !v.cold {
-				c.First.Observe(v.first)
+				c.First.Observe(v.firstEventAfter)
 				c.Whole.Observe(took)
 			}
 		})
 	case dispatch.Left:
-		v.observeLeft(took)
+		v.countCallerLeft(took)
 	case dispatch.Failed:
-		v.failed()
+		v.countFailure()
 	case dispatch.Broken, dispatch.Silent:
 		if a.cut {
-			time.AfterFunc(cutSettles, v.cutOff)
+			time.AfterFunc(cutSettleTime, v.countCut)
 			return
 		}
-		v.failed()
+		v.countFailure()
 	}
 }
 
-// observeLeft counts a request whose caller left: one that waited long for an endpoint saw a
+// countCallerLeft counts a request whose caller left: one that waited long for an endpoint saw a
 // slow one, and versions that are slow would otherwise lose their slowest answers.
-func (v *visit) observeLeft(took time.Duration) {
-	if v.cold || v.first == 0 && took < leastCensored {
+func (v *trackedAttempt) countCallerLeft(took time.Duration) {
+	if v.cold || v.firstEventAfter == 0 && took < minCensoredTime {
 		return
 	}
-	first := v.first
+	first := v.firstEventAfter
 	if first == 0 {
 		first = took
 	}
@@ -51,22 +51,22 @@
 	})
 }
 
-func (v *visit) failed() {
+func (v *trackedAttempt) countFailure() {
 	v.count(func(c *rollout.Counts) {
 		c.Answers++
 		c.Failures++
 	})
 }
 
-func (v *visit) count(add func(*rollout.Counts)) { v.m.evidence.Count(v.group, add) }
+func (v *trackedAttempt) count(add func(*rollout.Counts)) { v.rollout.evidence.Count(v.group, add) }
 
-// cutOff counts a request that was cut off a while ago, unless its endpoint has ended or leaves.
-func (v *visit) cutOff() {
-	if !v.r.d.sched.serving(v.ep) || v.r.d.suspects.hasEnded(v.ep) {
+// countCut counts a request that was cut off a while ago, unless its endpoint has ended or leaves.
+func (v *trackedAttempt) countCut() {
+	if !v.rollouts.d.sched.serving(v.ep) || v.rollouts.d.suspects.hasEnded(v.ep) {
 		return
 	}
-	v.r.mu.Lock()
-	defer v.r.mu.Unlock()
+	v.rollouts.mu.Lock()
+	defer v.rollouts.mu.Unlock()
 	v.count(func(c *rollout.Counts) {
 		c.Answers++
 		c.Cuts++
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -13,17 +13,17 @@
 const (
 	// judgeKey is hashed with the VMs' addresses to choose who judges in a failure domain.
 	judgeKey = "rollout-judge"
-	// reportEvery is how often a VM tells its judge what it saw, and a judge the others;
+	// minReportInterval is how often a VM tells its judge what it saw, and a judge the others;
 	// reportSpread is added for each VM of the failure domain, so that what a judge hears
 	// does not grow with it.
-	reportEvery  = 200 * time.Millisecond
-	reportSpread = 5 * time.Millisecond
-	// announceRollouts is how often a judge tells its failure domain how far a move is.
-	announceRollouts = 500 * time.Millisecond
-	// reportLife is for how many times between two reports the last one holds.
-	reportLife = 4
-	// tellFinal is how long a verdict is told after it came.
-	tellFinal = 30 * time.Second
+	minReportInterval   = 200 * time.Millisecond
+	reportIntervalPerVM = 5 * time.Millisecond
+	// announceInterval is how often a judge tells its failure domain how far a move is.
+	announceInterval = 500 * time.Millisecond
+	// reportTTLIntervals is for how many times between two reports the last one holds.
+	reportTTLIntervals = 4
+	// finalAnnounceTime is how long a verdict is told after it came.
+	finalAnnounceTime = 30 * time.Second
 )
 
 // judge is what a VM knows that judges for its failure domain.
@@ -32,17 +32,17 @@
 	vms, domains *rollout.Ledger
 	watch        *rollout.Watch
 	// drainedVMs and drainedDomains are those where nothing runs at the old version.
-	drainedVMs, drainedDomains drained
+	drainedVMs, drainedDomains drainReports
 	// suspected and next are those that were last logged.
 	suspected bool
 	next      rollout.Phase
 }
 
-// drained is when VMs or failure domains last said that nothing runs at the old version there.
-type drained map[string]time.Duration
+// drainReports is when VMs or failure domains last said that nothing runs at the old version there.
+type drainReports map[string]time.Duration
 
-// take takes in what one of them says.
-func (d drained) take(now time.Duration, who string, report *schema.RolloutReport) {
+// record takes in what one of them says.
+func (d drainReports) record(now time.Duration, who string, report *schema.RolloutReport) {
 	if report.Drained {
 		d[who] = now
 		return
@@ -50,16 +50,16 @@
 	delete(d, who)
 }
 
-// holds says whether one of them said so within some times between two reports.
-func (d drained) holds(now, pause time.Duration, who string) bool {
+// isDrained says whether one of them said so within some times between two reports.
+func (d drainReports) isDrained(now, interval time.Duration, who string) bool {
 	at, ok := d[who]
-	return ok && now-at <= reportLife*pause
+	return ok && now-at <= reportTTLIntervals*interval
 }
 
 func newJudge(o rollout.Order) *judge {
 	return &judge{
 		vms: rollout.NewLedger(), domains: rollout.NewLedger(), watch: rollout.NewWatch(o),
-		drainedVMs: make(drained), drainedDomains: make(drained),
+		drainedVMs: make(drainReports), drainedDomains: make(drainReports),
 	}
 }
 
@@ -71,7 +71,7 @@
 	judges := map[string]string{p.d.set.Vm.FailureDomain: own}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, pe := range p.addrs {
+	for address, pe := range p.byAddress {
 		if !pe.presumedAlive(now) {
 			continue
 		}
@@ -83,8 +83,8 @@
 	return judges
 }
 
-// leads says whether a VM leads the judges: it alone moves requests and writes to the store.
-func leads(address, service string, judges map[string]string) bool {
+// isLeader says whether a VM isLeader the judges: it alone moves requests and writes to the store.
+func isLeader(address, service string, judges map[string]string) bool {
 	for _, other := range judges {
 		if rendezvous.Hash(service, other) > rendezvous.Hash(service, address) {
 			return false
@@ -93,46 +93,46 @@
 	return true
 }
 
-// reportPause is the time between two reports.
-func (p *peers) reportPause() time.Duration {
+// reportInterval is the time between two reports.
+func (p *peers) reportInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return reportEvery + time.Duration(p.known.Domain)*reportSpread
+	return minReportInterval + time.Duration(p.counts.Domain)*reportIntervalPerVM
 }
 
 // step does what is due for the services that move. It is called with each note.
 func (r *rollouts) step() {
 	r.mu.Lock()
-	moving := make([]*movement, 0, len(r.byService))
+	active := make([]*rolloutState, 0, len(r.byService))
 	for _, m := range r.byService {
-		moving = append(moving, m)
+		active = append(active, m)
 	}
 	r.mu.Unlock()
-	if r.changing(r.d.now()) {
+	if r.inTransition(r.d.now()) {
 		r.d.sched.resync()
 	}
-	if len(moving) == 0 {
+	if len(active) == 0 {
 		return
 	}
 	judges := r.d.peers.judges()
-	pause := r.d.peers.reportPause()
-	for _, m := range moving {
-		r.stepOne(m, judges, pause)
+	interval := r.d.peers.reportInterval()
+	for _, m := range active {
+		r.stepRollout(m, judges, interval)
 	}
 }
 
-func (r *rollouts) stepOne(m *movement, judges map[string]string, pause time.Duration) {
+func (r *rollouts) stepRollout(m *rolloutState, judges map[string]string, interval time.Duration) {
 	own := r.d.set.Listen.Peers
 	mine := judges[r.d.set.Vm.FailureDomain]
 	r.mu.Lock()
 	now := r.d.now()
-	if m.phase.Final() && now-m.finalSince > tellFinal {
+	if m.phase.Final() && now-m.finalSince > finalAnnounceTime {
 		r.mu.Unlock()
 		return
 	}
 	var report *schema.RolloutReport
-	if !m.phase.Final() && now-m.reported >= pause {
-		m.reported = now
+	if !m.phase.Final() && now-m.reportedAt >= interval {
+		m.reportedAt = now
 		report = r.ownReport(m, now)
 	}
 	if mine != own {
@@ -147,26 +147,26 @@
 		m.judge = newJudge(m.order)
 	}
 	others := otherJudges(judges, own)
-	var told *schema.RolloutReport
-	lead := leads(own, m.order.Service, judges)
+	var toDomains *schema.RolloutReport
+	lead := isLeader(own, m.order.Service, judges)
 	if report != nil {
-		m.judge.takeVM(now, own, own, report)
-		told = r.domainReport(m, now, pause)
-		r.decide(m, now, lead, judges, pause)
+		m.judge.mergeVMReport(now, own, own, report)
+		toDomains = r.domainReport(m, now, interval)
+		r.decide(m, now, lead, judges, interval)
 	}
 	if lead {
-		r.record(m, m.phase)
+		r.queueStatus(m, m.phase)
 	}
-	announce := now-m.announced >= announceRollouts
+	announce := now-m.announcedAt >= announceInterval
 	if announce {
-		m.announced = now
+		m.announcedAt = now
 	}
 	r.mu.Unlock()
-	if told != nil {
-		r.d.peers.sendReport(told, others)
+	if toDomains != nil {
+		r.d.peers.sendReport(toDomains, others)
 	}
 	if announce {
-		r.tell(others)
+		r.announce(others)
 	}
 }
 
@@ -181,29 +181,29 @@
 }
 
 // ownReport is what this process saw. The lock is held.
-func (r *rollouts) ownReport(m *movement, now time.Duration) *schema.RolloutReport {
-	_, whole := m.share(now, r.d.set.Bounds.ExposureShare)
-	report := reportOf(m.order, m.evidence)
-	report.Drained = m.known && whole && m.runningOld == 0 && m.listedNew > 0
+func (r *rollouts) ownReport(m *rolloutState, now time.Duration) *schema.RolloutReport {
+	_, all := m.trafficShare(now, r.d.set.Bounds.ExposureShare)
+	report := reportToWire(m.order, m.evidence)
+	report.Drained = m.phaseKnown && all && m.runningOld == 0 && m.listedNew > 0
 	return report
 }
 
 // domainReport is what the failure domain saw. The lock is held.
-func (r *rollouts) domainReport(m *movement, now, pause time.Duration) *schema.RolloutReport {
+func (r *rollouts) domainReport(m *rolloutState, now, interval time.Duration) *schema.RolloutReport {
 	sum := m.judge.vms.Sum()
 	m.judge.domains.Merge(r.d.set.Vm.FailureDomain, sum)
-	report := reportOf(m.order, sum)
+	report := reportToWire(m.order, sum)
 	report.Domain = true
-	report.Drained = r.domainDrained(m, now, pause)
+	report.Drained = r.domainDrained(m, now, interval)
 	return report
 }
 
 // domainDrained says whether nothing runs at the old version from any VM of the own failure
 // domain that is heard. One that is not heard is dead, or cut off: it cannot be waited for,
 // and when the old endpoints stop it sees them gone. The lock is held.
-func (r *rollouts) domainDrained(m *movement, now, pause time.Duration) bool {
-	for _, address := range append(r.d.peers.heardIn(r.d.set.Vm.FailureDomain), r.d.set.Listen.Peers) {
-		if !m.judge.drainedVMs.holds(now, pause, address) {
+func (r *rollouts) domainDrained(m *rolloutState, now, interval time.Duration) bool {
+	for _, address := range append(r.d.peers.reachableIn(r.d.set.Vm.FailureDomain), r.d.set.Listen.Peers) {
+		if !m.judge.drainedVMs.isDrained(now, interval, address) {
 			return false
 		}
 	}
@@ -214,46 +214,46 @@
 // dead, or cut off and still sending to the old version, whose endpoints would stop under its
 // requests: it is waited for as long as the order's time lasts, and by the smaller side of a cut
 // for ever. The lock is held.
-func (r *rollouts) allDrained(m *movement, now, pause time.Duration, judges map[string]string) bool {
+func (r *rollouts) allDrained(m *rolloutState, now, interval time.Duration, judges map[string]string) bool {
 	known := r.d.peers.knownDomains()
-	if len(judges) < known && (now-m.since < m.order.Duration || 2*len(judges) <= known) {
+	if len(judges) < known && (now-m.orderedAt < m.order.Duration || 2*len(judges) <= known) {
 		return false
 	}
 	for domain := range judges {
-		if domain != r.d.set.Vm.FailureDomain && !m.judge.drainedDomains.holds(now, pause, domain) {
+		if domain != r.d.set.Vm.FailureDomain && !m.judge.drainedDomains.isDrained(now, interval, domain) {
 			return false
 		}
 	}
-	return r.domainDrained(m, now, pause)
+	return r.domainDrained(m, now, interval)
 }
 
 // decide takes the next step of a move as a judge. Each judge may find a version bad; only
 // the one that leads moves requests and has the store written, so that it is done once. The
 // lock is held.
-func (r *rollouts) decide(m *movement, now time.Duration, lead bool, judges map[string]string, pause time.Duration) {
-	if !m.known {
+func (r *rollouts) decide(m *rolloutState, now time.Duration, lead bool, judges map[string]string, interval time.Duration) {
+	if !m.phaseKnown {
 		return
 	}
 	sum := m.judge.domains.Sum()
-	age := now - m.since
+	age := now - m.orderedAt
 	k := rollout.Known{
-		Age: age, Finding: m.judge.watch.Test(m.phase, age, sum, len(m.tried)), Longest: sum.Longest(),
+		Age: age, Finding: m.judge.watch.Test(m.phase, age, sum, len(m.canaryEndpoints)), Longest: sum.Longest(),
 		NewListed: m.listedNew, OldListed: m.listedOld, Held: slices.Contains(r.held, m.order.Service),
 	}
 	k.Answers, k.Failures, k.OldAnswers = sum.Totals()
-	k.Drained = m.phase == rollout.Moving && r.allDrained(m, now, pause, judges)
+	k.Drained = m.phase == rollout.Moving && r.allDrained(m, now, interval, judges)
 	next := m.order.Decide(m.phase, k)
 	r.logFinding(m, k, next)
 	if next == rollout.RolledBack || lead && next == rollout.Moving {
 		r.advance(m, next, learnedSeen)
 	}
 	if lead && next == rollout.Completed {
-		r.record(m, next)
+		r.queueStatus(m, next)
 	}
 }
 
 // logFinding says what speaks against a version when it becomes suspect, and at the verdict.
-func (r *rollouts) logFinding(m *movement, k rollout.Known, next rollout.Phase) {
+func (r *rollouts) logFinding(m *rolloutState, k rollout.Known, next rollout.Phase) {
 	suspect := k.Finding.Suspect()
 	logged := next == m.judge.next && (!suspect || m.judge.suspected)
 	m.judge.suspected, m.judge.next = suspect, next
@@ -267,20 +267,20 @@
 		Str("doubt", strconv.FormatFloat(f.Doubt, 'f', 1, 64)).Int("answers", k.Answers).Int("failures", k.Failures).Int("old_answers", k.OldAnswers).Int("listed_new", k.NewListed).Int("listed_old", k.OldListed).Bool("drained", k.Drained).Msg("rollout_judged")
 }
 
-// takeVM takes in what a process of the own failure domain saw. source names the process,
+// mergeVMReport takes in what a process of the own failure domain saw. source names the process,
 // address its VM.
-func (j *judge) takeVM(now time.Duration, source, address string, report *schema.RolloutReport) {
-	j.vms.Merge(source, evidenceOf(report))
-	j.drainedVMs.take(now, address, report)
+func (j *judge) mergeVMReport(now time.Duration, source, address string, report *schema.RolloutReport) {
+	j.vms.Merge(source, evidenceFromWire(report))
+	j.drainedVMs.record(now, address, report)
 }
 
-func (j *judge) takeDomain(now time.Duration, domain string, report *schema.RolloutReport) {
-	j.domains.Merge(domain, evidenceOf(report))
-	j.drainedDomains.take(now, domain, report)
+func (j *judge) mergeDomainReport(now time.Duration, domain string, report *schema.RolloutReport) {
+	j.domains.Merge(domain, evidenceFromWire(report))
+	j.drainedDomains.record(now, domain, report)
 }
 
-// takeReports takes in what other VMs saw, if this one judges.
-func (r *rollouts) takeReports(n *schema.PeerNote) {
+// mergeReports takes in what other VMs saw, if this one judges.
+func (r *rollouts) mergeReports(n *schema.PeerNote) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, report := range n.Reports {
@@ -290,10 +290,10 @@
 		}
 		switch {
 		case report.Domain && n.FailureDomain != r.d.set.Vm.FailureDomain:
-			m.judge.takeDomain(r.d.now(), n.FailureDomain, report)
+			m.judge.mergeDomainReport(r.d.now(), n.FailureDomain, report)
 		case !report.Domain && n.FailureDomain == r.d.set.Vm.FailureDomain:
 			source := n.Address + " " + strconv.FormatUint(n.Incarnation, 10)
-			m.judge.takeVM(r.d.now(), source, n.Address, report)
+			m.judge.mergeVMReport(r.d.now(), source, n.Address, report)
 		}
 	}
 }
--- a/entry/rollout_notes.go
+++ b/entry/rollout_notes.go
@@ -9,82 +9,82 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// describe is how far all moves are, as other VMs are told.
-func (r *rollouts) describe() []*schema.Rollout {
+// forNote is how far all moves are, as other VMs are told.
+func (r *rollouts) forNote() []*schema.Rollout {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*schema.Rollout
 	for _, m := range r.byService {
-		if !m.known {
+		if !m.phaseKnown {
 			continue
 		}
 		list = append(list, &schema.Rollout{
 			Service: m.order.Service, Version: m.order.Version, DurationMs: uint32(m.order.Duration.Milliseconds()),
-			Position: &schema.StorePosition{Era: m.at.Era, Offset: m.at.Offset},
-			Phase:    uint32(m.phase), AgeMs: uint32((r.d.now() - m.since).Milliseconds()),
+			Position: &schema.StorePosition{Era: m.position.Era, Offset: m.position.Offset},
+			Phase:    uint32(m.phase), AgeMs: uint32((r.d.now() - m.orderedAt).Milliseconds()),
 		})
 	}
 	return list
 }
 
-// told takes in what another VM knows of moves.
-func (r *rollouts) told(list []*schema.Rollout) {
-	for _, t := range list {
-		phase := rollout.Phase(min(t.Phase, uint32(rollout.Completed)))
-		o := rollout.Order{Service: t.Service, Version: t.Version, Duration: time.Duration(t.DurationMs) * time.Millisecond}
-		at := Position{Era: t.GetPosition().GetEra(), Offset: t.GetPosition().GetOffset()}
-		r.take(o, at, r.d.now()-time.Duration(t.AgeMs)*time.Millisecond, &phase)
+// mergeRemote takes in what another VM knows of moves.
+func (r *rollouts) mergeRemote(list []*schema.Rollout) {
+	for _, remote := range list {
+		phase := rollout.Phase(min(remote.Phase, uint32(rollout.Completed)))
+		o := rollout.Order{Service: remote.Service, Version: remote.Version, Duration: time.Duration(remote.DurationMs) * time.Millisecond}
+		at := Position{Era: remote.GetPosition().GetEra(), Offset: remote.GetPosition().GetOffset()}
+		r.applyOrder(o, at, r.d.now()-time.Duration(remote.AgeMs)*time.Millisecond, &phase)
 	}
 }
 
-// tell tells the own failure domain, and some others, how far moves are.
-func (r *rollouts) tell(others []string) {
-	n := r.d.peers.note()
-	if n.Rollouts = r.describe(); len(n.Rollouts) == 0 {
+// announce tells the own failure domain, and some others, how far moves are.
+func (r *rollouts) announce(others []string) {
+	n := r.d.peers.newNote()
+	if n.Rollouts = r.forNote(); len(n.Rollouts) == 0 {
 		return
 	}
-	r.d.peers.writeAll(r.d.peers.encode(n), append(r.d.peers.domain(), others...))
+	r.d.peers.writeAll(r.d.peers.encode(n), append(r.d.peers.domainAddresses(), others...))
 }
 
-// tellNews tells at once what changed: to the own failure domain and the judges of others, who
+// announceNow tells at once what changed: to the own failure domain and the judges of others, who
 // pass it on.
-func (r *rollouts) tellNews() {
-	r.tell(otherJudges(r.d.peers.judges(), r.d.set.Listen.Peers))
+func (r *rollouts) announceNow() {
+	r.announce(otherJudges(r.d.peers.judges(), r.d.set.Listen.Peers))
 }
 
 // sendReport sends what was seen to VMs that judge.
 func (p *peers) sendReport(report *schema.RolloutReport, to []string) {
-	n := p.note()
+	n := p.newNote()
 	n.Reports = []*schema.RolloutReport{report}
 	p.writeAll(p.encode(n), to)
 }
 
-// reach is how many VMs are served by the placers that are heard, this VM included, and how many are
+// coverage is how many VMs are served by the placers that are heard, this VM included, and how many are
 // known; 0 if the list is not whole.
-func (p *peers) reach() (heard, known int) {
+func (p *peers) coverage() (heard, known int) {
 	now, members := p.d.now(), p.d.remoteJobs.members()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.complete {
+	if !p.listIsComplete {
 		return 0, 0
 	}
 	heard = 1 + len(members)
-	for _, pe := range p.addrs {
-		if pe.heardLately(now) && !pe.asks {
+	for _, pe := range p.byAddress {
+		if pe.heardLately(now) && !pe.asksPlacer {
 			heard += 1 + pe.members
 		}
 	}
-	return heard, len(p.addrs) + 1
+	return heard, len(p.byAddress) + 1
 }
 
 // fleetSize is the number of VMs, this one included; 0 if it is not known.
 func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.complete {
+	if !p.listIsComplete {
 		return 0
 	}
-	return len(p.addrs) + 1
+	return len(p.byAddress) + 1
 }
 
 // knownDomains is the number of failure domains with a VM that is known, the own one included.
@@ -92,19 +92,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	domains := map[string]bool{p.d.set.Vm.FailureDomain: true}
-	for _, pe := range p.addrs {
+	for _, pe := range p.byAddress {
 		domains[pe.domain] = true
 	}
 	return len(domains)
 }
 
-// heardIn are the addresses of the other VMs of a failure domain that are heard.
-func (p *peers) heardIn(domain string) []string {
+// reachableIn are the addresses of the other VMs of a failure domain that are heard.
+func (p *peers) reachableIn(domain string) []string {
 	now := p.d.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []string
-	for address, pe := range p.addrs {
+	for address, pe := range p.byAddress {
 		if pe.domain == domain && pe.heardLately(now) {
 			list = append(list, address)
 		}
@@ -112,18 +112,18 @@
 	return list
 }
 
-func reportOf(o rollout.Order, e rollout.Evidence) *schema.RolloutReport {
+func reportToWire(o rollout.Order, e rollout.Evidence) *schema.RolloutReport {
 	report := &schema.RolloutReport{Service: o.Service, Version: o.Version}
 	for g, c := range e {
 		report.Counts = append(report.Counts, &schema.RolloutCounts{
-			Route: g.Route, Endpoint: uint32(g.Endpoint), Answers: c.Answers, Failures: c.Failures, Cuts: c.Cuts, First: trimmed(c.First), Whole: trimmed(c.Whole),
+			Route: g.Route, Endpoint: uint32(g.Endpoint), Answers: c.Answers, Failures: c.Failures, Cuts: c.Cuts, First: trimHistogram(c.First), Whole: trimHistogram(c.Whole),
 		})
 	}
 	return report
 }
 
-// trimmed are a histogram's buckets without the empty ones at the end.
-func trimmed(h rollout.Histogram) []uint32 {
+// trimHistogram are a histogram's buckets without the empty ones at the end.
+func trimHistogram(h rollout.Histogram) []uint32 {
 	n := len(h)
 	for n > 0 && h[n-1] == 0 {
 		n--
@@ -131,7 +131,7 @@
 	return slices.Clone(h[:n])
 }
 
-func evidenceOf(report *schema.RolloutReport) rollout.Evidence {
+func evidenceFromWire(report *schema.RolloutReport) rollout.Evidence {
 	e := make(rollout.Evidence)
 	for _, t := range report.GetCounts() {
 		c := rollout.Counts{Answers: t.Answers, Failures: t.Failures, Cuts: t.Cuts}
@@ -142,14 +142,14 @@
 	return e
 }
 
-// follow tells news of moves until ctx ends.
-func (r *rollouts) follow(ctx context.Context) error {
+// announceChanges tells news of moves until ctx ends.
+func (r *rollouts) announceChanges(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.news:
-			r.tellNews()
+		case <-r.changed:
+			r.announceNow()
 		}
 	}
 }
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -12,41 +12,41 @@
 // VMs come to others, and an answer that is lost is found out by reading again. That a move is
 // completed is known only once it is written: the old endpoints stop then.
 
-// statusTries is how often in a row a status is written that meets another write or an error.
-const statusTries = 8
+// maxStatusTries is how often in a row a status is written that meets another write or an error.
+const maxStatusTries = 8
 
-// record has the store written if it does not say how far a move is. The lock is held.
-func (r *rollouts) record(m *movement, phase rollout.Phase) {
+// queueStatus has the store written if it does not say how far a move is. The lock is held.
+func (r *rollouts) queueStatus(m *rolloutState, phase rollout.Phase) {
 	if phase == rollout.Moving {
 		phase = rollout.Trying
 	}
-	if m.writing && m.wanted >= phase {
+	if m.writing && m.targetPhase >= phase {
 		return
 	}
 	select {
-	case r.unrecorded <- m.order.Service:
-		m.wanted, m.writing = phase, true
+	case r.statusQueue <- m.order.Service:
+		m.targetPhase, m.writing = phase, true
 	default:
 		r.d.count("rollout_statuses_waiting")
 	}
 }
 
-// keep writes statuses to the store until ctx ends.
-func (r *rollouts) keep(ctx context.Context) error {
+// processStatusQueue writes statuses to the store until ctx ends.
+func (r *rollouts) processStatusQueue(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case service := <-r.unrecorded:
-			r.keepOne(ctx, service)
+		case service := <-r.statusQueue:
+			r.writeStatusWithRetry(ctx, service)
 		}
 	}
 }
 
-func (r *rollouts) keepOne(ctx context.Context, service string) {
-	var again retry
-	for range statusTries {
-		done, err := r.write(ctx, service)
+func (r *rollouts) writeStatusWithRetry(ctx context.Context, service string) {
+	var delay backoff
+	for range maxStatusTries {
+		done, err := r.writeStatus(ctx, service)
 		if done {
 			return
 		}
@@ -57,7 +57,7 @@
 			r.d.count("store_errors")
 		}
 		r.d.log.Warn().Str("service", service).Err(err).Msg("rollout_status_unwritten")
-		if !pause(ctx, again.failed(r.d.mostRetry())) {
+		if !sleepJittered(ctx, delay.next(r.d.maxRetryPause())) {
 			return
 		}
 	}
@@ -68,15 +68,15 @@
 	}
 }
 
-// write brings the store's status of a service up to date, and this VM's knowledge. It reports
+// writeStatus brings the store's status of a service up to date, and this VM's knowledge. It reports
 // whether nothing is left to do.
-func (r *rollouts) write(ctx context.Context, service string) (done bool, err error) {
+func (r *rollouts) writeStatus(ctx context.Context, service string) (done bool, err error) {
 	records, next, err := r.d.opts.Store.Newest(ctx, FeedVMs)
 	if err != nil {
 		return false, err
 	}
-	r.learn(records)
-	status, ok := r.due(service, records)
+	r.loadStatuses(records)
+	status, ok := r.dueStatus(service, records)
 	if !ok {
 		return true, nil
 	}
@@ -97,8 +97,8 @@
 	return true, nil
 }
 
-// due is the status that the store should have; ok is false if it has it.
-func (r *rollouts) due(service string, records []Record) (status RolloutStatus, ok bool) {
+// dueStatus is the status that the store should have; ok is false if it has it.
+func (r *rollouts) dueStatus(service string, records []Record) (status RolloutStatus, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[service]
@@ -109,7 +109,7 @@
 	switch {
 	case m.phase.Final():
 		status.Phase = m.phase
-	case m.phase == rollout.Moving && m.wanted == rollout.Completed:
+	case m.phase == rollout.Moving && m.targetPhase == rollout.Completed:
 		// Nobody has found the version bad meanwhile, as far as is known here.
 		status.Phase = rollout.Completed
 	}
@@ -121,8 +121,8 @@
 	return status, true
 }
 
-// learn takes in the statuses that the store has. A verdict there is final.
-func (r *rollouts) learn(records []Record) {
+// loadStatuses takes in the statuses that the store has. A verdict there is final.
+func (r *rollouts) loadStatuses(records []Record) {
 	r.mu.Lock()
 	for _, rec := range records {
 		s, err := r.d.codec.RolloutStatus(rec)
@@ -137,7 +137,7 @@
 	r.statusesRead = true
 	for _, m := range r.byService {
 		r.adoptStatus(m)
-		m.known = true
+		m.phaseKnown = true
 	}
 	ordered := len(r.byService) > 0
 	r.mu.Unlock()
@@ -146,8 +146,8 @@
 	}
 }
 
-// rewrite has statuses written again that the store may have lost.
-func (r *rollouts) rewrite() {
+// rewriteStatuses has statuses written again that the store may have lost.
+func (r *rollouts) rewriteStatuses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range r.byService {
@@ -155,9 +155,9 @@
 	}
 }
 
-// cutOff says whether this VM judges a service that moves while no VM of some failure domain is
+// judgesInPartition says whether this VM judges a service that moves while no VM of some failure domain is
 // heard: what is decided there is then known from the store alone.
-func (r *rollouts) cutOff() bool {
+func (r *rollouts) judgesInPartition() bool {
 	r.mu.Lock()
 	open := false
 	for _, m := range r.byService {
@@ -172,17 +172,17 @@
 }
 
 // adoptStatus takes over a verdict on an order that the store has. The lock is held.
-func (r *rollouts) adoptStatus(m *movement) {
+func (r *rollouts) adoptStatus(m *rolloutState) {
 	s, ok := r.statuses[m.order.Service]
 	if !ok || s.Version != m.order.Version || !s.Phase.Final() {
 		return
 	}
-	m.wanted, m.writing = s.Phase, true
+	m.targetPhase, m.writing = s.Phase, true
 	r.advance(m, s.Phase, learnedStore)
 }
 
-// isStatus says whether a record of FeedVMs says how far a move is.
-func (d *Daemon) isStatus(rec Record) bool {
+// isStatusRecord says whether a record of FeedVMs says how far a move is.
+func (d *Daemon) isStatusRecord(rec Record) bool {
 	s, err := d.codec.RolloutStatus(rec)
 	return s != nil || err != nil
 }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -19,89 +19,89 @@
 	d *Daemon
 
 	mu        sync.Mutex
-	byService map[string]*movement
+	byService map[string]*rolloutState
 	// versions are those listed of each service, and since when.
 	versions map[string]map[string]time.Duration
 	// statusesRead says that the store's statuses were taken in: without them nobody knows
 	// whether an order found there was rolled back.
 	statusesRead bool
-	// began says that the operator's feed was read before.
-	began bool
+	// feedRead says that the operator's feed was read before.
+	feedRead bool
 	// statuses are those that the store had, by service; an order may be read after them.
 	statuses map[string]RolloutStatus
 	// held are the services that an operator wants tried but not moved.
 	held []string
-	// unrecorded are services whose status is to be written to the store.
-	unrecorded chan string
-	// news says that something changed that others should hear at once.
-	news chan struct{}
+	// statusQueue are services whose status is to be written to the store.
+	statusQueue chan string
+	// changed says that something changed that others should hear at once.
+	changed chan struct{}
 }
 
-// movement is one order to move a service.
-type movement struct {
+// rolloutState is one order to move a service.
+type rolloutState struct {
 	order rollout.Order
-	// at is where the order lies in the store.
-	at    Position
-	phase rollout.Phase
-	// known says that the phase is what the store or another VM told, or that nobody can
+	// position is where the order lies in the store.
+	position Position
+	phase    rollout.Phase
+	// phaseKnown says that the phase is what the store or another VM told, or that nobody can
 	// know more. Until then the new version gets nothing.
-	known bool
-	// since is when the order came, movingSince and finalSince when its phase did.
-	since, movingSince, finalSince time.Duration
+	phaseKnown bool
+	// orderedAt is when the order came, shiftingSince and finalSince when its phase did.
+	orderedAt, shiftingSince, finalSince time.Duration
 
 	gate     rollout.Gate
 	evidence rollout.Evidence
 	// runningOld is how many requests of this VM are at endpoints of the old version.
 	runningOld int
-	// tried are the endpoints of the new version that get requests, listedNew and
+	// canaryEndpoints are the endpoints of the new version that get requests, listedNew and
 	// listedOld how many of the versions the registry lists.
-	tried map[string]bool
+	canaryEndpoints map[string]bool
 	// slots number the endpoints of the new version in the evidence.
 	slots                map[string]uint64
 	listedNew, listedOld int
 	judge                *judge
-	// reported is when evidence was last told to the judge, announced when the phase was
+	// reportedAt is when evidence was last told to the judge, announcedAt when the phase was
 	// last told to the failure domain.
-	reported, announced time.Duration
-	// wanted is the phase that the store is to have, if writing is set, or has.
-	wanted  rollout.Phase
-	writing bool
+	reportedAt, announcedAt time.Duration
+	// targetPhase is the phase that the store is to have, if writing is set, or has.
+	targetPhase rollout.Phase
+	writing     bool
 	// superseded are the versions of earlier orders for the service.
 	superseded []string
 }
 
 const (
-	// versionSettles is how long a version that nobody ordered must be listed before it is
+	// versionSettleTime is how long a version that nobody ordered must be listed before it is
 	// used: endpoints of a version that is about to be ordered may be listed a moment
 	// before the order comes, and all VMs would use them until they hear of it. In a release one
 	// endpoint after the other waits so long at its start.
-	versionSettles = 1500 * time.Millisecond
-	// oldGoneAfter is how long after the completion of a move endpoints of the old version
+	versionSettleTime = 1500 * time.Millisecond
+	// oldVersionGoneAfter is how long after the completion of a move endpoints of the old version
 	// are left alone: they have stopped, and the registry drops them some seconds later.
-	oldGoneAfter = 10 * time.Second
-	// cutSettles is how long after a request was cut off it counts against the version: by
+	oldVersionGoneAfter = 10 * time.Second
+	// cutSettleTime is how long after a request was cut off it counts against the version: by
 	// then it is known whether its endpoint has crashed, as good ones do.
-	cutSettles = time.Second
-	// leastCensored is after what time a request that its caller left counts as slow.
-	leastCensored = time.Second
+	cutSettleTime = time.Second
+	// minCensoredTime is after what time a request that its caller left counts as slow.
+	minCensoredTime = time.Second
 	// resyncMargin is how long after such a time endpoints are looked at again: several notes.
 	resyncMargin = 500 * time.Millisecond
-	// grantUptime is the least uptime of a process that gets a grant; half of it is the most
+	// minGrantUptime is the least uptime of a process that gets a grant; half of it is the most
 	// that an order may be old then.
-	grantUptime = 2 * time.Second
-	// rolloutBuffer holds services whose status is to be written.
-	rolloutBuffer = 64
+	minGrantUptime = 2 * time.Second
+	// statusQueueSize holds services whose status is to be written.
+	statusQueueSize = 64
 )
 
 func newRollouts(d *Daemon) *rollouts {
 	return &rollouts{
-		d: d, byService: make(map[string]*movement), versions: make(map[string]map[string]time.Duration), statuses: make(map[string]RolloutStatus),
-		held: d.set.Rollouts.Held, unrecorded: make(chan string, rolloutBuffer), news: make(chan struct{}, 1),
+		d: d, byService: make(map[string]*rolloutState), versions: make(map[string]map[string]time.Duration), statuses: make(map[string]RolloutStatus),
+		held: d.set.Rollouts.Held, statusQueue: make(chan string, statusQueueSize), changed: make(chan struct{}, 1),
 	}
 }
 
-// takeRecords takes in what the operator's feed holds of orders.
-func (r *rollouts) takeRecords(records []Record) {
+// applyOrders takes in what the operator's feed holds of orders.
+func (r *rollouts) applyOrders(records []Record) {
 	for _, rec := range records {
 		o, err := r.d.codec.Order(rec)
 		if err != nil {
@@ -109,39 +109,39 @@
 			continue
 		}
 		if o != nil {
-			r.take(*o, rec.At, r.d.now(), nil)
+			r.applyOrder(*o, rec.At, r.d.now(), nil)
 		}
 	}
-	r.begun()
+	r.markFeedRead()
 }
 
-// begun notes that orders that come from now on are heard of as they come.
-func (r *rollouts) begun() {
+// markFeedRead notes that orders that come from now on are heard of as they come.
+func (r *rollouts) markFeedRead() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.began = true
+	r.feedRead = true
 }
 
-// take takes in an order that lies at a place of the store and came at a time. phase is how far
+// applyOrder takes in an order that lies at a place of the store and came at a time. phase is how far
 // it is, nil if that is not told.
-func (r *rollouts) take(o rollout.Order, at Position, since time.Duration, phase *rollout.Phase) {
+func (r *rollouts) applyOrder(o rollout.Order, at Position, orderedAt time.Duration, phase *rollout.Phase) {
 	r.mu.Lock()
 	changed := false
 	m := r.byService[o.Service]
 	switch {
 	case m != nil && m.order.Same(o):
-		if m.at.Before(at) {
-			m.at = at
+		if m.position.Before(at) {
+			m.position = at
 		}
-		m.since = min(m.since, since)
-	case m != nil && (at.Before(m.at) || m.comesBack(o, at)):
+		m.orderedAt = min(m.orderedAt, orderedAt)
+	case m != nil && (at.Before(m.position) || m.isRestoredOrder(o, at)):
 		r.mu.Unlock()
 		return
 	default:
 		changed = true
 		before := m
-		m = &movement{order: o, at: at, since: since, evidence: make(rollout.Evidence), known: r.statusesRead}
-		if r.isNew(since) {
+		m = &rolloutState{order: o, position: at, orderedAt: orderedAt, evidence: make(rollout.Evidence), phaseKnown: r.statusesRead}
+		if r.isNew(orderedAt) {
 			m.gate = rollout.NewGate(rollout.Grant(r.d.set.Bounds.ExposureSlack, r.d.peers.fleetSize()))
 		}
 		if before != nil {
@@ -150,13 +150,13 @@
 		r.byService[o.Service] = m
 		r.d.log.Info().Str("service", o.Service).Str("version", o.Version).Dur("within", o.Duration).
 			Uint64("era", at.Era).Uint64("offset", at.Offset).Bool("told", phase != nil).Msg("rollout_ordered")
-		r.tellLater()
+		r.signalChange()
 		r.adoptStatus(m)
 	}
 	if phase != nil {
-		changed = changed || !m.known || *phase > m.phase
+		changed = changed || !m.phaseKnown || *phase > m.phase
 		r.advance(m, *phase, learnedTold)
-		m.known = true
+		m.phaseKnown = true
 	}
 	r.mu.Unlock()
 	if changed {
@@ -166,22 +166,22 @@
 
 // isNew says whether an order that came at a time was heard of as it came, by a process that had
 // started well before: none before it at this VM can have had a grant for it. The lock is held.
-func (r *rollouts) isNew(since time.Duration) bool {
-	return r.began && since >= grantUptime && r.d.now()-since < grantUptime/2
+func (r *rollouts) isNew(orderedAt time.Duration) bool {
+	return r.feedRead && orderedAt >= minGrantUptime && r.d.now()-orderedAt < minGrantUptime/2
 }
 
-// comesBack says whether an order that was replaced by this one comes back from a copy of the store
+// isRestoredOrder says whether an order that was replaced by this one comes back from a copy of the store
 // in which the later one is missing. The operator writes that again.
-func (m *movement) comesBack(o rollout.Order, at Position) bool {
-	return at.Era > m.at.Era && slices.Contains(m.superseded, o.Version)
+func (m *rolloutState) isRestoredOrder(o rollout.Order, at Position) bool {
+	return at.Era > m.position.Era && slices.Contains(m.superseded, o.Version)
 }
 
-// allKnown says whether it is known how far each order is.
-func (r *rollouts) allKnown() bool {
+// allPhasesKnown says whether it is known how far each order is.
+func (r *rollouts) allPhasesKnown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range r.byService {
-		if !m.known {
+		if !m.phaseKnown {
 			return false
 		}
 	}
@@ -189,52 +189,52 @@
 }
 
 // advance moves an order to a later phase. The lock is held.
-func (r *rollouts) advance(m *movement, phase rollout.Phase, learned string) {
+func (r *rollouts) advance(m *rolloutState, phase rollout.Phase, learned string) {
 	next := m.phase.Merge(phase)
 	if next == m.phase {
 		return
 	}
 	r.d.log.Info().Str("service", m.order.Service).Str("version", m.order.Version).Stringer("was", m.phase).
-		Stringer("phase", next).Str("learned", learned).Dur("age", r.d.now()-m.since).Msg("rollout_phase")
+		Stringer("phase", next).Str("learned", learned).Dur("age", r.d.now()-m.orderedAt).Msg("rollout_phase")
 	r.d.count("rollouts." + next.String())
 	m.phase = next
 	switch {
 	case next == rollout.Moving:
-		m.movingSince = r.d.now()
-	case next == rollout.Completed && !m.known:
+		m.shiftingSince = r.d.now()
+	case next == rollout.Completed && !m.phaseKnown:
 		// Done before this process knew of it: other versions may have come since.
-		m.finalSince = r.d.now() - oldGoneAfter
+		m.finalSince = r.d.now() - oldVersionGoneAfter
 	case next.Final():
 		m.finalSince = r.d.now()
 	}
-	r.tellLater()
+	r.signalChange()
 }
 
-// tellLater has others told soon. The lock is held.
-func (r *rollouts) tellLater() {
+// signalChange has others told soon. The lock is held.
+func (r *rollouts) signalChange() {
 	select {
-	case r.news <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
-// hold sets the services that are tried but not moved.
-func (r *rollouts) hold(services []string) {
+// setHeld sets the services that are tried but not moved.
+func (r *rollouts) setHeld(services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held = services
 }
 
-// reserve says whether a request is to try the new version of its service.
-func (r *rollouts) reserve(service string) bool {
+// reserveCanary says whether a request is to try the new version of its service.
+func (r *rollouts) reserveCanary(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[service]
-	return m != nil && m.known && !m.phase.Final() && m.gate.Take()
+	return m != nil && m.phaseKnown && !m.phase.Final() && m.gate.Take()
 }
 
-// giveBack says that a request that was to try the new version did not.
-func (r *rollouts) giveBack(service string) {
+// releaseCanary says that a request that was to try the new version did not.
+func (r *rollouts) releaseCanary(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m := r.byService[service]; m != nil {
@@ -242,23 +242,23 @@
 	}
 }
 
-// visit is one request at an endpoint of a service that moves.
-type visit struct {
-	r     *rollouts
-	m     *movement
-	group rollout.Group
-	ep    *members.Endpoint
-	began time.Duration
-	first time.Duration
+// trackedAttempt is one request at an endpoint of a service that moves.
+type trackedAttempt struct {
+	rollouts        *rollouts
+	rollout         *rolloutState
+	group           rollout.Group
+	ep              *members.Endpoint
+	startedAt       time.Duration
+	firstEventAfter time.Duration
 	// cold says that the endpoint started a moment ago, so that its times tell nothing.
 	cold bool
 }
 
-// begin notes that a request is about to be sent to an endpoint, on which bytes leave only if ok.
+// beginAttempt notes that a request is about to be sent to an endpoint, on which bytes leave only if ok.
 // What is decided and told meanwhile must not be passed by: the placer may know less. visit is
 // nil if the service does not move.
-func (r *rollouts) begin(c *caller, ep *members.Endpoint, trial bool) (v *visit, ok bool) {
-	if !r.moves(c.service) {
+func (r *rollouts) beginAttempt(c *caller, ep *members.Endpoint, canary bool) (v *trackedAttempt, ok bool) {
+	if !r.hasOrder(c.service) {
 		return nil, true
 	}
 	cold := r.d.sched.cold(ep)
@@ -266,13 +266,13 @@
 	defer r.mu.Unlock()
 	m := r.byService[c.service]
 	now := r.d.now()
-	if !m.admits(now, ep, trial, r.d.set.Bounds.ExposureShare) {
+	if !m.admits(now, ep, canary, r.d.set.Bounds.ExposureShare) {
 		return nil, false
 	}
 	if m.phase.Final() {
 		return nil, true
 	}
-	v = &visit{r: r, m: m, ep: ep, began: now, group: rollout.Group{Route: c.route.Name}, cold: cold}
+	v = &trackedAttempt{rollouts: r, rollout: m, ep: ep, startedAt: now, group: rollout.Group{Route: c.route.Name}, cold: cold}
 	if ep.Version == m.order.Version {
 		v.group.Endpoint = max(1, m.slots[ep.Key()])
 	} else {
@@ -281,45 +281,45 @@
 	return v, true
 }
 
-// moves says whether a service is under an order.
-func (r *rollouts) moves(service string) bool {
+// hasOrder says whether a service is under an order.
+func (r *rollouts) hasOrder(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byService[service] != nil
 }
 
-// moving says whether a service's requests move to another version.
-func (r *rollouts) moving(service string) bool {
+// isShifting says whether a service's requests move to another version.
+func (r *rollouts) isShifting(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[service]
 	return m != nil && m.phase == rollout.Moving
 }
 
-// event notes that the endpoint began to answer.
-func (v *visit) event() {
-	if v != nil && v.first == 0 {
-		v.first = v.r.d.now() - v.began
+// markFirstEvent notes that the endpoint began to answer.
+func (v *trackedAttempt) markFirstEvent() {
+	if v != nil && v.firstEventAfter == 0 {
+		v.firstEventAfter = v.rollouts.d.now() - v.startedAt
 	}
 }
 
-// end notes how the request ended. sent says that it was sent, again that it had been sent to
+// finish notes how the request ended. sent says that it was sent, again that it had been sent to
 // another endpoint before.
-func (v *visit) end(a attempt, sent, again bool) {
+func (v *trackedAttempt) finish(a attempt, sent, again bool) {
 	if v == nil {
 		return
 	}
-	v.r.mu.Lock()
-	defer v.r.mu.Unlock()
+	v.rollouts.mu.Lock()
+	defer v.rollouts.mu.Unlock()
 	if v.group.Endpoint == 0 {
-		v.m.runningOld--
+		v.rollout.runningOld--
 	}
 	if !sent {
 		return
 	}
 	if !again {
-		share, _ := v.m.share(v.r.d.now(), v.r.d.set.Bounds.ExposureShare)
-		v.m.gate.Sent(share)
+		share, _ := v.rollout.trafficShare(v.rollouts.d.now(), v.rollouts.d.set.Bounds.ExposureShare)
+		v.rollout.gate.Sent(share)
 	}
 	v.observe(a)
 }
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -25,8 +25,8 @@
 	return list
 }
 
-// versionsOf counts endpoints by version, those on trial apart.
-func versionsOf(list []*members.Endpoint) map[string]int {
+// countVersions counts endpoints by version, those on trial apart.
+func countVersions(list []*members.Endpoint) map[string]int {
 	n := make(map[string]int)
 	for _, e := range list {
 		key := e.Version
@@ -38,8 +38,8 @@
 	return n
 }
 
-func testMovement(phase rollout.Phase) *movement {
-	return &movement{order: rollout.Order{Service: "s", Version: "v2", Duration: 10 * time.Second}, phase: phase, known: true}
+func testRollout(phase rollout.Phase) *rolloutState {
+	return &rolloutState{order: rollout.Order{Service: "s", Version: "v2", Duration: 10 * time.Second}, phase: phase, phaseKnown: true}
 }
 
 func TestUsableVersions(t *testing.T) {
@@ -47,24 +47,24 @@
 	both := append(versioned("v1", 20), versioned("v2", 20)...)
 	for _, c := range []struct {
 		name string
-		m    func(m *movement)
+		m    func(m *rolloutState)
 		list []*members.Endpoint
 		want map[string]int
 	}{
-		{"tried by a few requests", func(m *movement) {}, both, map[string]int{"v1": 20, "v2 on trial": 2}},
-		{"not known how far: the old one", func(m *movement) { m.known = false }, both, map[string]int{"v1": 20}},
-		{"not known how far, and no old one: served", func(m *movement) { m.known = false }, both[20:], map[string]int{"v2": 20}},
-		{"moving", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 on trial": 20}},
-		{"moved", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now-5*time.Second }, both, map[string]int{"v2": 20}},
-		{"moved, but the new one is gone", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
-		{"rolled back", func(m *movement) { m.phase = rollout.RolledBack }, both, map[string]int{"v1": 20}},
-		{"completed a moment ago", func(m *movement) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
-		{"completed long ago: versions of releases are used", func(m *movement) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
+		{"tried by a few requests", func(m *rolloutState) {}, both, map[string]int{"v1": 20, "v2 on trial": 2}},
+		{"not known how far: the old one", func(m *rolloutState) { m.phaseKnown = false }, both, map[string]int{"v1": 20}},
+		{"not known how far, and no old one: served", func(m *rolloutState) { m.phaseKnown = false }, both[20:], map[string]int{"v2": 20}},
+		{"moving", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 on trial": 20}},
+		{"moved", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both, map[string]int{"v2": 20}},
+		{"moved, but the new one is gone", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
+		{"rolled back", func(m *rolloutState) { m.phase = rollout.RolledBack }, both, map[string]int{"v1": 20}},
+		{"completed a moment ago", func(m *rolloutState) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
+		{"completed long ago: versions of releases are used", func(m *rolloutState) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := testMovement(rollout.Trying)
+			m := testRollout(rollout.Trying)
 			c.m(m)
-			is.New(t).Equal(versionsOf(m.usable(now, c.list, testBound)), c.want)
+			is.New(t).Equal(countVersions(m.usableEndpoints(now, c.list, testBound)), c.want)
 		})
 	}
 }
@@ -77,7 +77,7 @@
 func TestPlacerIsAheadWhileRequestsMove(t *testing.T) {
 	is := is.New(t)
 	ep := versioned("v2", 1)[0]
-	m := testMovement(rollout.Moving)
+	m := testRollout(rollout.Moving)
 	m.listedOld, m.listedNew = 1, 1
 	is.True(m.admits(0, ep, false, testBound)) // the first moment of the move
 	m.phase = rollout.Trying
@@ -92,16 +92,16 @@
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard), Codec: oneStatus{}})
 	r := d.rollouts
-	r.learn([]Record{{Key: "status"}})
-	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{}, 0, nil)
+	r.loadStatuses([]Record{{Key: "status"}})
+	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
 	// The same order, written again, changes nothing; one for another version begins anew, and an
 	// older one that comes late is nothing.
-	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 5}, 0, nil)
+	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 5}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
-	r.take(rollout.Order{Service: "s", Version: "v3", Duration: time.Second}, Position{Offset: 7}, 0, nil)
+	r.applyOrder(rollout.Order{Service: "s", Version: "v3", Duration: time.Second}, Position{Offset: 7}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.Trying)
-	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 6}, 0, nil)
+	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 6}, 0, nil)
 	is.Equal(r.byService["s"].order.Version, "v3")
 }
 
@@ -118,13 +118,13 @@
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
 	both := append(versioned("v1", 2), versioned("v2", 1)...)
-	is.Equal(versionsOf(d.rollouts.usable(0, "s", both)), map[string]int{"v1": 2, "v2": 1})
+	is.Equal(countVersions(d.rollouts.usableEndpoints(0, "s", both)), map[string]int{"v1": 2, "v2": 1})
 	all := append(both, versioned("v3", 1)...)
-	is.Equal(versionsOf(d.rollouts.usable(time.Second, "s", all)), map[string]int{"v1": 2, "v2": 1})
-	is.True(d.rollouts.changing(time.Second + versionSettles))
-	is.Equal(versionsOf(d.rollouts.usable(time.Second+versionSettles, "s", all)), map[string]int{"v1": 2, "v2": 1, "v3": 1})
+	is.Equal(countVersions(d.rollouts.usableEndpoints(time.Second, "s", all)), map[string]int{"v1": 2, "v2": 1})
+	is.True(d.rollouts.inTransition(time.Second + versionSettleTime))
+	is.Equal(countVersions(d.rollouts.usableEndpoints(time.Second+versionSettleTime, "s", all)), map[string]int{"v1": 2, "v2": 1, "v3": 1})
 	// If nothing else is left it does not wait.
-	is.Equal(versionsOf(d.rollouts.usable(4*time.Second, "s", versioned("v4", 1))), map[string]int{"v4": 1})
+	is.Equal(countVersions(d.rollouts.usableEndpoints(4*time.Second, "s", versioned("v4", 1))), map[string]int{"v4": 1})
 }
 
 // Symptom, worked out: a judge's link is full while a service of 112 endpoints moves, and of 500 and
@@ -149,7 +149,7 @@
 			})
 		}
 	}
-	size := proto.Size(reportOf(rollout.Order{Service: "s", Version: "v2"}, e))
+	size := proto.Size(reportToWire(rollout.Order{Service: "s", Version: "v2"}, e))
 	t.Logf("%d B", size)
 	is.True(size < maxDatagram/2)
 }
@@ -157,12 +157,12 @@
 // Symptom, by reading: the old endpoints of a failure domain that was cut off would stop under its
 // requests. Sequence: a service moves; a domain falls silent; the others have moved. Cause: only
 // domains that are heard were asked whether anything runs at the old version.
-func TestSilentFailureDomainIsWaitedFor(t *testing.T) {
+func TestSilentFailureDomainDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
 	own := d.set.Vm.FailureDomain
 	r := d.rollouts
-	m := testMovement(rollout.Moving)
+	m := testRollout(rollout.Moving)
 	m.judge = newJudge(m.order)
 	const pause = time.Second
 	drained := func(now time.Duration, domains ...string) bool {
@@ -175,7 +175,7 @@
 		return r.allDrained(m, now, pause, judges)
 	}
 	is.True(drained(time.Second)) // no other is known
-	d.peers.learnAll([]string{"10.0.0.1:1 b", "10.0.0.2:1 c"})
+	d.peers.mergeList([]string{"10.0.0.1:1 b", "10.0.0.2:1 c"})
 	is.True(drained(time.Second, "b", "c"))
 	is.True(!drained(time.Second, "b"))
 	is.True(drained(11*time.Second, "b")) // its time is over: taken for dead
--- a/entry/sharing.go
+++ b/entry/sharing.go
@@ -13,8 +13,8 @@
 	"github.com/chivefield/chivefield/core/mechanism"
 )
 
-// sharing is this VM's part of the allowances that all VMs share.
-type sharing struct {
+// sharedAllowances is this VM's part of the allowances that all VMs share.
+type sharedAllowances struct {
 	now func() time.Duration
 	set *settings.Entry
 
@@ -23,71 +23,71 @@
 	// vms are all VMs, empty while they are not known; keepers are those that keep
 	// an organisation's allowance.
 	vms     []allowance.VM
-	keepers map[string][]allowance.VM
+	holders map[string][]allowance.VM
 	// reserves are what requests of a tier must leave over.
 	reserves map[int]float64
-	// waiting are requests that wait for amounts of other VMs, by organisation.
-	waiting map[string]float64
-	arrived chan struct{}
+	// pending are requests that wait for amounts of other VMs, by organisation.
+	pending      map[string]float64
+	grantArrived chan struct{}
 }
 
-func newSharing(set *settings.Entry, now func() time.Duration) *sharing {
+func newSharedAllowances(set *settings.Entry, now func() time.Duration) *sharedAllowances {
 	tol := allowance.Tolerance{Window: set.AllowanceWindow, Over: set.Bounds.AllowanceOver, Slack: set.Bounds.AllowanceSlack}
-	return &sharing{
+	return &sharedAllowances{
 		now: now, set: set, ledger: allowance.New(tol),
-		waiting: make(map[string]float64), arrived: make(chan struct{}), keepers: make(map[string][]allowance.VM),
+		pending: make(map[string]float64), grantArrived: make(chan struct{}), holders: make(map[string][]allowance.VM),
 	}
 }
 
-func (s *sharing) setTable(t *routing.Table) {
+func (s *sharedAllowances) setTable(t *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	terms := make([]allowance.Terms, 0, len(t.Document.Organisations))
-	s.reserves = reserves(t.Document.Routes)
+	s.reserves = reservesByTier(t.Document.Routes)
 	for _, o := range t.Document.Organisations {
 		terms = append(terms, allowance.Terms{Organisation: o.Name, Rate: o.Rate, Burst: o.Burst})
 	}
 	s.ledger.SetTerms(s.now(), terms)
 }
 
-// restarted takes what is kept for processes that start again.
-func (s *sharing) restarted() {
+// creditRestartAllowance takes what is kept for processes that start again.
+func (s *sharedAllowances) creditRestartAllowance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Restarted(s.now())
 }
 
 // setVMs takes in all VMs of the deployment, this one included.
-func (s *sharing) setVMs(vms []allowance.VM) {
+func (s *sharedAllowances) setVMs(vms []allowance.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(vms) == len(s.vms) {
 		return
 	}
 	s.vms = vms
-	s.keepers = make(map[string][]allowance.VM)
-	s.ledger.SetParts(s.now(), s.part)
+	s.holders = make(map[string][]allowance.VM)
+	s.ledger.SetParts(s.now(), s.shareOf)
 }
 
-// keepersOf are the VMs that keep an organisation's allowance.
-func (s *sharing) keepersOf(organisation string) []allowance.VM {
+// holdersOf are the VMs that keep an organisation's allowance.
+func (s *sharedAllowances) holdersOf(organisation string) []allowance.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.keepersLocked(organisation)
+	return s.holdersLocked(organisation)
 }
 
-func (s *sharing) keepersLocked(organisation string) []allowance.VM {
-	k, ok := s.keepers[organisation]
+func (s *sharedAllowances) holdersLocked(organisation string) []allowance.VM {
+	k, ok := s.holders[organisation]
 	if !ok {
 		k = allowance.Keepers(organisation, s.vms)
-		s.keepers[organisation] = k
+		s.holders[organisation] = k
 	}
 	return k
 }
 
-// part is this VM's part of an organisation's allowance.
-func (s *sharing) part(organisation string) float64 {
-	k := s.keepersLocked(organisation)
+// shareOf is this VM's shareOf of an organisation's allowance.
+func (s *sharedAllowances) shareOf(organisation string) float64 {
+	k := s.holdersLocked(organisation)
 	if !slices.ContainsFunc(k, func(v allowance.VM) bool { return v.Address == s.set.Listen.Peers }) {
 		return 0
 	}
@@ -95,33 +95,33 @@
 }
 
 const (
-	// grantWait is how long a request waits for amounts of other VMs. They answer
+	// grantTimeout is how long a request waits for amounts of other VMs. They answer
 	// within a round trip of a few ms.
-	grantWait = 40 * time.Millisecond
-	// askMore is after how long more keepers are asked.
-	askMore = 12 * time.Millisecond
+	grantTimeout = 40 * time.Millisecond
+	// askMoreAfter is after how long more keepers are asked.
+	askMoreAfter = 12 * time.Millisecond
 )
 
 // spend takes an amount off the organisation's allowance. If this VM has too
 // little, it asks others and waits for their answers a moment.
-func (s *sharing) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.Verdict {
+func (s *sharedAllowances) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.Verdict {
 	s.mu.Lock()
 	v := s.ledger.Spend(s.now(), r)
 	if v.OK {
 		s.mu.Unlock()
 		return v
 	}
-	s.waiting[r.Organisation] += r.Units + v.Lacking
+	s.pending[r.Organisation] += r.Units + v.Lacking
 	held := r.Units + v.Lacking
 	s.mu.Unlock()
 	want := allowance.Request{Amount: allowance.Amount{Organisation: r.Organisation, Units: v.Lacking}, Reserve: r.Reserve}
 	ask(want, false)
-	timeout, more := time.NewTimer(grantWait), time.NewTimer(askMore)
+	timeout, more := time.NewTimer(grantTimeout), time.NewTimer(askMoreAfter)
 	defer timeout.Stop()
 	defer more.Stop()
 	for done := false; !done && !v.OK; {
 		s.mu.Lock()
-		arrived := s.arrived
+		arrived := s.grantArrived
 		s.mu.Unlock()
 		select {
 		case <-arrived:
@@ -139,33 +139,33 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.waiting[r.Organisation] -= held; s.waiting[r.Organisation] <= 0 {
-		delete(s.waiting, r.Organisation)
+	if s.pending[r.Organisation] -= held; s.pending[r.Organisation] <= 0 {
+		delete(s.pending, r.Organisation)
 	}
 	return v
 }
 
-func (s *sharing) give(want allowance.Request) float64 {
+func (s *sharedAllowances) grant(want allowance.Request) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Give(s.now(), want)
 }
 
-// receive takes in what another VM gave, and returns what goes back to it.
-func (s *sharing) receive(got allowance.Amount) (back float64) {
+// receiveGrant takes in what another VM gave, and returns what goes back to it.
+func (s *sharedAllowances) receiveGrant(got allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	back = s.ledger.Receive(s.now(), got, s.waiting[got.Organisation])
-	close(s.arrived)
-	s.arrived = make(chan struct{})
+	back = s.ledger.Receive(s.now(), got, s.pending[got.Organisation])
+	close(s.grantArrived)
+	s.grantArrived = make(chan struct{})
 	return back
 }
 
-// mostReserve is the reserve of the lowest tier; the highest leaves none.
-const mostReserve = 0.5
+// maxReserve is the reserve of the lowest tier; the highest leaves none.
+const maxReserve = 0.5
 
-// reserves spreads the tiers of routes over the reserves.
-func reserves(routes []*routing.Route) map[int]float64 {
+// reservesByTier spreads the tiers of routes over the reservesByTier.
+func reservesByTier(routes []*routing.Route) map[int]float64 {
 	var tiers []int
 	for _, r := range routes {
 		if !slices.Contains(tiers, r.Tier) {
@@ -175,12 +175,12 @@
 	slices.Sort(tiers)
 	m := make(map[int]float64, len(tiers))
 	for i, t := range tiers {
-		m[t] = mostReserve * float64(i) / float64(max(1, len(tiers)-1))
+		m[t] = maxReserve * float64(i) / float64(max(1, len(tiers)-1))
 	}
 	return m
 }
 
-func (s *sharing) reserve(tier int) float64 {
+func (s *sharedAllowances) reserveFor(tier int) float64 {
 	if s.set.Off.Has(mechanism.TierReserve) {
 		return 0
 	}
@@ -191,7 +191,7 @@
 
 // refund gives back what a request that was not run had spent, and returns what
 // this VM may not keep.
-func (s *sharing) refund(a allowance.Amount) (back float64) {
+func (s *sharedAllowances) refund(a allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Receive(s.now(), a, 0)
--- a/entry/sharing_test.go
+++ b/entry/sharing_test.go
@@ -12,27 +12,27 @@
 )
 
 // Guards against a VM that holds a part of what others have divided without it.
-func TestNewVMHoldsNoPartUntilTheOthersCountIt(t *testing.T) {
+func TestNewVMHoldsNoShareUntilOthersCountIt(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
 	others := []string{"10.0.0.1:7600", "10.0.0.2:7600"}
-	d.peers.learnAll([]string{others[0] + " a", others[1] + " a"})
-	is.Equal(d.shares.part("o"), 0.0)
+	d.peers.mergeList([]string{others[0] + " a", others[1] + " a"})
+	is.Equal(d.shares.shareOf("o"), 0.0)
 	for _, address := range others {
-		is.Equal(d.shares.part("o"), 0.0)
+		is.Equal(d.shares.shareOf("o"), 0.0)
 		from, err := net.ResolveUDPAddr("udp4", address)
 		is.NoErr(err)
-		d.peers.take(&schema.PeerNote{Vm: address, Address: address, FailureDomain: "a", Incarnation: 1}, from)
+		d.peers.handleNote(&schema.PeerNote{Vm: address, Address: address, FailureDomain: "a", Incarnation: 1}, from)
 	}
-	is.Equal(d.shares.part("o"), 1.0/3)
+	is.Equal(d.shares.shareOf("o"), 1.0/3)
 }
 
 // Guards against a restarted VM that waits for VMs that are gone, though the others have counted it
 // all along.
-func TestRestartedVMHoldsItsPartAtOnce(t *testing.T) {
+func TestRestartedVMHoldsItsShareAtOnce(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, false), Log: logging.New(io.Discard)})
-	d.peers.noteKnownBefore()
-	d.peers.learnAll([]string{"10.0.0.1:7600 a"})
-	is.Equal(d.shares.part("o"), 1.0/2)
+	d.peers.setListedBefore()
+	d.peers.mergeList([]string{"10.0.0.1:7600 a"})
+	is.Equal(d.shares.shareOf("o"), 1.0/2)
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -54,7 +54,7 @@
 			}
 			if len(whole) > 0 {
 				watch.sign()
-				s.c.visit.event()
+				s.c.visit.markFirstEvent()
 				s.c.d.placing.events(handle, s.split.Count)
 				if werr := s.send(ans.Response, whole); werr != nil {
 					return attempt{outcome: dispatch.Left, err: werr, delivered: true}
@@ -62,14 +62,14 @@
 			}
 		}
 		if err == io.EOF {
-			s.c.d.suspects.succeeded(s.c.digest, ans)
+			s.c.d.suspects.recordSuccess(s.c.digest, ans)
 			return s.finish(ans.Response)
 		}
 		if err != nil {
 			if ctx.Err() != nil {
 				return attempt{outcome: dispatch.Left, err: err}
 			}
-			return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
+			return attempt{outcome: dispatch.Broken, cut: isConnectionBroken(err), err: err}
 		}
 	}
 }
--- a/entry/suspect_notes_test.go
+++ b/entry/suspect_notes_test.go
@@ -11,8 +11,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// recordOfEnds is a request under which n endpoints ended.
-func recordOfEnds(n int) suspect.Record {
+// recordWithEnds is a request under which n endpoints ended.
+func recordWithEnds(n int) suspect.Record {
 	r := suspect.Record{Digest: suspect.Identity{Target: "/a"}.Digest(), Cleared: 1, Quiet: 90 * time.Second}
 	for i := range n {
 		r.Sightings = append(r.Sightings, suspect.Sighting{Endpoint: 1<<63 + uint64(i), Generation: 2 + i, EndedAt: 2 + i, AliveAt: 1})
@@ -23,15 +23,15 @@
 // What a note says of a request comes out as it went in, and what cannot be true says nothing.
 func TestSuspectsInNotes(t *testing.T) {
 	is := is.New(t)
-	want := recordOfEnds(3)
-	b, err := proto.Marshal(suspectOf(want))
+	want := recordWithEnds(3)
+	b, err := proto.Marshal(suspectToWire(want))
 	is.NoErr(err)
 	var m schema.Suspect
 	is.NoErr(proto.Unmarshal(b, &m))
-	is.Equal(recordOf(&m), want)
-	is.Equal(digestOf([]byte("short")), suspect.Digest{})
-	is.True(!suspect.New().Merge(0, recordOf(&schema.Suspect{Digest: []byte("short"), Sightings: m.Sightings})))
-	is.True(recordOf(&schema.Suspect{QuietMs: 1 << 63}).Quiet == longestQuiet)
+	is.Equal(suspectFromWire(&m), want)
+	is.Equal(digestFromWire([]byte("short")), suspect.Digest{})
+	is.True(!suspect.New().Merge(0, suspectFromWire(&schema.Suspect{Digest: []byte("short"), Sightings: m.Sightings})))
+	is.True(suspectFromWire(&schema.Suspect{QuietMs: 1 << 63}).Quiet == maxWireDuration)
 }
 
 // The records that each note may carry fit beside its loads, and what a VM that has just
@@ -39,9 +39,9 @@
 func TestSuspectsFitIntoNotes(t *testing.T) {
 	is := is.New(t)
 	for ends, most := range map[int]int{1: 60, 3: 120, 8: 250} {
-		n := proto.Size(suspectOf(recordOfEnds(ends)))
+		n := proto.Size(suspectToWire(recordWithEnds(ends)))
 		t.Logf("%d ends: %d bytes", ends, n)
 		is.True(n <= most)
-		is.True(startSuspects*n < maxDatagram)
+		is.True(maxStartSuspects*n < maxDatagram)
 	}
 }
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -21,9 +21,9 @@
 // time to come back: it would be refused again.
 const reasonEndsEndpoints = "ends_endpoints"
 
-// endedFor is how long this VM remembers that an incarnation has ended: other requests that
+// endedTTL is how long this VM remembers that an incarnation has ended: other requests that
 // were there are found to be cut some ms later, those that fell silent some seconds.
-const endedFor = 10 * time.Second
+const endedTTL = 10 * time.Second
 
 // suspects finds out which requests end the endpoints that run them, and keeps them from
 // running. What was seen and told goes into a ledger, which judges; here are the ways in which
@@ -42,52 +42,52 @@
 
 	mu     sync.Mutex
 	ledger *suspect.Ledger
-	// waiting are the requests here that no endpoint has answered yet. When one is
+	// unanswered are the requests here that no endpoint has answered yet. When one is
 	// convicted the others of its digest are stopped: in an endpoint's queue they have not
 	// run yet, and closing their connections may spare it.
-	waiting map[suspect.Digest]map[*caller]context.CancelFunc
+	unanswered map[suspect.Digest]map[*caller]context.CancelFunc
 	// probing are the incarnations to which a connection is being opened, ended those
 	// that have ended, with the time.
 	probing map[uint64]bool
 	ended   map[uint64]time.Duration
-	// read says that the store's records were taken in.
-	read bool
-	// fresh says that something was seen here that others should hear at once.
-	fresh chan struct{}
-	// kept are the convictions that the store has, or will have, by this VM's doing or as it
+	// storeRead says that the store's records were taken in.
+	storeRead bool
+	// urgent says that something was seen here that others should hear at once.
+	urgent chan struct{}
+	// stored are the convictions that the store has, or will have, by this VM's doing or as it
 	// read there.
-	kept map[suspect.Digest]bool
-	// unkept are digests whose record in the store is to be written or removed.
-	unkept chan suspect.Digest
+	stored map[suspect.Digest]bool
+	// storeQueue are digests whose record in the store is to be written or removed.
+	storeQueue chan suspect.Digest
 }
 
-// unkeptBuffer holds convictions until they are written; each takes three ends of endpoints.
-const unkeptBuffer = 64
+// storeQueueSize holds convictions until they are written; each takes three ends of endpoints.
+const storeQueueSize = 64
 
 func newSuspects(d *Daemon) *suspects {
 	s := &suspects{
-		d: d, ledger: suspect.New(), waiting: make(map[suspect.Digest]map[*caller]context.CancelFunc),
-		kept: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), unkept: make(chan suspect.Digest, unkeptBuffer), fresh: make(chan struct{}, 1),
+		d: d, ledger: suspect.New(), unanswered: make(map[suspect.Digest]map[*caller]context.CancelFunc),
+		stored: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), storeQueue: make(chan suspect.Digest, storeQueueSize), urgent: make(chan struct{}, 1),
 	}
 	s.ledger.Release(d.set.Released)
 	return s
 }
 
-func (s *suspects) release(list []suspect.Digest) {
+func (s *suspects) setReleased(list []suspect.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Release(list)
 }
 
-// look returns what is known against a request.
-func (s *suspects) look(d suspect.Digest) suspect.View {
+// status returns what is known against a request.
+func (s *suspects) status(d suspect.Digest) suspect.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Look(d)
 }
 
-// suspicionOf is how carefully a request is placed.
-func suspicionOf(v suspect.View) dispatch.Suspicion {
+// suspicionFor is how carefully a request is placed.
+func suspicionFor(v suspect.View) dispatch.Suspicion {
 	switch {
 	case v.OnTrial():
 		return dispatch.OnTrial
@@ -105,104 +105,104 @@
 	if s.ledger.Look(c.digest).Convicted() {
 		return false
 	}
-	if s.waiting[c.digest] == nil {
-		s.waiting[c.digest] = make(map[*caller]context.CancelFunc)
+	if s.unanswered[c.digest] == nil {
+		s.unanswered[c.digest] = make(map[*caller]context.CancelFunc)
 	}
-	s.waiting[c.digest][c] = stop
+	s.unanswered[c.digest][c] = stop
 	return true
 }
 
-// over says that a request need not be stopped any more.
-func (s *suspects) over(c *caller) {
+// unregister says that a request need not be stopped any more.
+func (s *suspects) unregister(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(c)
+	s.unregisterLocked(c)
 }
 
-// forget takes a request out of those that wait. The lock is held.
-func (s *suspects) forget(c *caller) {
-	delete(s.waiting[c.digest], c)
-	if len(s.waiting[c.digest]) == 0 {
-		delete(s.waiting, c.digest)
+// unregisterLocked takes a request out of those that wait. The lock is held.
+func (s *suspects) unregisterLocked(c *caller) {
+	delete(s.unanswered[c.digest], c)
+	if len(s.unanswered[c.digest]) == 0 {
+		delete(s.unanswered, c.digest)
 	}
 }
 
-// answering says that an endpoint began to answer a request that was sent at a time.
-func (s *suspects) answering(c *caller, ep *members.Endpoint, sent time.Duration, reply Reply) {
+// recordAnswerStart says that an endpoint began to answer a request that was sent at a time.
+func (s *suspects) recordAnswerStart(c *caller, ep *members.Endpoint, sent time.Duration, reply Reply) {
 	if reply.Replaced {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !reply.NotRun {
-		s.forget(c)
+		s.unregisterLocked(c)
 	}
 	s.ledger.Answered(s.d.now(), sent, dispatch.NameOf(ep.Key()))
-	s.note(learnedSeen)
+	s.handleChanges(learnedSeen)
 }
 
-// succeeded says that an endpoint gave a request its whole answer. Of one that ends with its
+// recordSuccess says that an endpoint gave a request its whole answer. Of one that ends with its
 // connection nobody can say that it is whole.
-func (s *suspects) succeeded(d suspect.Digest, ans *upstream.Answer) {
+func (s *suspects) recordSuccess(d suspect.Digest, ans *upstream.Answer) {
 	if ans.Unframed() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Success(s.d.now(), d)
-	s.note(learnedSeen)
+	s.handleChanges(learnedSeen)
 }
 
-// brokeOff says whether an error means that a connection ended, not that what came over it
+// isConnectionBroken says whether an error means that a connection ended, not that what came over it
 // cannot be understood.
-func brokeOff(err error) bool {
+func isConnectionBroken(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE) || errors.Is(err, context.Canceled) || errors.Is(err, net.ErrClosed)
 }
 
-// refusedConnection says whether nothing listens at an address.
-func refusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused says whether nothing listens at an address.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// tried takes in how a try at an endpoint ended that was sent at a time. generation is what was
+// recordAttempt takes in how a try at an endpoint ended that was sent at a time. generation is what was
 // known then.
-func (s *suspects) tried(c *caller, ep *members.Endpoint, sent time.Duration, generation int, a attempt) {
+func (s *suspects) recordAttempt(c *caller, ep *members.Endpoint, sent time.Duration, generation int, a attempt) {
 	switch {
 	case a.cut:
-		s.cut(c.digest, ep, sent, generation)
+		s.recordCut(c.digest, ep, sent, generation)
 	case a.outcome == dispatch.Replaced:
-		s.end(ep.Key(), howReplaced)
-	case a.outcome == dispatch.Unreachable && refusedConnection(a.err):
-		s.examine(ep)
+		s.recordEnd(ep.Key(), howReplaced)
+	case a.outcome == dispatch.Unreachable && isConnectionRefused(a.err):
+		s.probeIfWatched(ep)
 	}
 }
 
-// cut notes that a request was cut off at an endpoint, and finds out whether that ended.
-func (s *suspects) cut(d suspect.Digest, ep *members.Endpoint, sent time.Duration, generation int) {
+// recordCut notes that a request was recordCut off at an endpoint, and finds out whether that ended.
+func (s *suspects) recordCut(d suspect.Digest, ep *members.Endpoint, sent time.Duration, generation int) {
 	if !s.d.sched.serving(ep) {
 		// It leaves, or left, as it was told to.
 		return
 	}
-	name := dispatch.NameOf(ep.Key())
+	hash := dispatch.NameOf(ep.Key())
 	s.mu.Lock()
 	now := s.d.now()
-	s.ledger.Cut(now, sent, d, name, generation)
-	if _, ok := s.ended[name]; ok {
-		s.ledger.Ended(now, name)
+	s.ledger.Cut(now, sent, d, hash, generation)
+	if _, ok := s.ended[hash]; ok {
+		s.ledger.Ended(now, hash)
 	}
-	s.note(learnedSeen)
+	s.handleChanges(learnedSeen)
 	s.mu.Unlock()
-	s.examine(ep)
+	s.probeIfWatched(ep)
 }
 
-// examine finds out whether an incarnation has ended under which something was cut off.
-func (s *suspects) examine(ep *members.Endpoint) {
-	name := dispatch.NameOf(ep.Key())
+// probeIfWatched finds out whether an incarnation has ended under which something was cut off.
+func (s *suspects) probeIfWatched(ep *members.Endpoint) {
+	hash := dispatch.NameOf(ep.Key())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ended := s.ended[name]; ended || s.probing[name] || !s.ledger.Watched(name) {
+	if _, ended := s.ended[hash]; ended || s.probing[hash] || !s.ledger.Watched(hash) {
 		return
 	}
-	s.probing[name] = true
+	s.probing[hash] = true
 	go s.probe(ep)
 }
 
@@ -215,7 +215,7 @@
 func (s *suspects) probe(ep *members.Endpoint) {
 	err := s.d.openTo(dispatch.Probe{Key: ep.Key(), Address: ep.Address})
 	ended := false
-	if refusedConnection(err) {
+	if isConnectionRefused(err) {
 		s.d.sched.doubt(ep.Key())
 		controls := s.d.sched.controls(ep)
 		ended = len(controls) == 0
@@ -227,7 +227,7 @@
 	delete(s.probing, dispatch.NameOf(ep.Key()))
 	s.mu.Unlock()
 	if ended {
-		s.end(ep.Key(), howRefused)
+		s.recordEnd(ep.Key(), howRefused)
 	}
 }
 
@@ -238,24 +238,24 @@
 	howDropped  = "dropped_by_registry"
 )
 
-// end notes that an incarnation has ended.
-func (s *suspects) end(key, how string) {
-	name := dispatch.NameOf(key)
+// recordEnd notes that an incarnation has ended.
+func (s *suspects) recordEnd(key, how string) {
+	hash := dispatch.NameOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.d.now()
-	watched := s.ledger.Watched(name)
-	_, known := s.ended[name]
-	s.ended[name] = now
+	watched := s.ledger.Watched(hash)
+	_, known := s.ended[hash]
+	s.ended[hash] = now
 	if !watched {
 		return
 	}
 	if !known {
 		s.d.count("endpoints_ended")
-		s.d.log.Info().Str("endpoint", key).Uint64("endpoint_hash", name).Str("how", how).Msg("endpoint_ended")
+		s.d.log.Info().Str("endpoint", key).Uint64("endpoint_hash", hash).Str("how", how).Msg("endpoint_ended")
 	}
-	s.ledger.Ended(now, name)
-	s.note(learnedSeen)
+	s.ledger.Ended(now, hash)
+	s.handleChanges(learnedSeen)
 }
 
 // hasEnded says whether an incarnation is known to have ended.
@@ -266,16 +266,16 @@
 	return ended
 }
 
-// departed takes in what the registry says.
-func (s *suspects) departed(list []members.Departure) {
+// recordDepartures takes in what the registry says.
+func (s *suspects) recordDepartures(list []members.Departure) {
 	for _, dep := range list {
 		if !dep.Leaving {
-			s.end(dep.Key, howDropped)
+			s.recordEnd(dep.Key, howDropped)
 			continue
 		}
 		s.mu.Lock()
 		s.ledger.Leaving(s.d.now(), dispatch.NameOf(dep.Key))
-		s.note(learnedSeen)
+		s.handleChanges(learnedSeen)
 		s.mu.Unlock()
 	}
 }
@@ -286,13 +286,13 @@
 	defer s.mu.Unlock()
 	now := s.d.now()
 	s.ledger.Expire(now)
-	for name, at := range s.ended {
-		if now-at >= endedFor {
-			delete(s.ended, name)
+	for hash, at := range s.ended {
+		if now-at >= endedTTL {
+			delete(s.ended, hash)
 		}
 	}
-	s.note(learnedSeen)
-	s.keepConvicted()
+	s.handleChanges(learnedSeen)
+	s.storeConvicted()
 }
 
 // Where something was learned, in logs.
@@ -302,42 +302,42 @@
 	learnedStore = "store"
 )
 
-// eventOf names the changes in logs.
-var eventOf = [...]string{"request_suspected", "request_convicted", "request_cleared", "request_forgotten"}
+// changeEvents names the changes in logs.
+var changeEvents = [...]string{"request_suspected", "request_convicted", "request_cleared", "request_forgotten"}
 
-// note logs what the ledger's last step changed, and acts on it. The lock is held.
-func (s *suspects) note(learned string) {
+// handleChanges logs what the ledger's last step changed, and acts on it. The lock is held.
+func (s *suspects) handleChanges(learned string) {
 	for _, c := range s.ledger.Changes() {
 		if learned == learnedSeen && c.Level > c.Was {
 			select {
-			case s.fresh <- struct{}{}:
+			case s.urgent <- struct{}{}:
 			default:
 			}
 		}
 		if c.Kind == suspect.Convicted {
 			s.d.count("requests_convicted")
-			s.stop(c.Digest)
+			s.stopUnanswered(c.Digest)
 		}
-		s.noteKept(c, learned)
+		s.updateStored(c, learned)
 		if c.Level <= 1 && !c.WasConvicted() && learned != learnedSeen {
 			// Each neighbour of each endpoint that ends, at each VM.
 			continue
 		}
-		names := make([]string, 0, len(c.Endpoints))
-		for _, name := range c.Endpoints {
-			names = append(names, strconv.FormatUint(name, 10))
+		hashes := make([]string, 0, len(c.Endpoints))
+		for _, hash := range c.Endpoints {
+			hashes = append(hashes, strconv.FormatUint(hash, 10))
 		}
-		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.Was).Str("endpoint_hashes", strings.Join(names, ",")).
-			Str("learned", learned).Msg(eventOf[c.Kind])
+		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.Was).Str("endpoint_hashes", strings.Join(hashes, ",")).
+			Str("learned", learned).Msg(changeEvents[c.Kind])
 	}
 }
 
-// stop ends the requests of a digest that no endpoint has answered. The lock is held.
-func (s *suspects) stop(d suspect.Digest) {
+// stopUnanswered ends the requests of a digest that no endpoint has answered. The lock is held.
+func (s *suspects) stopUnanswered(d suspect.Digest) {
 	if s.ledger.Look(d).Released {
 		return
 	}
-	for c, stop := range s.waiting[d] {
+	for c, stop := range s.unanswered[d] {
 		c.stopped.Store(true)
 		stop()
 	}
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -35,16 +35,16 @@
 		is.NoErr(err)
 		is.Equal(last.VM, vm)
 		self := vmRecord{VM: vm, started: start.Add(after)}
-		if mayClaim(last, self, window) {
+		if mayClaimRestart(last, self, window) {
 			claims++
 		}
 		stored = self.String()
 	}
 	is.Equal(claims, 1)
 	// Records of older processes do not tell their start, and notes name VMs without it.
-	last, err := parseVMRecord(entryOf(vm))
+	last, err := parseVMRecord(listEntry(vm))
 	is.NoErr(err)
-	is.True(!mayClaim(last, vmRecord{VM: vm, started: start}, window))
+	is.True(!mayClaimRestart(last, vmRecord{VM: vm, started: start}, window))
 	_, err = parseVMRecord("10.0.0.1:1")
 	is.True(err != nil)
 	_, err = parseVMRecord("10.0.0.1:1 a soon")
@@ -82,7 +82,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		s := &callLog{stop: stop}
 		d := New(Options{Settings: set, Log: logging.New(io.Discard), Store: s})
-		is.NoErr(d.announce(ctx))
+		is.NoErr(d.followVMs(ctx))
 		is.Equal(s.calls[len(s.calls)-2:], []string{"write", "read"})
 	}
 }
@@ -117,7 +117,7 @@
 // seconds. Sequence: all VMs start; each learns the list of VMs and hears the others in
 // turns, over seconds; meanwhile most take themselves for the reader. Cause: the reader
 // followed from those that had been heard. Of 49 VMs that know each other, one reads.
-func TestOneVMReadsBeforeOthersWereHeard(t *testing.T) {
+func TestOneVMReadsBeforeNotesArrive(t *testing.T) {
 	is := is.New(t)
 	var entries []string
 	for i := range 49 {
@@ -128,7 +128,7 @@
 		set := testSettings(t, true)
 		set.Listen.Peers = fmt.Sprintf("10.0.0.%d:7600", i)
 		d := New(Options{Settings: set, Log: logging.New(io.Discard)})
-		d.peers.learnAll(entries)
+		d.peers.mergeList(entries)
 		if d.peers.reads() {
 			readers++
 		}
@@ -172,15 +172,15 @@
 		ctx, stop := context.WithCancel(context.Background())
 		s := &restartStore{callLog{stop: stop}, own}
 		d := New(Options{Settings: set, Log: logging.New(io.Discard), Store: s, Codec: noStatuses{}})
-		is.NoErr(d.announce(ctx))
+		is.NoErr(d.followVMs(ctx))
 		is.Equal(s.calls, calls)
-		is.Equal(len(d.peers.names()), 2+len(calls)-2)
+		is.Equal(len(d.peers.listEntries()), 2+len(calls)-2)
 	}
 }
 
 // Symptom: 49,339 lines in the first moments of 295 VMs. Sequence: the endpoints register
 // one after the other; what the reader passes on names many; each VM logs each of them.
-func TestManyChangesAreOneLine(t *testing.T) {
+func TestManyChangesAreLoggedInOneLine(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	d := New(Options{Settings: testSettings(t, true), Log: zerolog.New(&out)})
@@ -188,10 +188,10 @@
 	for i := range 100 {
 		changes = append(changes, members.Change{ID: fmt.Sprint("e", i)})
 	}
-	d.logEndpoints(changes[:eachLogged])
-	is.Equal(strings.Count(out.String(), "\n"), eachLogged)
+	d.logEndpointChanges(changes[:maxLoggedSingly])
+	is.Equal(strings.Count(out.String(), "\n"), maxLoggedSingly)
 	out.Reset()
-	d.logEndpoints(changes)
+	d.logEndpointChanges(changes)
 	is.Equal(strings.Count(out.String(), "\n"), 1)
 	is.True(strings.Contains(out.String(), `"changes":100`))
 	is.True(out.Len() < 1000)
@@ -241,17 +241,17 @@
 	set := testSettings(t, true)
 	d := New(Options{Settings: set, Log: logging.New(io.Discard)})
 	set.Drain, set.InForce = 2*time.Second, 2*time.Second
-	is.Equal(d.endpointsEvery(), 700*time.Millisecond)
+	is.Equal(d.endpointsInterval(), 700*time.Millisecond)
 	is.Equal(d.relaySilence(), 1200*time.Millisecond)
 	is.Equal(d.configWait(), 2*time.Second)
 	set.Drain, set.InForce = 4*time.Second, 4*time.Second
-	is.Equal(d.endpointsEvery(), 1400*time.Millisecond)
+	is.Equal(d.endpointsInterval(), 1400*time.Millisecond)
 	is.Equal(d.configWait(), 3*time.Second)
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 30 * time.Second} {
 		set.Drain = drain
 		for range 100 {
-			is.True(spread(d.relaySilence()) <= drain*4/5)
-			is.True(spread(d.endpointsEvery()) < d.relaySilence())
+			is.True(jitter(d.relaySilence()) <= drain*4/5)
+			is.True(jitter(d.endpointsInterval()) < d.relaySilence())
 		}
 	}
 }
@@ -261,23 +261,23 @@
 // all look for themselves; each is turned away and asks again after 0.3 s, for each feed.
 // Cause: the pause after a failed call did not grow. Of one feed, for the time that a store
 // is away, a VM makes few calls, and one soon after its return.
-func TestRetriesAgainstALostStoreThinOut(t *testing.T) {
+func TestRetriesAgainstALostStoreBackOff(t *testing.T) {
 	is := is.New(t)
 	d := startedAgo(t, time.Minute)
 	d.set.Drain = 4 * time.Second
-	var r retry
+	var r backoff
 	calls, at := 0, time.Duration(0)
 	for at < 4500*time.Millisecond {
 		calls++
-		at += r.failed(d.mostRetry())
+		at += r.next(d.maxRetryPause())
 	}
 	is.True(calls <= 5)
 	is.True(r.pause <= d.relaySilence())
-	r.succeeded()
-	is.Equal(r.failed(d.mostRetry()), retryEvery)
+	r.reset()
+	is.Equal(r.next(d.maxRetryPause()), minRetryPause)
 	fresh := New(Options{Settings: d.set, Log: logging.New(io.Discard)})
 	for range 10 {
-		r.failed(fresh.mostRetry())
+		r.next(fresh.maxRetryPause())
 	}
-	is.Equal(r.pause, startRetry)
+	is.Equal(r.pause, startRetryPause)
 }
