--- a/entry/amounts.go
+++ b/entry/amounts.go
@@ -10,11 +10,12 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// firstHolders is how many keepers are asked at once; more only if they lack too.
+// firstHolders is the number of holders asked at first; the others are asked only if these have too
+// little.
 const firstHolders = 2
 
-// requestGrants asks keepers of an organisation's allowance for an amount: first some of those
-// that are near and alive, then all others.
+// requestGrants asks holders of an organisation's allowance for an amount: at first the nearest
+// live ones, with more set all others.
 func (p *peers) requestGrants(want allowance.Request, more bool) {
 	asked := p.holdersByDistance(want.Organisation)
 	if more {
@@ -30,8 +31,8 @@
 	}
 }
 
-// holdersByDistance returns those that keep an organisation's allowance, but for this VM: the
-// living first, and of those the ones of the own failure domain.
+// holdersByDistance returns the holders of an organisation's allowance other than this VM: live
+// ones first, and among those the ones of this VM's failure domain.
 func (p *peers) holdersByDistance(organisation string) []*peer {
 	list := p.d.shares.holdersOf(organisation)
 	now := p.d.now()
@@ -48,7 +49,7 @@
 	return found
 }
 
-// distance orders VMs by whom to ask first.
+// distance returns the order in which a VM is asked, lower first.
 func (p *peers) distance(now time.Duration, pe *peer) int {
 	switch {
 	case !pe.heardLately(now):
@@ -59,8 +60,8 @@
 	return 0
 }
 
-// refund gives back what a request that was not run had spent; what this VM may not
-// keep goes to a keeper.
+// refund credits what a request that did not run had spent and sends what this VM may not keep to
+// another holder.
 func (p *peers) refund(a allowance.Amount) {
 	back := p.d.shares.refund(a)
 	if k := p.holdersByDistance(a.Organisation); back > 0 && len(k) > 0 {
@@ -68,7 +69,7 @@
 	}
 }
 
-// returnUnits returns an amount that was not used.
+// returnUnits sends an unused amount back to a VM.
 func (p *peers) returnUnits(organisation string, units float64, to *net.UDPAddr) {
 	n := p.newNote()
 	n.Returned = true
@@ -80,7 +81,7 @@
 	return allowance.Request{Amount: allowance.Amount{Organisation: w.Organisation, Units: w.Amount}, Reserve: w.Reserve}
 }
 
-// grantWants gives what can be spared.
+// grantWants grants what this VM can spare of the requested amounts.
 func (p *peers) grantWants(wants []*schema.AllowanceGrant, to *net.UDPAddr) {
 	var grants []*schema.AllowanceGrant
 	for _, w := range wants {
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// readerListInterval is how often the VM that reads for its failure domain reads the
-	// list of VMs, listEvery how often the others do, who hear of new VMs by notes.
+	// readerListInterval is how often the reader of a failure domain reads the list of VMs,
+	// listInterval how often the other VMs do, which learn of new VMs from notes.
 	readerListInterval = 5 * time.Second
 	listInterval       = time.Minute
 )
 
-// followVMs writes this VM's record to the store once, and reads those of all after that and
-// now and then: VMs that start together must be written before the list counts as whole,
-// or what all share would be divided by too few.
+// followVMs writes this VM's record to the store once and then reads the records of all VMs
+// periodically. The write comes first: if VMs that start together read before all have written,
+// each takes a partial list for complete and the shared allowances are divided by too few VMs.
 func (d *Daemon) followVMs(ctx context.Context) error {
 	var health storeHealth
 	var delay backoff
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// vmList is the records of FeedVMs as the store held them in an era.
+// vmList holds the records of FeedVMs as read in one era of the store.
 type vmList struct {
 	records []Record
 	era     uint64
 }
 
-// listVMs returns the records of all VMs, once this VM's own is written.
+// listVMs returns the records of all VMs, after writing this VM's own if that is not done yet.
 func (d *Daemon) listVMs(ctx context.Context, written *bool) (vmList, error) {
 	if !*written {
 		before, err := d.writeOwnRecord(ctx)
@@ -66,9 +66,9 @@
 	return vmList{records, next.Era}, err
 }
 
-// writeOwnRecord writes this VM's record, and finds out before when its process before started. It
-// returns the list of VMs if what was read before is whole: a VM that is in it was known to all that
-// started since, so no two can miss each other.
+// writeOwnRecord writes this VM's record, after reading when its previous process started. If the
+// list read before the write already contains this VM, writeOwnRecord returns that list as
+// complete: every VM that started since knows this one, so no two VMs can miss each other.
 func (d *Daemon) writeOwnRecord(ctx context.Context) (*vmList, error) {
 	self := d.ownRecord()
 	before, next, err := d.opts.Store.Newest(ctx, FeedVMs)
@@ -91,7 +91,7 @@
 	return nil, nil
 }
 
-// previousRecord is the record of this VM's process before this one.
+// previousRecord returns the record that this VM's previous process wrote.
 func (d *Daemon) previousRecord(before []Record) (last vmRecord, found bool) {
 	for _, r := range before {
 		if r.Key != d.set.Vm.Name {
@@ -106,7 +106,7 @@
 	return vmRecord{}, false
 }
 
-// isOwnRecord says whether a record of the list of VMs is that of this VM at its address.
+// isOwnRecord reports whether a record of the VM list belongs to this VM at its current address.
 func (d *Daemon) isOwnRecord(r Record) bool {
 	own, err := parseVMRecord(string(r.Value))
 	return err == nil && r.Key == d.set.Vm.Name && own.Address == d.set.Listen.Peers
@@ -125,23 +125,22 @@
 	d.peers.mergeStoreList(named, d.isCompleteList(list))
 }
 
-// isVMRecord says whether a record of FeedVMs is that of a VM.
+// isVMRecord reports whether a record of FeedVMs describes a VM.
 func (d *Daemon) isVMRecord(r Record) bool {
 	return len(r.Value) > 0 && !isSuspectRecord(r) && !isEraMark(r) && !d.isStatusRecord(r)
 }
 
 const (
-	// restartMargin is by how much longer than the window of allowances the starts of two
-	// processes of a VM must lie apart for the second to get what is kept for restarts.
-	// Starts are told by clocks that jump by seconds, and a lost write may be done seconds
-	// after.
+	// restartMargin is added to the allowance window: the starts of two processes of a VM must be
+	// further apart than both together for the second to claim the restart allowance. Start times
+	// come from clocks that may jump by seconds, and a lost write may take effect seconds later.
 	restartMargin = 12 * time.Second
-	// restartClaimDeadline is after what uptime it is not asked for any more: balances have been
-	// earned by then.
+	// restartClaimDeadline is the uptime after which the restart allowance is not claimed any more:
+	// the balances have refilled by then.
 	restartClaimDeadline = 3 * time.Second
 )
 
-// claimRestartAllowance takes what is kept for restarts once this VM's parts are known.
+// claimRestartAllowance claims the restart allowance once this VM's shares are known.
 func (d *Daemon) claimRestartAllowance() {
 	if !d.claimed {
 		return
@@ -153,9 +152,9 @@
 	d.shares.creditRestartAllowance()
 }
 
-// mayClaimRestart says whether a VM's process may take what is kept for restarts, by the record
-// of the one before. A record that was written before the store came back from a copy says
-// nothing: the record of a process since, which may have taken it, may be lost.
+// mayClaimRestart reports whether a process may claim the restart allowance, given the record of
+// its predecessor. A record written before the store was restored from a backup proves nothing: the
+// record of a later process, which may have claimed the allowance, may be lost.
 func mayClaimRestart(last, self vmRecord, window time.Duration) bool {
 	return last.era == self.era && !last.started.IsZero() && self.started.Sub(last.started) > window+restartMargin
 }
--- a/entry/copies.go
+++ b/entry/copies.go
@@ -10,46 +10,49 @@
 	"github.com/chivefield/chivefield/core/allowance"
 )
 
-// The store may come back from a copy of itself that is some seconds old. What was acknowledged
-// since is gone, offsets are given out again, and its era rises. What the VMs know outlasts it:
+// The store may be restored from a backup of itself that is some seconds old. Records acknowledged
+// since the backup are lost, their offsets are assigned again, and the store's era increases. The
+// VMs recover what was lost:
 //
-//   - Each feed notices by itself, by the era of each answer, and reads everything again
-//     (cursor). Configurations, departures and verdicts that are known never go back.
-//   - What the VMs themselves had written is written again by the VM that reads for its failure
-//     domain, in one call: records of VMs, and a mark that they are whole. Convictions and
-//     statuses follow by those who keep them.
-//   - Nothing that is spent rests on a record that may have gone back: what is kept for
-//     restarts is taken only by a record of the same era, and what all VMs share is
-//     divided only by a list that is marked as whole.
+//   - Each feed detects the restore by the era of each response and reads everything again
+//     (feedCursor). Known configurations, departures and rollout verdicts are never reverted.
+//   - The VMs' own records are written again by the reader of each failure domain in one call,
+//     with a mark that they are complete. Convictions and rollout statuses are written again
+//     by the VMs that store them.
+//   - No spending depends on a record that may have been reverted: the restart allowance is
+//     claimed only with a record of the same era, and the shared allowances are divided only
+//     by a list that is marked as complete.
 
 const (
-	// rewriteDelay is how long after a copy the records of VMs are written again, with spread:
-	// what is lost is lost to those that start now.
+	// rewriteDelay is the delay, with jitter, before the VMs' records are written again after a
+	// restore. It is short because VMs that start meanwhile miss the lost records.
 	rewriteDelay = 400 * time.Millisecond
-	// rewriteUptime is after what uptime a process says that the list is whole: by then VMs
-	// that started beside it have written themselves, and those that live were heard.
+	// rewriteUptime is the uptime after which a process marks the list as complete: by then VMs
+	// that started at the same time have written their records and notes of the live ones have
+	// arrived.
 	rewriteUptime = 2 * time.Second
-	// completeAfter is after what uptime a process takes the list for whole though no VM of
-	// some failure domain says so: none lives there.
+	// completeAfter is the uptime after which a process takes the list for complete even if a
+	// failure domain has no mark: no VM is alive there.
 	completeAfter = 5 * time.Second
-	// incompleteListInterval is how often the list is read until it is whole.
+	// incompleteListInterval is how often the list is read until it is complete.
 	incompleteListInterval = time.Second
-	// eraMarkPrefix begins the keys of marks, which end with the failure domain.
+	// eraMarkPrefix starts the keys of the marks; the failure domain follows.
 	eraMarkPrefix = "era-"
 )
 
-// eraTracker is what this process knows of the store's eraTracker.
+// eraTracker records the latest era of the store that this process has seen.
 type eraTracker struct {
 	mu    sync.Mutex
 	known bool
 	era   uint64
-	// changed delivers a new era to the goroutine that announces this VM.
+	// changed signals a new era to the goroutine that runs followVMs.
 	changed chan struct{}
 }
 
 func newEraTracker() *eraTracker { return &eraTracker{changed: make(chan struct{}, 1)} }
 
-// observe takes in an era, and reports whether the store came back from a copy since.
+// observe records an era and reports whether the store was restored from a backup since the last
+// one.
 func (e *eraTracker) observe(era uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,7 +71,8 @@
 	return true
 }
 
-// observeEra takes in the era that an answer of the store told, or another VM.
+// observeEra records an era received from the store or from another VM. After a restore it has
+// convictions and rollout statuses written again.
 func (d *Daemon) observeEra(era uint64) {
 	if !d.eras.observe(era) {
 		return
@@ -79,8 +83,9 @@
 	d.rollouts.rewriteStatuses()
 }
 
-// pauseUntilRelist waits for a time, until a while after the store came back from a copy, or until the list
-// has to be read oftener: a cut may begin while it waits.
+// pauseUntilRelist waits for a jittered duration. It returns earlier if the list of VMs is
+// incomplete or this VM judges a rollout during a network partition, which may begin while it
+// waits, and rewriteDelay after a restore of the store.
 func (d *Daemon) pauseUntilRelist(ctx context.Context, longest time.Duration) {
 	end := d.now() + jitter(longest)
 	for ctx.Err() == nil && d.now() < end {
@@ -100,15 +105,15 @@
 	}
 }
 
-// isEraMark says whether a record of FeedVMs says that those of a failure domain are whole.
+// isEraMark reports whether a record of FeedVMs marks a failure domain's VM records as complete.
 func isEraMark(r Record) bool { return strings.HasPrefix(r.Key, eraMarkPrefix) }
 
-// ownRecord is this VM's record.
+// ownRecord returns this VM's record.
 func (d *Daemon) ownRecord() vmRecord {
 	return vmRecord{VM: allowance.VM{Address: d.set.Listen.Peers, Domain: d.set.Vm.FailureDomain}, started: d.startedAt}
 }
 
-// eraMarks are the eras in which the records of failure domains were last whole.
+// eraMarks returns, by failure domain, the era in which its VM records were last complete.
 func (l vmList) eraMarks() map[string]uint64 {
 	marks := make(map[string]uint64)
 	for _, r := range l.records {
@@ -116,7 +121,7 @@
 		if !ok {
 			continue
 		}
-		// A mark that cannot be read is none.
+		// An unreadable mark counts as missing.
 		if era, err := strconv.ParseUint(string(r.Value), 10, 64); err == nil {
 			marks[domain] = era
 		}
@@ -124,9 +129,9 @@
 	return marks
 }
 
-// isCompleteList says whether a list holds all VMs: a store that never came back from a copy loses
-// none, and before the first start of the deployment there was nothing to lose; after a copy each
-// failure domain says when its own are there again.
+// isCompleteList reports whether a list contains all VMs. A store that was never restored has lost
+// none, and at the first start of a deployment there was nothing to lose. After a restore each
+// failure domain marks when its own records are there again.
 func (d *Daemon) isCompleteList(l vmList) bool {
 	if l.era == 0 || d.set.Vm.FirstStart || d.now() >= completeAfter {
 		return true
@@ -140,7 +145,8 @@
 	return marks[d.set.Vm.FailureDomain] == l.era
 }
 
-// rewriteVMRecords writes again what the store may have lost of this failure domain's VMs.
+// rewriteVMRecords writes the VM records of this failure domain that a restore of the store may
+// have lost, and the mark.
 func (d *Daemon) rewriteVMRecords(ctx context.Context, l vmList) {
 	domain := d.set.Vm.FailureDomain
 	if l.era == 0 || l.eraMarks()[domain] == l.era || d.now() < rewriteUptime {
@@ -152,9 +158,9 @@
 	d.log.Info().Uint64("era", l.era).Int("records", len(records)).Err(err).Msg("store_healed")
 }
 
-// missingRecords are the records of VMs of this failure domain that the store does not have as of its era.
-// The start of a VM's process is known from its notes; without it the record says none, so
-// that nothing is taken for it.
+// missingRecords returns the records of this failure domain's VMs that the store lacks in its
+// current era. Start times are taken from the VMs' notes; a record without one has none, so that
+// no restart allowance is claimed by it.
 func (d *Daemon) missingRecords(l vmList) []Record {
 	current := make(map[string]bool)
 	for _, r := range l.records {
@@ -174,7 +180,7 @@
 	return records
 }
 
-// vmRecordsIn are the records of the other VMs of a failure domain as this VM knows them, by name.
+// vmRecordsIn returns the records of the other known VMs of a failure domain, by name.
 func (p *peers) vmRecordsIn(domain string) map[string]vmRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,7 +198,7 @@
 	return records
 }
 
-// listComplete says whether the whole list of VMs is known.
+// listComplete reports whether the list of VMs is complete.
 func (p *peers) listComplete() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/copies_test.go
+++ b/entry/copies_test.go
@@ -14,13 +14,13 @@
 	"github.com/chivefield/chivefield/logging"
 )
 
-// scriptedStore is a store whose answers a test sets.
+// scriptedStore is a store whose responses a test sets.
 type scriptedStore struct {
 	Store
 	records []Record
 	next    Position
 	err     error
-	// fullReads counts reads of everything.
+	// fullReads counts reads of the whole feed.
 	fullReads int
 }
 
@@ -33,10 +33,10 @@
 	return s.records, s.next, s.err
 }
 
-// Symptom: an endpoint that had announced its leaving got requests for as long as it was listed.
-// Sequence: a reader is at offset 100; the store comes back from a copy that ends at 95; ten
-// records are written; the reader reads on from 100. Cause: an offset means nothing without the
-// era in which it was given out.
+// Guards against requests sent to a leaving endpoint for as long as it is listed. A reader is at
+// offset 100; the store is restored from a backup that ends at 95; ten records are written; the
+// reader continues at 100 and misses the announcement. An offset is only valid in the era that
+// assigned it.
 func TestFeedIsReadAgainInANewEra(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -51,7 +51,7 @@
 	is.True(got.full && got.restored)
 	is.Equal(s.fullReads, 2)
 	is.Equal(c.next, Position{Era: 1, Offset: 105})
-	// Without an offset that the store has it is the same.
+	// The same holds if the store no longer has the offset.
 	s.next, s.err = Position{Era: 2, Offset: 3}, &TrimmedError{From: 105}
 	_, err = c.read(ctx, 0)
 	is.True(err != nil)
@@ -59,7 +59,7 @@
 	got, err = c.read(ctx, 0)
 	is.NoErr(err)
 	is.True(got.full && got.restored)
-	// An answer of before that was long under way changes nothing, whichever call it answers.
+	// A delayed response from the previous era changes nothing, whichever call it answers.
 	s.records, s.next = []Record{{Key: "e", Value: []byte("old")}}, Position{Era: 1, Offset: 106}
 	got, err = c.read(ctx, 0)
 	is.NoErr(err)
@@ -79,17 +79,17 @@
 	is.True(!Position{Era: 2, Offset: 95}.Before(Position{Era: 2, Offset: 95}))
 }
 
-// Symptom: after all VMs were killed twice around the moment at which the store came back from a
-// copy, organisations spent more than their allowance in a window. Sequence: a VM's process
-// starts, writes its record and takes what is kept for restarts; the store loses that record;
-// the process is killed; the next finds the record of the one before, which is old enough.
-// Cause: a record that can go back was taken for the truth. An adversary chooses kills, copies,
-// lost writes, jumps of clocks within their bound, and when the records are written again.
+// Guards against an organisation spending more than its allowance in a window after all VMs were
+// killed twice around a restore of the store. A process starts, writes its record and claims the
+// restart allowance; the store loses the record; the process is killed; the next process finds its
+// predecessor's record, which is old enough. A record that may have been reverted must not count as
+// proof. The test draws kills, restores, lost writes, clock jumps within their bound and the times
+// at which records are rewritten.
 func TestRestartsAreClaimedOnceInAWindow(t *testing.T) {
 	const window = 8 * time.Second
 	vm := allowance.VM{Address: "10.0.0.1:1", Domain: "a"}
 	rapid.Check(t, func(t *rapid.T) {
-		// log is the store's own; what the VM's newest record says at each length of it.
+		// log holds the VM's record in the store, one version per write.
 		var log []string
 		var era uint64
 		now := time.Unix(1_000_000, 0)
@@ -97,7 +97,7 @@
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(rapid.SampledFrom([]time.Duration{0, time.Second, 7 * time.Second, 21 * time.Second}).Draw(t, "pause"))
 			switch rapid.SampledFrom([]int{0, 0, 1, 2}).Draw(t, "what") {
-			case 0: // A process starts: it reads, a copy may come in between, it writes.
+			case 0: // A process starts: it reads, the store may be restored, it writes.
 				started = now
 				self := vmRecord{VM: vm, started: now, era: era}
 				claims := false
@@ -108,11 +108,11 @@
 					}
 					claims = mayClaimRestart(last, self, window)
 				}
-				if rapid.IntRange(0, 3).Draw(t, "copy between") == 0 {
+				if rapid.IntRange(0, 3).Draw(t, "restore between") == 0 {
 					era++
 					log = log[:rapid.IntRange(0, len(log)).Draw(t, "left")]
 				}
-				if rapid.IntRange(0, 3).Draw(t, "write is lost") == 0 {
+				if rapid.IntRange(0, 3).Draw(t, "write lost") == 0 {
 					continue
 				}
 				log = append(log, self.String())
@@ -123,15 +123,15 @@
 					t.Fatalf("step %d: claimed twice within %v", step, now.Sub(claimed))
 				}
 				claimed = now
-			case 1: // The store comes back from a copy.
+			case 1: // The store is restored from a backup.
 				era++
 				log = log[:rapid.IntRange(0, len(log)).Draw(t, "left")]
-			case 2: // Another VM writes this one's record again.
+			case 2: // Another VM rewrites this VM's record.
 				if started.IsZero() {
 					continue
 				}
 				rec := vmRecord{VM: vm, started: started, era: era}
-				if rapid.Bool().Draw(t, "start not known") {
+				if rapid.Bool().Draw(t, "start unknown") {
 					rec.started = time.Time{}
 				}
 				log = append(log, rec.String())
@@ -156,9 +156,9 @@
 	is.True(err != nil)
 }
 
-// Symptom: a VM that started after the store had come back from a copy let organisations spend the
-// parts of VMs whose records were lost. Cause: the list was taken for whole. It is, once each
-// failure domain has said that its own VMs are there again.
+// Guards against a VM that lets organisations spend the shares of VMs whose records a restore of
+// the store lost, because it takes the list for complete. The list is complete once each failure
+// domain has marked that its own VMs are there again.
 func TestVMListIsCompleteWhenMarked(t *testing.T) {
 	is := is.New(t)
 	set := testSettings(t, false)
@@ -171,7 +171,7 @@
 	}
 	is.True(!d.isCompleteList(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 0)}, era: 1}))
 	is.True(d.isCompleteList(vmList{records: []Record{own, mark(set.Vm.FailureDomain, 1)}, era: 1}))
-	// A store may begin at any era: at the first start of a deployment nothing can be missing.
+	// A store may start at any era: at the first start of a deployment nothing can be missing.
 	is.True(New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard), Codec: noStatuses{}}).isCompleteList(vmList{era: 1}))
 	d.applyVMList(vmList{records: []Record{own}, era: 1})
 	is.True(!d.peers.listComplete())
@@ -179,7 +179,7 @@
 	is.True(d.peers.listComplete())
 }
 
-// writeRecorder is a store that takes down what is written.
+// writeRecorder is a store that records writes.
 type writeRecorder struct {
 	Store
 	records []Record
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// What a failure domain's VMs had written is written again in one call, by one of them: only what
-// is missing or of before the copy, with the starts as they were heard.
+// One VM rewrites the records of its failure domain in one call: only those that are missing or
+// from before the restore, with the start times from notes.
 func TestRecordsAreRewrittenAfterARestore(t *testing.T) {
 	is := is.New(t)
 	set := testSettings(t, false)
@@ -214,12 +214,12 @@
 	for _, r := range w.records {
 		got[r.Key] = string(r.Value)
 	}
-	is.Equal(len(got), 4) // these two, this VM and the mark
+	is.Equal(len(got), 4) // missing, old, this VM and the mark
 	is.Equal(got["missing"], "10.0.0.2:1 "+domain+" 1786786484342 2")
 	is.Equal(got["old"], "10.0.0.3:1 "+domain+" 0 2")
 	is.Equal(got[eraMarkPrefix+domain], "2")
 	list.records = w.records
 	d.rewriteVMRecords(context.Background(), list)
 	is.Equal(w.calls, 1)
-	is.Equal(len(d.missingRecords(vmList{era: 2, records: w.records})), 1) // the one that had been there
+	is.Equal(len(d.missingRecords(vmList{era: 2, records: w.records})), 1) // current, which was not rewritten
 }
--- a/entry/note_test.go
+++ b/entry/note_test.go
@@ -12,7 +12,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// BenchmarkNote measures what one note costs: its size, and encoding and decoding.
+// BenchmarkNote measures the size of a note and the cost of encoding and decoding it.
 func BenchmarkNote(b *testing.B) {
 	for _, c := range []struct{ uses, vms int }{{12, 0}, {60, 66}, {128, 1800}} {
 		b.Run(fmt.Sprintf("uses=%d/vms=%d", c.uses, c.vms), func(b *testing.B) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// BenchmarkPlacing measures the datagrams of one request that another VM places: their
-// bytes in all, without what UDP and IP add, and encoding and decoding them.
+// BenchmarkPlacing measures the datagrams of one request that another VM places: their total size
+// without UDP and IP headers, and the cost of encoding and decoding them.
 func BenchmarkPlacing(b *testing.B) {
 	const handle = 1 << 63
 	notes := []*schema.PeerNote{
@@ -72,9 +72,9 @@
 	b.ReportMetric(float64(sizes), "bytes")
 }
 
-// BenchmarkReconcile measures one note of 49 VMs that have 12 requests each at this one.
-// With the requests of all VMs in one map it takes 168 us on a busy machine, with a map for
-// each VM 1.3 us; ten notes a second of each come to 8% of a core and 0.1%.
+// BenchmarkReconcile measures processing one note from each of 49 VMs that have 12 requests each at
+// this one. With the requests of all VMs in one map a note takes 168 us on a busy machine, with a
+// map for each VM 1.3 us; at ten notes a second from each VM that is 8% of a core and 0.1%.
 func BenchmarkReconcile(b *testing.B) {
 	d := startedAgo(b, time.Minute)
 	d.peers.eligible.Store(true)
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -16,7 +16,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// listEntries lists the VMs known, or none if the list is not whole.
+// listEntries returns the entries of all VMs, or nil if the list is incomplete or has more than
+// maxListedVMs.
 func (p *peers) listEntries() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// newHeartbeat is the i-th note without loads.
+// newHeartbeat returns the i-th note, without loads.
 func (p *peers) newHeartbeat(i uint64) *schema.PeerNote {
 	n := p.newNote()
 	n.Number = i + 1
@@ -81,8 +82,8 @@
 	return n
 }
 
-// sendRound sends the i-th note: with loads to those who place requests, with what a
-// cell needs to the rest of it, and a heartbeat to some others.
+// sendRound sends the i-th round of notes: loads to VMs that place requests, the state that a cell
+// shares to the rest of the cell, and a heartbeat to some others.
 func (p *peers) sendRound(i uint64) {
 	to := p.recipients(i)
 	heartbeat := p.newHeartbeat(i)
@@ -93,7 +94,7 @@
 	p.d.placing.describe(state)
 	if full {
 		state.Vms = p.listEntries()
-		// Those who ask need the paces for when they place for themselves.
+		// VMs that ask a placer need the event gaps in case they have to place requests themselves.
 		state.Loads, state.Uses = true, p.d.sched.endpointLoads(true)
 	}
 	p.writeAll(p.encode(state), to.State)
@@ -117,7 +118,7 @@
 	}
 }
 
-// recipients chooses who gets the i-th note.
+// recipients returns who gets the i-th round of notes.
 func (p *peers) recipients(i uint64) cell.Recipients {
 	members := p.d.remoteJobs.members()
 	placer := p.d.placing.followed()
@@ -137,12 +138,12 @@
 			Cell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
-	// Each VM begins elsewhere in the list, or one VM would hear all others at once
-	// and then none for a while.
+	// Each VM starts the rotation at another offset: otherwise a VM would hear from all others at
+	// once and then from none for a while.
 	return cell.RecipientsOf(peers, i+p.offset, placer == nil)
 }
 
-// turnOffsetRange bounds offsets; more than the turns of a list of any length in use.
+// turnOffsetRange bounds rotation offsets; it exceeds the rotation length of any list in use.
 const turnOffsetRange = 1 << 16
 
 func turnOffset(address string) uint64 { return xxhash.Sum64String(address) % turnOffsetRange }
@@ -194,12 +195,12 @@
 	}
 }
 
-// handleNote takes in one note.
+// handleNote processes a received note.
 func (p *peers) handleNote(n *schema.PeerNote, from *net.UDPAddr) {
 	p.d.placing.take(n, from)
 	p.d.remoteJobs.take(n, from)
 	if n.Address == "" {
-		// Messages on single requests say nothing else.
+		// Messages about single requests carry nothing else.
 		return
 	}
 	p.mu.Lock()
@@ -241,7 +242,7 @@
 	}
 	for _, g := range n.Grants {
 		back := p.d.shares.receiveGrant(allowance.Amount{Organisation: g.Organisation, Units: g.Amount})
-		// What was returned once is not sent again, or it would go to and fro.
+		// A returned amount is not returned again, or it would go back and forth.
 		if back > 0 && !n.Returned {
 			p.returnUnits(g.Organisation, back, from)
 		}
@@ -249,7 +250,8 @@
 	p.grantWants(n.Wants, from)
 }
 
-// endpointLoads returns this VM's load as others need it.
+// endpointLoads returns this VM's load at the endpoints it uses. With paces it includes the other
+// endpoints whose event gap this VM knows.
 func (s *scheduling) endpointLoads(paces bool) []*schema.EndpointUse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// maxRecentNotices bounds the records of what changed lately in each note, turnNotices those in turn in each
-	// tenth.
+	// maxRecentNotices limits the recently changed records in each note, maxRotatedNotices those
+	// sent in rotation in every tenth.
 	maxRecentNotices  = 16
 	maxRotatedNotices = 8
-	// maxStartNotices bounds what a VM that has just started is told at once by each that hears of it.
+	// maxStartNotices limits the records that each VM sends to a newly started process.
 	maxStartNotices = 64
-	// unreadableLogInterval bounds the log lines on headers that cannot be understood.
+	// unreadableLogInterval is the minimum time between log lines about unreadable headers.
 	unreadableLogInterval = time.Second
-	// evictionInterval is how often incarnations that are gone are forgotten, unlistedFor for how long one is
-	// remembered that this VM's registry does not list.
+	// evictionInterval is how often records of incarnations that are gone are evicted, unlistedTTL
+	// how long the record of an incarnation is kept that this VM's registry does not list.
 	evictionInterval = 10 * time.Second
 	unlistedTTL      = time.Minute
 )
 
-// How a VM learned what an endpoint says of itself.
+// How a VM learned of an endpoint's notice, in logs.
 const (
 	noticeObserved = "seen"
 	noticeReceived = "told"
 )
 
-// notices takes in what endpoints say of themselves in their answers and what other VMs know of that, and
-// tells the scheduler and other VMs.
+// notices merges what endpoints announce in their responses (rate limit, backoff, leaving) with
+// what other VMs received, and passes changes to the scheduler and to other VMs.
 type notices struct {
 	d *Daemon
-	// urgent says that something was seen here that others should hear at once.
+	// urgent signals a change observed here that other VMs should receive at once.
 	urgent chan struct{}
 
 	mu     sync.Mutex
 	ledger *notice.Ledger
-	// unreadableAt is when a header that cannot be understood was logged last, evictedAt when incarnations
-	// that are gone were forgotten.
+	// unreadableAt is when an unreadable header was last logged, evictedAt when records were last
+	// evicted.
 	unreadableAt, evictedAt time.Duration
 }
 
@@ -49,7 +49,7 @@
 	return &notices{d: d, urgent: make(chan struct{}, 1), ledger: notice.New(), unreadableAt: -unreadableLogInterval}
 }
 
-// observe takes in an answer of an endpoint to a request that was sent at a time.
+// observe records an endpoint's response to a request that was sent at the time sent.
 func (n *notices) observe(ep *members.Endpoint, sent time.Duration, reply Reply) {
 	if reply.Replaced {
 		return
@@ -58,7 +58,8 @@
 	defer n.mu.Unlock()
 	n.logUnreadableHeaders(ep, reply.Unreadable)
 	received := reply.Notice
-	// An answer without an id may be none of the incarnation's own: it ends nothing.
+	// A response without an id may come from something other than the incarnation: it does not lift
+	// a limit.
 	received.LimitUnknown = received.LimitUnknown || reply.ID == "" && !received.HasLimit
 	n.count(received)
 	hash := dispatch.NameOf(ep.Key())
@@ -69,7 +70,7 @@
 	n.updateScheduler(hash)
 	n.logChange(hash, ep.ID, noticeObserved)
 	if n.ledger.Holds(hash) == before {
-		// A rest binds this VM alone: others hear of it with the next note.
+		// A backoff binds only this VM: others receive it with the next note.
 		return
 	}
 	select {
@@ -78,7 +79,7 @@
 	}
 }
 
-// count counts what answers say.
+// count counts what responses announce.
 func (n *notices) count(received notice.Notice) {
 	if received.HasLimit {
 		n.d.count("answers_naming_a_limit")
@@ -91,7 +92,7 @@
 	}
 }
 
-// mergeRemote takes in what another VM knows.
+// mergeRemote merges records received from another VM.
 func (n *notices) mergeRemote(list []*schema.EndpointNotice) {
 	if len(list) == 0 {
 		return
@@ -115,7 +116,8 @@
 	}
 }
 
-// updateScheduler tells the scheduler what an incarnation says of itself now. The lock is held.
+// updateScheduler passes the current notice of an incarnation to the scheduler. The caller holds
+// the lock.
 func (n *notices) updateScheduler(hash uint64) {
 	current := n.ledger.Holds(hash)
 	ownEnd, othersEnd := n.ledger.Rests(hash)
@@ -126,7 +128,8 @@
 	}
 }
 
-// logChange logs what an incarnation says of itself now; id is empty where it is not at hand. The lock is held.
+// logChange logs the current notice of an incarnation; id is empty if unknown. The caller holds the
+// lock.
 func (n *notices) logChange(hash uint64, id, learned string) {
 	current := n.ledger.Holds(hash)
 	own, _ := n.ledger.Rests(hash)
@@ -134,11 +137,11 @@
 		Dur("rest", max(0, own-n.d.now())).Bool("limited", current.HasLimit).Float64("per_second", current.Limit).Bool("leaving", current.Leaving).Msg("endpoint_notice")
 }
 
-// maxBackoffJitter bounds by how much longer than it asked an endpoint gets rest.
+// maxBackoffJitter limits how much longer than asked this VM backs off from an endpoint.
 const maxBackoffJitter = 500 * time.Millisecond
 
-// jitteredBackoffEnd is when this VM sends again to an endpoint whose rest ends at a time: VMs that were turned away
-// together do not all come back together.
+// jitteredBackoffEnd returns when this VM sends again to an endpoint whose backoff ends at end, so
+// that VMs that were turned away together do not all return at once. It returns 0 for no backoff.
 func (n *notices) jitteredBackoffEnd(hash uint64, end time.Duration) time.Duration {
 	if end == 0 {
 		return 0
@@ -146,7 +149,7 @@
 	return end + time.Duration((hash^n.d.peers.incarnation)%uint64(maxBackoffJitter))
 }
 
-// evict drops what is known of incarnations that are gone.
+// evict drops records of incarnations that are gone.
 func (n *notices) evict() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,7 +163,8 @@
 	}
 }
 
-// forNote is what a note tells: what changed lately and, in some notes, of all in turn.
+// forNote returns the records for a note: those changed recently and, with inTurn, some of all in
+// rotation.
 func (n *notices) forNote(inTurn bool) []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,7 +175,7 @@
 	return noticesToWire(list)
 }
 
-// forNewProcess is what a process that has just started is told.
+// forNewProcess returns the records to send to a newly started process.
 func (n *notices) forNewProcess() []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,7 +196,7 @@
 	return notice.Record{Endpoint: m.Endpoint, Limit: m.Limit, Asked: ageFromWire(m.AskedMs), Named: ageFromWire(m.NamedMs), Lifted: ageFromWire(m.LiftedMs), Leaving: m.Leaving, Rest: durationFromWire(m.RestMs)}
 }
 
-// ageToWire is an age as notes tell it: one more than its ms, 0 for never.
+// ageToWire encodes an age for notes: milliseconds plus one, 0 for never.
 func ageToWire(ago time.Duration) uint64 {
 	if ago < 0 {
 		return 0
@@ -200,7 +204,7 @@
 	return uint64(ago.Milliseconds()) + 1
 }
 
-// ageFromWire is an age that a note tells.
+// ageFromWire decodes an age from a note.
 func ageFromWire(ms uint64) time.Duration {
 	if ms == 0 {
 		return notice.Never
@@ -208,7 +212,8 @@
 	return durationFromWire(ms - 1)
 }
 
-// logUnreadableHeaders counts headers that cannot be understood and logs one now and then. The lock is held.
+// logUnreadableHeaders counts unreadable headers and logs at most one per unreadableLogInterval.
+// The caller holds the lock.
 func (n *notices) logUnreadableHeaders(ep *members.Endpoint, list []HeaderError) {
 	for _, e := range list {
 		n.d.count("headers_unreadable")
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -18,104 +18,104 @@
 )
 
 const (
-	// noteInterval is how often a VM tells others its load.
+	// noteInterval is how often a VM sends its load to others.
 	noteInterval = 100 * time.Millisecond
-	// fullNoteEvery is how many notes pass between two that list the known VMs and all
-	// paces.
+	// fullNoteEvery is the period, in notes, of those that list the known VMs and all event gaps.
 	fullNoteEvery = 10
-	// maxListedVMs bounds the VMs that notes list. Larger
-	// deployments know each other from the store and by heartbeat.
+	// maxListedVMs limits the VMs listed in notes. VMs of larger deployments learn of each other
+	// from the store and by heartbeat.
 	maxListedVMs = 64
-	// maxDatagram is the largest note; a larger one is not sent, and counted. It names
-	// all requests that a VM can have under way.
+	// maxDatagram is the size of the largest note in bytes; a larger one is counted and not sent.
+	// It has room for the handles of all requests that a VM can have in flight.
 	maxDatagram = 32 << 10
 )
 
-// peers exchanges notes with the other VMs by datagrams. A lost datagram costs a
-// moment's knowledge or an amount of allowance, never a double one; and no
-// connection can fall silent.
+// peers exchanges gossip datagrams, called notes, with the other VMs. A lost datagram costs some
+// freshness or an amount of allowance, but never grants an amount twice, and there is no connection
+// that could fall silent.
 type peers struct {
 	d           *Daemon
 	conn        net.PacketConn
 	incarnation uint64
 
-	// relays are what other VMs read of the registry, hints are newer versions of
-	// the configuration that they have.
+	// relays carries registry changes relayed by other VMs, configHints newer configuration
+	// versions that other VMs serve.
 	relays      chan relay
 	configHints chan configHint
 	client      *http.Client
-	// offset is where this VM's turns begin.
+	// offset is this VM's starting point in the rotation of recipients.
 	offset uint64
-	// surplus decides, in the goroutine that tells notes, when this VM steps down as a
-	// placer; steppedDown says that it has.
+	// surplus decides, in the goroutine that sends notes, when this VM steps down as a placer;
+	// steppedDown reports that it has.
 	surplus     cell.Surplus
 	steppedDown atomic.Bool
-	// eligible says that this process has heard enough to place for others.
+	// eligible reports whether this process has received enough state to place requests for others.
 	eligible atomic.Bool
-	// followsConfig says whether this VM followsConfig the configuration in the store.
+	// followsConfig reports whether this VM reads the configuration from the store.
 	followsConfig atomic.Bool
 
 	mu sync.Mutex
-	// byAddress are all VMs ever heard of, by address, without this one.
+	// byAddress holds all VMs ever learned of except this one.
 	byAddress map[string]*peer
-	// counts counts those of the own region and failure domain, and this VM.
+	// counts is the number of known VMs in this VM's region and failure domain, itself included.
 	counts cell.Fleet
-	// listIsComplete says that the whole list of VMs was read, from the store or from a VM
-	// that had read it. Before that, shared amounts would be divided by too few.
+	// listIsComplete is set once the whole list of VMs was read, from the store or from a VM that
+	// had read it. Before that, shared amounts would be divided by too few VMs.
 	listIsComplete bool
-	// listedBefore says that this VM's record was in the list before this process wrote it, counted
-	// that the others count this VM too.
+	// listedBefore means that this VM's record was in the list before this process wrote it,
+	// counted that the other VMs count this one when dividing shared amounts.
 	listedBefore, counted bool
-	// sharedAmong is the number of VMs that share was last told of.
+	// sharedAmong is the number of VMs last passed to sharedAllowances.
 	sharedAmong int
 }
 
-// newcomerTimeout is after what uptime a VM takes part in what all share though some that are listed
-// were not heard: they may be gone for good.
+// newcomerTimeout is the uptime after which a VM takes its share of the allowances even if some
+// listed VMs were never heard from: they may be gone for good.
 const newcomerTimeout = 5 * time.Second
 
 type peer struct {
 	addr *net.UDPAddr
-	// name is empty if it was never told.
+	// name is empty while unknown.
 	name   string
 	domain string
-	// learnedAt is when this VM learnedAt of it.
+	// learnedAt is when this VM learned of the peer.
 	learnedAt time.Duration
-	// incarnation is that of its process, 0 if it was never heard.
+	// incarnation identifies the peer's process; 0 if no note of it was received.
 	incarnation uint64
-	// lastHeard is when a note came last, 0 for never.
+	// lastHeard is when the last note arrived, 0 for never.
 	lastHeard time.Duration
-	// usualInterval is the usual time between two of its notes.
+	// usualInterval is the usual time between two notes of the peer.
 	usualInterval time.Duration
-	// What it said of itself: whether it follows the configuration, could not read the
-	// store, placesForOthers requests for others or asksPlacer another, its share of a core and how
-	// many ask it.
+	// State from the peer's own notes: it reads the configuration from the store, failed to read
+	// the store, places requests for others, asks a placer; below, its share of a core and the
+	// number of VMs that ask it.
 	followsConfig, storeLost, placesForOthers, asksPlacer bool
 
 	cpuShare float64
 	members  int
-	// namedAt is when a VM last said that this one places its requests, 0 for never.
+	// namedAt is when a note last named the peer as its sender's placer, 0 for never.
 	namedAt          time.Duration
 	registryPosition Position
-	// avoidUntil is until when it is not asked for places.
+	// avoidUntil is the time until which the peer is not asked for placements.
 	avoidUntil time.Duration
-	// wentSilent says that it was this VM's placer and fell wentSilent.
+	// wentSilent means that the peer was this VM's placer and stopped sending.
 	wentSilent bool
 }
 
-// placerNameTTL is how long the word that a VM places requests for others holds. Far VMs are
-// heard in turns, so each placer of another failure domain is named every few seconds in the
-// largest deployments.
+// placerNameTTL is how long a peer counts as a placer after a note named it. Notes from other
+// failure domains come in rotation, so in the largest deployments a remote placer is named only
+// every few seconds.
 const placerNameTTL = 12 * time.Second
 
-// placesRequests says whether the VM places requests, its own or others', so that it needs to know
-// loads. One that was never heard does only if others say so: if all far VMs were told loads
-// in turns, those that place would hear them too seldom, and requests would meet full engines.
+// placesRequests reports whether the VM places requests, its own or others', and thus needs loads.
+// A VM that was never heard from does so only if notes name it as a placer: if loads were sent to
+// all remote VMs in rotation, the placers among them would get them too seldom and send requests to
+// full engines.
 func (pe *peer) placesRequests(now time.Duration) bool {
 	return pe.heardLately(now) && !pe.asksPlacer || pe.namedAt > 0 && now-pe.namedAt < placerNameTTL
 }
 
-// domainAddresses are the addresses of the other VMs of the own failure domainAddresses.
+// domainAddresses returns the addresses of the other VMs of this VM's failure domain.
 func (p *peers) domainAddresses() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,13 +128,13 @@
 	return list
 }
 
-// relay is what a VM passed on of the registry.
+// relay is a batch of registry changes relayed by the VM at address from.
 type relay struct {
 	*schema.EndpointRelay
 	from string
 }
 
-// configHint says which VM serves by a newer configuration.
+// configHint names a VM that serves a newer configuration version.
 type configHint struct {
 	address string
 	version uint64
@@ -158,20 +158,20 @@
 	return err
 }
 
-// listEntry is how a VM stands in lists of VMs: its address and failure domain.
+// listEntry encodes a VM for lists of VMs: its address and failure domain.
 func listEntry(v allowance.VM) string { return v.Address + " " + v.Domain }
 
-// vmRecord is a VM's own record in the store: its entry, and when its process started.
+// vmRecord is a VM's record in the store: its list entry and the start of its process.
 type vmRecord struct {
 	allowance.VM
-	// started is by the VM's clock; zero if the record does not say.
+	// started is read from that VM's clock; zero if the record has none.
 	started time.Time
-	// era is the store's when the record was written.
+	// era is the store's era when the record was written.
 	era uint64
 }
 
-// String is the record as it is written: the entry, Unix milliseconds and the era, if there was
-// another before.
+// String encodes the record: the list entry, the start in Unix milliseconds and, if it is not 0,
+// the era.
 func (r vmRecord) String() string {
 	var started int64
 	if !r.started.IsZero() {
@@ -184,7 +184,7 @@
 	return s
 }
 
-// Fields of a record of a VM, in order.
+// Indexes of the fields of a VM record.
 const (
 	fieldAddress = iota
 	fieldDomain
@@ -192,7 +192,7 @@
 	fieldEra
 )
 
-// parseVMRecord reads an entry of a list of VMs or a record of the store.
+// parseVMRecord parses a list entry or a record of the store.
 func parseVMRecord(s string) (vmRecord, error) {
 	fields := strings.Fields(s)
 	if len(fields) <= fieldDomain {
@@ -218,15 +218,15 @@
 	return r, nil
 }
 
-// mergeList takes in the whole list of VMs.
+// mergeList adds the VMs of a complete list.
 func (p *peers) mergeList(entries []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mergeListLocked(entries)
 }
 
-// mergeStoreList takes in the list of VMs by name as the store has it; complete says that none is
-// missing there.
+// mergeStoreList adds the VMs of the store's list, keyed by name; complete means that the list
+// contains all VMs.
 func (p *peers) mergeStoreList(records map[string]string, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,8 +257,8 @@
 	}
 }
 
-// updateShares tells the parts that divide amounts among all VMs who they are, if one came.
-// Notes come hundreds of times a second, new VMs seldom.
+// updateShares passes the list of VMs to sharedAllowances if a VM was added since. Notes arrive
+// hundreds of times a second, new VMs seldom.
 func (p *peers) updateShares() {
 	if !p.listIsComplete || !p.countedByOthers() || p.sharedAmong == len(p.byAddress)+1 {
 		return
@@ -271,9 +271,9 @@
 	p.d.shares.setVMs(vms)
 }
 
-// countedByOthers says whether the others count this VM among those that share. A VM sends notes only to those
-// that it counts, so one that was heard does. Until then this VM would hold a part of what
-// the others have divided without it.
+// countedByOthers reports whether the other VMs count this one when dividing shared amounts. A VM
+// sends notes only to VMs that it counts, so a peer that was heard from does. Before that this VM
+// would hold a share of what the others have divided without it.
 func (p *peers) countedByOthers() bool {
 	if !p.counted {
 		p.counted = p.listedBefore || p.d.now() >= newcomerTimeout || p.allHeard()
@@ -290,14 +290,15 @@
 	return true
 }
 
-// setListedBefore says that this VM's record was in the list before this process wrote it.
+// setListedBefore records that this VM was in the list before this process wrote its record.
 func (p *peers) setListedBefore() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listedBefore = true
 }
 
-// addVM takes in one VM; nil if it is this one or cannot be understood.
+// addVM adds a VM and returns it. It returns nil for this VM itself and for an address that cannot
+// be parsed.
 func (p *peers) addVM(v allowance.VM) *peer {
 	if v.Address == p.d.set.Listen.Peers {
 		return nil
@@ -305,7 +306,7 @@
 	if known := p.byAddress[v.Address]; known != nil {
 		return known
 	}
-	// Only numbers: a name would be looked up while notes wait, for seconds.
+	// Numeric addresses only: resolving a name could block the receiving of notes for seconds.
 	ap, err := netip.ParseAddrPort(v.Address)
 	if err != nil {
 		p.d.log.Warn().Str("address", v.Address).Err(err).Msg("peer_address_refused")
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -13,27 +13,28 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// registryCache keeps the records of the registryCache of endpoints as this VM knows them, for
-// VMs that the store turns away: they have no other source for what they have missed.
+// registryCache holds this VM's copy of the endpoint registry. It serves snapshots to VMs that the
+// store refuses: they have no other source for changes that they missed.
 type registryCache struct {
 	mu      sync.Mutex
 	records map[string]Record
-	// next is where to read on; known says that the records are whole.
+	// next is the position to read from next; complete reports whether the records are the whole
+	// registry.
 	next     Position
 	complete bool
-	// transfers counts VMs that are being served.
+	// transfers counts the snapshots being sent to other VMs.
 	transfers int
 }
 
 const (
-	// maxTransfers bounds the VMs that get the whole registry from one at the same time,
-	// since links are narrow; others ask elsewhere.
+	// maxTransfers limits how many VMs fetch a snapshot from one VM at the same time, since links
+	// are narrow; the others ask another VM.
 	maxTransfers = 2
-	// maxSources is how many VMs are asked before the store is.
+	// maxSources is the number of VMs asked before falling back to the store.
 	maxSources = 3
 )
 
-// apply takes in records; whole says that they are all.
+// apply merges records into the cache; whole means that they replace its content.
 func (g *registryCache) apply(records []Record, whole bool, next Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,14 +55,14 @@
 	}
 }
 
-// invalidate says that records may have been missed.
+// invalidate marks the cache as incomplete: changes may have been missed.
 func (g *registryCache) invalidate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.complete = false
 }
 
-// position is up to where this VM knows the registry; zero if it does not.
+// position returns the position up to which the cache is complete, zero if it is incomplete.
 func (g *registryCache) position() Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,7 +72,8 @@
 	return g.next
 }
 
-// acquireSnapshot is the whole registry, nil if it is not known or too many are being served.
+// acquireSnapshot returns a snapshot of the registry and counts a transfer. It returns nil if the
+// cache is incomplete or maxTransfers are under way.
 func (g *registryCache) acquireSnapshot() *schema.EndpointsReply {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -98,16 +100,17 @@
 	if reply == nil {
 		return &schema.EndpointsReply{}, nil
 	}
-	// The answer is written after this returns; the time of a write stands for it.
+	// The response is written after this method returns; transferTime stands for the duration of
+	// that write.
 	time.AfterFunc(transferTime, s.d.registry.releaseSnapshot)
 	return reply, nil
 }
 
-// transferTime is how long one answer is taken to be on its way.
+// transferTime is how long one snapshot is assumed to be in transfer.
 const transferTime = 50 * time.Millisecond
 
-// fetchEndpoints gets the whole registry, as of a position or later, from a VM that
-// knows it, the one that spoke of the position among them.
+// fetchEndpoints fetches a snapshot of the registry as of position at or later from a VM that has
+// one. The announcer, which announced that position, is one of the candidates.
 func (p *peers) fetchEndpoints(ctx context.Context, at Position, announcer string) ([]Record, Position, error) {
 	err := error(&NoSourceError{At: at})
 	for _, address := range p.registrySources(at, announcer) {
@@ -135,8 +138,8 @@
 	return recordsFromRelay(reply.Records, reply.Era), Position{Era: reply.Era, Offset: reply.Next}, nil
 }
 
-// registrySources are VMs of the own failure domain that know the registry up to a position,
-// in any order.
+// registrySources returns, in random order, up to maxSources VMs of this VM's failure domain whose
+// registry copy is at least at the given position. The announcer is among the candidates.
 func (p *peers) registrySources(at Position, announcer string) []string {
 	now := p.d.now()
 	p.mu.Lock()
@@ -151,9 +154,8 @@
 	return list[:min(maxSources, len(list))]
 }
 
-// followEndpoints keeps the known endpoints up to date. One VM of each failure
-// domain reads the registry and passes on what changed; the others read only when
-// they hear nothing or have missed something.
+// followEndpoints keeps the endpoints up to date. One VM of each failure domain reads the registry
+// and relays changes; the others read it only if relays stop or if they missed one.
 func (d *Daemon) followEndpoints(ctx context.Context) error {
 	c := feedCursor{store: d.opts.Store, feed: FeedEndpoints}
 	var health storeHealth
@@ -199,8 +201,8 @@
 	}
 }
 
-// applyReadResult takes in what was read of the registry from one position to another, and returns
-// what is to be passed on.
+// applyReadResult applies what was read between two positions of the registry and returns the
+// relays to send.
 func (d *Daemon) applyReadResult(got readResult, before, next Position) []*schema.EndpointRelay {
 	d.observeEra(next.Era)
 	var restored *schema.EndpointRelay
@@ -217,9 +219,10 @@
 	return partsOf(before.Offset, next, got.records, changed)
 }
 
-// restoreDiff is what a registry that came back from a copy says else than what was known, for the
-// VMs that knew the same: the whole of it would be read by all of them in the same second. If it is
-// too long for a note they are told the position alone, and look for themselves.
+// restoreDiff returns the difference between the cached registry and the one read after the store
+// was restored from a backup. It is for VMs with the same cached position: without it all of them
+// would read the whole registry in the same second. A difference too large for one note is replaced
+// by the position alone, and the receivers read the store.
 func (g *registryCache) restoreDiff(records []Record, before, next Position) *schema.EndpointRelay {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -248,24 +251,24 @@
 	return part
 }
 
-// readFailureWindow is how long a VM that could not read the registry leaves the reading for
-// its failure domain to others.
+// readFailureWindow is how long after a failed read of the registry a VM leaves the role of its
+// failure domain's reader to others.
 const readFailureWindow = 5 * time.Second
 
-// registryReadFailed says whether this VM could not read the registry lately.
+// registryReadFailed reports whether this VM failed to read the registry within readFailureWindow.
 func (d *Daemon) registryReadFailed(now time.Duration) bool {
 	at := time.Duration(d.registryLostAt.Load())
 	return at > 0 && now-at < readFailureWindow
 }
 
-// applyRelay takes in what the reader passed on. If this VM has missed something it reads
-// on from the store, which is little; if it cannot, it gets everything from a VM that has
-// not missed it. It reports false if the store should be read.
+// applyRelay applies changes relayed by the reader. If this VM missed some it reads the rest from
+// the store, which is little; if the store is unavailable it fetches a snapshot from a VM that
+// missed none. It returns false if the store should be read.
 func (d *Daemon) applyRelay(ctx context.Context, c *feedCursor, r relay) bool {
 	next := Position{Era: r.Era, Offset: r.Next}
 	switch {
 	case r.Era < c.next.Era:
-		// The sender has not heard yet that the store came back from a copy.
+		// The sender has not yet seen that the store was restored from a backup.
 		return true
 	case c.known && r.Era == c.next.Era && r.From <= c.next.Offset:
 		if !next.Before(c.next) {
@@ -296,7 +299,7 @@
 	return true
 }
 
-// recordsFromRelay are records that another VM passed on, as of an era.
+// recordsFromRelay decodes relayed records; their positions are of the given era.
 func recordsFromRelay(list []*schema.StoreRecord, era uint64) []Record {
 	records := make([]Record, 0, len(list))
 	for _, r := range list {
@@ -309,7 +312,8 @@
 	return records
 }
 
-// wireOffset is one more than the record's offset, if it is known to lie in an era.
+// wireOffset returns the record's offset plus one, or 0 if its position is unknown or of another
+// era.
 func (r Record) wireOffset(era uint64) uint64 {
 	if !r.Placed || r.At.Era != era {
 		return 0
@@ -317,8 +321,8 @@
 	return r.At.Offset + 1
 }
 
-// applyEndpoints takes in what was read of the registry, and returns which of the records changed
-// something, by index.
+// applyEndpoints applies what was read of the registry and returns the indexes of the records that
+// changed something.
 func (d *Daemon) applyEndpoints(got readResult, next Position) (changed []int) {
 	d.registry.apply(got.records, got.full, next)
 	changes := make([]members.Change, 0, len(got.records))
@@ -357,11 +361,11 @@
 	return changed
 }
 
-// maxUnreadable bounds the keys whose fault is remembered, so that each is logged once
-// and not each time it is read.
+// maxUnreadable limits the keys whose decoding error is remembered. Each error is logged once and
+// not at every read.
 const maxUnreadable = 256
 
-// logUnreadableEntry says once what is wrong with an entry.
+// logUnreadableEntry logs a decoding error of an entry once; a nil error clears it.
 func (d *Daemon) logUnreadableEntry(key string, err error) {
 	if err == nil {
 		delete(d.unreadable, key)
@@ -375,9 +379,9 @@
 	d.log.Warn().Str("endpoint", key).Err(err).Msg("endpoint_unreadable")
 }
 
-// Up to maxLoggedSingly changes that come together are logged by line; of more, one line names
-// up to maxLoggedIDs endpoints. When all VMs and endpoints start, each VM hears of each
-// endpoint, a line for every pair.
+// Up to maxLoggedSingly changes in one batch are logged one per line; a larger batch gets one line
+// that names up to maxLoggedIDs endpoints. At the start of a deployment each VM learns of each
+// endpoint, which would be a line for every pair.
 const (
 	maxLoggedSingly = 4
 	maxLoggedIDs    = 64
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -7,10 +7,10 @@
 	"github.com/chivefield/chivefield/core/rollout"
 )
 
-// observe counts what an attempt says of the version. The lock is held.
+// observe counts the result of an attempt for its version. The caller holds the lock.
 //
-// What says nothing of it: endpoints that were full or gone, and requests cut off by the
-// crash of their endpoint, which comes to good versions too.
+// Not counted: endpoints that were full or gone, and requests cut off by the crash of their
+// endpoint, which happens to good versions too.
 func (v *trackedAttempt) observe(a attempt) {
 	took := v.rollouts.d.now() - v.startedAt
 	switch a.outcome {
@@ -35,8 +35,8 @@
 	}
 }
 
-// countCallerLeft counts a request whose caller left: one that waited long for an endpoint saw a
-// slow one, and versions that are slow would otherwise lose their slowest answers.
+// countCallerLeft counts a request whose caller disconnected. A caller that waited long saw a slow
+// endpoint: without these counts slow versions would lose their slowest responses.
 func (v *trackedAttempt) countCallerLeft(took time.Duration) {
 	if v.cold || v.firstEventAfter == 0 && took < minCensoredTime {
 		return
@@ -60,7 +60,8 @@
 
 func (v *trackedAttempt) count(add func(*rollout.Counts)) { v.rollout.evidence.Count(v.group, add) }
 
-// countCut counts a request that was cut off a while ago, unless its endpoint has ended or leaves.
+// countCut counts a request that was cut off cutSettleTime ago, unless its endpoint has ended or is
+// leaving.
 func (v *trackedAttempt) countCut() {
 	if !v.rollouts.d.sched.serving(v.ep) || v.rollouts.d.suspects.hasEnded(v.ep) {
 		return
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// judgeKey is hashed with the VMs' addresses to choose who judges in a failure domain.
+	// judgeKey is hashed with the VMs' addresses to choose the judge of a failure domain.
 	judgeKey = "rollout-judge"
-	// minReportInterval is how often a VM tells its judge what it saw, and a judge the others;
-	// reportSpread is added for each VM of the failure domain, so that what a judge hears
-	// does not grow with it.
+	// minReportInterval is how often a VM sends its evidence to its judge, and a judge to the
+	// others. reportIntervalPerVM is added for each VM of the failure domain, so that the load on a
+	// judge does not grow with it.
 	minReportInterval   = 200 * time.Millisecond
 	reportIntervalPerVM = 5 * time.Millisecond
-	// announceInterval is how often a judge tells its failure domain how far a move is.
+	// announceInterval is how often a judge sends the phases of rollouts to its failure domain.
 	announceInterval = 500 * time.Millisecond
-	// reportTTLIntervals is for how many times between two reports the last one holds.
+	// reportTTLIntervals is the number of report intervals for which a report is valid.
 	reportTTLIntervals = 4
-	// finalAnnounceTime is how long a verdict is told after it came.
+	// finalAnnounceTime is how long a verdict is announced.
 	finalAnnounceTime = 30 * time.Second
 )
 
-// judge is what a VM knows that judges for its failure domain.
+// judge is the state of the VM that judges a rollout for its failure domain.
 type judge struct {
-	// vms is what the processes of the failure domain saw, domains what failure domains did.
+	// vms is the evidence of the failure domain's processes, domains that of whole failure domains.
 	vms, domains *rollout.Ledger
 	watch        *rollout.Watch
-	// drainedVMs and drainedDomains are those where nothing runs at the old version.
+	// drainedVMs and drainedDomains are those with no request at the old version.
 	drainedVMs, drainedDomains drainReports
-	// suspected and next are those that were last logged.
+	// suspected and next are the last logged values.
 	suspected bool
 	next      rollout.Phase
 }
 
-// drainReports is when VMs or failure domains last said that nothing runs at the old version there.
+// drainReports maps VMs or failure domains to when they last reported that they have no request at
+// the old version.
 type drainReports map[string]time.Duration
 
-// record takes in what one of them says.
+// record records a report of a VM or failure domain.
 func (d drainReports) record(now time.Duration, who string, report *schema.RolloutReport) {
 	if report.Drained {
 		d[who] = now
@@ -50,7 +51,8 @@
 	delete(d, who)
 }
 
-// isDrained says whether one of them said so within some times between two reports.
+// isDrained reports whether the last report of a VM or failure domain says that it is drained and
+// is still valid.
 func (d drainReports) isDrained(now, interval time.Duration, who string) bool {
 	at, ok := d[who]
 	return ok && now-at <= reportTTLIntervals*interval
@@ -63,8 +65,8 @@
 	}
 }
 
-// judges are the addresses of the VMs that judge, by failure domain. VMs may disagree for a
-// moment; what they told the one before is told again to the next, and counts once.
+// judges returns the addresses of the judges by failure domain. VMs may disagree for a moment:
+// evidence sent to one judge is then sent again to the next, and counts once.
 func (p *peers) judges() map[string]string {
 	now := p.d.now()
 	own := p.d.set.Listen.Peers
@@ -83,7 +85,8 @@
 	return judges
 }
 
-// isLeader says whether a VM isLeader the judges: it alone moves requests and writes to the store.
+// isLeader reports whether a VM leads the judges. Only the leader shifts requests and writes to the
+// store.
 func isLeader(address, service string, judges map[string]string) bool {
 	for _, other := range judges {
 		if rendezvous.Hash(service, other) > rendezvous.Hash(service, address) {
@@ -93,14 +96,14 @@
 	return true
 }
 
-// reportInterval is the time between two reports.
+// reportInterval returns the time between two reports.
 func (p *peers) reportInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return minReportInterval + time.Duration(p.counts.Domain)*reportIntervalPerVM
 }
 
-// step does what is due for the services that move. It is called with each note.
+// step performs the due actions of all rollouts. It runs before each round of notes.
 func (r *rollouts) step() {
 	r.mu.Lock()
 	active := make([]*rolloutState, 0, len(r.byService))
@@ -180,7 +183,7 @@
 	return list
 }
 
-// ownReport is what this process saw. The lock is held.
+// ownReport returns the evidence of this process. The caller holds the lock.
 func (r *rollouts) ownReport(m *rolloutState, now time.Duration) *schema.RolloutReport {
 	_, all := m.trafficShare(now, r.d.set.Bounds.ExposureShare)
 	report := reportToWire(m.order, m.evidence)
@@ -188,7 +191,7 @@
 	return report
 }
 
-// domainReport is what the failure domain saw. The lock is held.
+// domainReport returns the evidence of the failure domain. The caller holds the lock.
 func (r *rollouts) domainReport(m *rolloutState, now, interval time.Duration) *schema.RolloutReport {
 	sum := m.judge.vms.Sum()
 	m.judge.domains.Merge(r.d.set.Vm.FailureDomain, sum)
@@ -198,9 +201,9 @@
 	return report
 }
 
-// domainDrained says whether nothing runs at the old version from any VM of the own failure
-// domain that is heard. One that is not heard is dead, or cut off: it cannot be waited for,
-// and when the old endpoints stop it sees them gone. The lock is held.
+// domainDrained reports whether no reachable VM of this VM's failure domain has a request at the old
+// version. An unreachable VM is dead or partitioned: it cannot be waited for, and sees the old
+// endpoints gone when they stop. The caller holds the lock.
 func (r *rollouts) domainDrained(m *rolloutState, now, interval time.Duration) bool {
 	for _, address := range append(r.d.peers.reachableIn(r.d.set.Vm.FailureDomain), r.d.set.Listen.Peers) {
 		if !m.judge.drainedVMs.isDrained(now, interval, address) {
@@ -210,10 +213,10 @@
 	return true
 }
 
-// allDrained says whether that holds for each failure domain. One of which no VM is heard may be
-// dead, or cut off and still sending to the old version, whose endpoints would stop under its
-// requests: it is waited for as long as the order's time lasts, and by the smaller side of a cut
-// for ever. The lock is held.
+// allDrained reports whether all failure domains are drained. A failure domain without a reachable
+// VM may be dead, or partitioned and still sending to the old version, whose endpoints would stop
+// under its requests: it is waited for until the order's duration is over, and on the smaller side
+// of a partition indefinitely. The caller holds the lock.
 func (r *rollouts) allDrained(m *rolloutState, now, interval time.Duration, judges map[string]string) bool {
 	known := r.d.peers.knownDomains()
 	if len(judges) < known && (now-m.orderedAt < m.order.Duration || 2*len(judges) <= known) {
@@ -227,9 +230,9 @@
 	return r.domainDrained(m, now, interval)
 }
 
-// decide takes the next step of a move as a judge. Each judge may find a version bad; only
-// the one that leads moves requests and has the store written, so that it is done once. The
-// lock is held.
+// decide takes the next step of a rollout as a judge. Each judge may roll a version back; only the
+// leader shifts requests and has the completion written to the store, so that it is done once. The
+// caller holds the lock.
 func (r *rollouts) decide(m *rolloutState, now time.Duration, lead bool, judges map[string]string, interval time.Duration) {
 	if !m.phaseKnown {
 		return
@@ -252,7 +255,7 @@
 	}
 }
 
-// logFinding says what speaks against a version when it becomes suspect, and at the verdict.
+// logFinding logs the evidence against a version when it becomes suspect and at the verdict.
 func (r *rollouts) logFinding(m *rolloutState, k rollout.Known, next rollout.Phase) {
 	suspect := k.Finding.Suspect()
 	logged := next == m.judge.next && (!suspect || m.judge.suspected)
@@ -267,8 +270,8 @@
 		Str("doubt", strconv.FormatFloat(f.Doubt, 'f', 1, 64)).Int("answers", k.Answers).Int("failures", k.Failures).Int("old_answers", k.OldAnswers).Int("listed_new", k.NewListed).Int("listed_old", k.OldListed).Bool("drained", k.Drained).Msg("rollout_judged")
 }
 
-// mergeVMReport takes in what a process of the own failure domain saw. source names the process,
-// address its VM.
+// mergeVMReport merges the evidence of a process of this VM's failure domain. source identifies the
+// process, address its VM.
 func (j *judge) mergeVMReport(now time.Duration, source, address string, report *schema.RolloutReport) {
 	j.vms.Merge(source, evidenceFromWire(report))
 	j.drainedVMs.record(now, address, report)
@@ -279,7 +282,7 @@
 	j.drainedDomains.record(now, domain, report)
 }
 
-// mergeReports takes in what other VMs saw, if this one judges.
+// mergeReports merges the evidence of other VMs if this VM is a judge.
 func (r *rollouts) mergeReports(n *schema.PeerNote) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/rollout_notes.go
+++ b/entry/rollout_notes.go
@@ -9,7 +9,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// forNote is how far all moves are, as other VMs are told.
+// forNote returns the phases of all rollouts for a note.
 func (r *rollouts) forNote() []*schema.Rollout {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,7 +27,7 @@
 	return list
 }
 
-// mergeRemote takes in what another VM knows of moves.
+// mergeRemote merges the rollouts received from another VM.
 func (r *rollouts) mergeRemote(list []*schema.Rollout) {
 	for _, remote := range list {
 		phase := rollout.Phase(min(remote.Phase, uint32(rollout.Completed)))
@@ -37,7 +37,7 @@
 	}
 }
 
-// announce tells the own failure domain, and some others, how far moves are.
+// announce sends the phases of rollouts to this VM's failure domain and to the given VMs.
 func (r *rollouts) announce(others []string) {
 	n := r.d.peers.newNote()
 	if n.Rollouts = r.forNote(); len(n.Rollouts) == 0 {
@@ -46,21 +46,21 @@
 	r.d.peers.writeAll(r.d.peers.encode(n), append(r.d.peers.domainAddresses(), others...))
 }
 
-// announceNow tells at once what changed: to the own failure domain and the judges of others, who
-// pass it on.
+// announceNow sends the phases of rollouts to this VM's failure domain and to the judges of the
+// others, which pass them on.
 func (r *rollouts) announceNow() {
 	r.announce(otherJudges(r.d.peers.judges(), r.d.set.Listen.Peers))
 }
 
-// sendReport sends what was seen to VMs that judge.
+// sendReport sends evidence to judges.
 func (p *peers) sendReport(report *schema.RolloutReport, to []string) {
 	n := p.newNote()
 	n.Reports = []*schema.RolloutReport{report}
 	p.writeAll(p.encode(n), to)
 }
 
-// coverage is how many VMs are served by the placers that are heard, this VM included, and how many are
-// known; 0 if the list is not whole.
+// coverage returns the number of VMs served by the reachable placers, this VM included, and the
+// number of known VMs; both are 0 if the list of VMs is incomplete.
 func (p *peers) coverage() (heard, known int) {
 	now, members := p.d.now(), p.d.remoteJobs.members()
 	p.mu.Lock()
@@ -77,7 +77,7 @@
 	return heard, len(p.byAddress) + 1
 }
 
-// fleetSize is the number of VMs, this one included; 0 if it is not known.
+// fleetSize returns the number of VMs, this one included; 0 if the list is incomplete.
 func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,7 @@
 	return len(p.byAddress) + 1
 }
 
-// knownDomains is the number of failure domains with a VM that is known, the own one included.
+// knownDomains returns the number of failure domains with a known VM, including its own.
 func (p *peers) knownDomains() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,7 @@
 	return len(domains)
 }
 
-// reachableIn are the addresses of the other VMs of a failure domain that are heard.
+// reachableIn returns the addresses of the other reachable VMs of a failure domain.
 func (p *peers) reachableIn(domain string) []string {
 	now := p.d.now()
 	p.mu.Lock()
@@ -122,7 +122,7 @@
 	return report
 }
 
-// trimHistogram are a histogram's buckets without the empty ones at the end.
+// trimHistogram returns a histogram's buckets without the empty ones at the end.
 func trimHistogram(h rollout.Histogram) []uint32 {
 	n := len(h)
 	for n > 0 && h[n-1] == 0 {
@@ -142,7 +142,7 @@
 	return e
 }
 
-// announceChanges tells news of moves until ctx ends.
+// announceChanges announces changes of rollouts until ctx ends.
 func (r *rollouts) announceChanges(ctx context.Context) error {
 	for {
 		select {
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -7,15 +7,16 @@
 	"github.com/chivefield/chivefield/core/rollout"
 )
 
-// The operator reads in the store how far a move is. A verdict is written by a write that fails
-// if anything was written since the status was read: so the first verdict stands, whichever
-// VMs come to others, and an answer that is lost is found out by reading again. That a move is
-// completed is known only once it is written: the old endpoints stop then.
+// The operator reads the status of a rollout in the store. A status is written conditionally: the
+// write fails if anything was written since the status was read. So the first verdict stands,
+// whatever other VMs decide, and a lost response is resolved by reading again. A rollout is
+// completed only once that is written: then the old endpoints stop.
 
-// maxStatusTries is how often in a row a status is written that meets another write or an error.
+// maxStatusTries is how often in a row the write of a status is tried, after conflicts or errors.
 const maxStatusTries = 8
 
-// queueStatus has the store written if it does not say how far a move is. The lock is held.
+// queueStatus queues the writing of a rollout's status unless the store has it. The caller holds
+// the lock.
 func (r *rollouts) queueStatus(m *rolloutState, phase rollout.Phase) {
 	if phase == rollout.Moving {
 		phase = rollout.Trying
@@ -68,8 +69,8 @@
 	}
 }
 
-// writeStatus brings the store's status of a service up to date, and this VM's knowledge. It reports
-// whether nothing is left to do.
+// writeStatus reads the statuses in the store, adopts them and writes the status of a service if it
+// is due. It reports whether nothing is left to do.
 func (r *rollouts) writeStatus(ctx context.Context, service string) (done bool, err error) {
 	records, next, err := r.d.opts.Store.Newest(ctx, FeedVMs)
 	if err != nil {
@@ -97,7 +98,7 @@
 	return true, nil
 }
 
-// dueStatus is the status that the store should have; ok is false if it has it.
+// dueStatus returns the status that the store should have; ok is false if the store has it.
 func (r *rollouts) dueStatus(service string, records []Record) (status RolloutStatus, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +111,7 @@
 	case m.phase.Final():
 		status.Phase = m.phase
 	case m.phase == rollout.Moving && m.targetPhase == rollout.Completed:
-		// Nobody has found the version bad meanwhile, as far as is known here.
+		// No judge has rolled the version back meanwhile, as far as this VM knows.
 		status.Phase = rollout.Completed
 	}
 	for _, rec := range records {
@@ -121,7 +122,7 @@
 	return status, true
 }
 
-// loadStatuses takes in the statuses that the store has. A verdict there is final.
+// loadStatuses adopts the statuses in the store. A verdict there is final.
 func (r *rollouts) loadStatuses(records []Record) {
 	r.mu.Lock()
 	for _, rec := range records {
@@ -146,7 +147,7 @@
 	}
 }
 
-// rewriteStatuses has statuses written again that the store may have lost.
+// rewriteStatuses lets statuses be queued again that a restore of the store may have lost.
 func (r *rollouts) rewriteStatuses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,8 +156,8 @@
 	}
 }
 
-// judgesInPartition says whether this VM judges a service that moves while no VM of some failure domain is
-// heard: what is decided there is then known from the store alone.
+// judgesInPartition reports whether this VM judges an unfinished rollout while a failure domain has
+// no reachable VM: decisions made there are then known from the store alone.
 func (r *rollouts) judgesInPartition() bool {
 	r.mu.Lock()
 	open := false
@@ -171,7 +172,7 @@
 	return judges[r.d.set.Vm.FailureDomain] == r.d.set.Listen.Peers && len(judges) < r.d.peers.knownDomains()
 }
 
-// adoptStatus takes over a verdict on an order that the store has. The lock is held.
+// adoptStatus adopts the store's verdict on an order. The caller holds the lock.
 func (r *rollouts) adoptStatus(m *rolloutState) {
 	s, ok := r.statuses[m.order.Service]
 	if !ok || s.Version != m.order.Version || !s.Phase.Final() {
@@ -181,7 +182,7 @@
 	r.advance(m, s.Phase, learnedStore)
 }
 
-// isStatusRecord says whether a record of FeedVMs says how far a move is.
+// isStatusRecord reports whether a record of FeedVMs is the status of a rollout.
 func (d *Daemon) isStatusRecord(rec Record) bool {
 	s, err := d.codec.RolloutStatus(rec)
 	return s != nil || err != nil
--- a/entry/rollout_versions.go
+++ b/entry/rollout_versions.go
@@ -8,8 +8,8 @@
 	"github.com/chivefield/chivefield/core/rollout"
 )
 
-// usableEndpoints are those of a service's endpoints that may get requests now, marked where only some
-// requests may go there.
+// usableEndpoints returns the endpoints of a service that may get requests now. Those that only
+// some requests may go to are marked as canaries.
 func (r *rollouts) usableEndpoints(now time.Duration, service string, list []*members.Endpoint) []*members.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -21,8 +21,8 @@
 	return m.usableEndpoints(now, list, r.d.set.Bounds.ExposureShare)
 }
 
-// recordVersions notes since when versions are listed. Those that are there when a process
-// first reads the registry are taken to have been there.
+// recordVersions records since when versions are listed. Versions found when a process first reads
+// the registry count as settled.
 func (r *rollouts) recordVersions(now time.Duration, service string, list []*members.Endpoint) {
 	if len(list) == 0 {
 		return
@@ -44,8 +44,8 @@
 	}
 }
 
-// settledEndpoints are the endpoints of versions that have been listed for a while, or all if there is
-// none.
+// settledEndpoints returns the endpoints of versions that have been listed for versionSettleTime,
+// or all if there are none.
 func (r *rollouts) settledEndpoints(now time.Duration, service string, list []*members.Endpoint) []*members.Endpoint {
 	known := r.versions[service]
 	unsettled := func(e *members.Endpoint) bool { return now-known[e.Version] < versionSettleTime }
@@ -89,7 +89,7 @@
 	return append(old, markCanaries(slices.DeleteFunc(updated, func(e *members.Endpoint) bool { return !m.canaryEndpoints[e.Key()] }))...)
 }
 
-// markCanaries marks endpoints as those that only some requests may go to.
+// markCanaries returns copies of the endpoints, marked as open to some requests only.
 func markCanaries(list []*members.Endpoint) []*members.Endpoint {
 	marked := make([]*members.Endpoint, 0, len(list))
 	for _, e := range list {
@@ -100,7 +100,7 @@
 	return marked
 }
 
-// trafficShare is the trafficShare of the requests that go to the new version; whole says that all do.
+// trafficShare returns the share of the requests that go to the new version, and whether all do.
 func (m *rolloutState) trafficShare(now time.Duration, bound float64) (share float64, all bool) {
 	share = rollout.TrialShare(bound)
 	if m.phase != rollout.Moving {
@@ -114,7 +114,7 @@
 	return share + (1-share)*float64(moved)/float64(ramp), false
 }
 
-// admits says whether a request may go to an endpoint.
+// admits reports whether a request may go to an endpoint.
 func (m *rolloutState) admits(now time.Duration, ep *members.Endpoint, canary bool, bound float64) bool {
 	_, all := m.trafficShare(now, bound)
 	if ep.Version != m.order.Version {
@@ -123,7 +123,7 @@
 	}
 	switch m.phase {
 	case rollout.Completed, rollout.Moving:
-		// While requests move the VM that places them says which: it may be some ms ahead.
+		// While requests shift, the VM that places them decides: it may be some ms ahead.
 		return true
 	case rollout.RolledBack:
 		return false
@@ -131,8 +131,8 @@
 	return canary || m.listedOld == 0
 }
 
-// inTransition says whether the usable endpoints follow from the time by itself: a version settles,
-// requests move, or the old endpoints are gone.
+// inTransition reports whether the usable endpoints change with time alone: a version settles,
+// requests shift, or the old endpoints are gone.
 func (r *rollouts) inTransition(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -9,87 +9,90 @@
 	"github.com/chivefield/chivefield/core/rollout"
 )
 
-// rollouts move services to other versions. Each VM bounds by itself what a new version gets
-// of its requests, and counts what it sees of both; one VM of each failure domain judges
-// (rollout_judge.go); what is decided is told in notes (rollout_notes.go) and written to the
-// store (rollout_status.go).
+// rollouts moves services to other versions. Each VM limits the share of its requests that a new
+// version gets and counts the results of both versions; one VM of each failure domain judges
+// (rollout_judge.go); decisions are sent in notes (rollout_notes.go) and written to the store
+// (rollout_status.go).
 //
-// Its lock may be taken while the scheduler's is held, never the other way round.
+// Its lock may be taken while the scheduler's lock is held, never the other way round.
 type rollouts struct {
 	d *Daemon
 
 	mu        sync.Mutex
 	byService map[string]*rolloutState
-	// versions are those listed of each service, and since when.
+	// versions holds the listed versions of each service and since when they are listed.
 	versions map[string]map[string]time.Duration
-	// statusesRead says that the store's statuses were taken in: without them nobody knows
-	// whether an order found there was rolled back.
+	// statusesRead reports whether the store's statuses were loaded: without them it is unknown
+	// whether an order in the store was rolled back.
 	statusesRead bool
-	// feedRead says that the operator's feed was read before.
+	// feedRead reports whether the feed of orders was ever read.
 	feedRead bool
-	// statuses are those that the store had, by service; an order may be read after them.
+	// statuses holds the statuses found in the store, by service; an order may be read after its
+	// status.
 	statuses map[string]RolloutStatus
-	// held are the services that an operator wants tried but not moved.
+	// held lists the services that an operator keeps in the canary phase.
 	held []string
-	// statusQueue are services whose status is to be written to the store.
+	// statusQueue holds services whose status is to be written to the store.
 	statusQueue chan string
-	// changed says that something changed that others should hear at once.
+	// changed signals a change that other VMs should receive at once.
 	changed chan struct{}
 }
 
-// rolloutState is one order to move a service.
+// rolloutState is the state of one rollout order.
 type rolloutState struct {
 	order rollout.Order
-	// position is where the order lies in the store.
+	// position is the order's position in the store.
 	position Position
 	phase    rollout.Phase
-	// phaseKnown says that the phase is what the store or another VM told, or that nobody can
-	// know more. Until then the new version gets nothing.
+	// phaseKnown means that the phase came from another VM or that the store's statuses were read.
+	// Until then the new version gets no requests.
 	phaseKnown bool
-	// orderedAt is when the order came, shiftingSince and finalSince when its phase did.
+	// orderedAt is when the order came, shiftingSince and finalSince when the phase did.
 	orderedAt, shiftingSince, finalSince time.Duration
 
 	gate     rollout.Gate
 	evidence rollout.Evidence
-	// runningOld is how many requests of this VM are at endpoints of the old version.
+	// runningOld is the number of this VM's requests at endpoints of the old version.
 	runningOld int
-	// canaryEndpoints are the endpoints of the new version that get requests, listedNew and
-	// listedOld how many of the versions the registry lists.
+	// canaryEndpoints holds the endpoints of the new version that get requests; listedNew and
+	// listedOld count the listed endpoints of both versions.
 	canaryEndpoints map[string]bool
-	// slots number the endpoints of the new version in the evidence.
+	// slots numbers the endpoints of the new version in the evidence.
 	slots                map[string]uint64
 	listedNew, listedOld int
 	judge                *judge
-	// reportedAt is when evidence was last told to the judge, announcedAt when the phase was
-	// last told to the failure domain.
+	// reportedAt is when evidence was last sent to the judge, announcedAt when the phase was last
+	// sent to the failure domain.
 	reportedAt, announcedAt time.Duration
-	// targetPhase is the phase that the store is to have, if writing is set, or has.
+	// targetPhase is the phase to be written to the store or already there; it is valid if writing
+	// is set.
 	targetPhase rollout.Phase
 	writing     bool
-	// superseded are the versions of earlier orders for the service.
+	// superseded lists the versions of earlier orders for the service.
 	superseded []string
 }
 
 const (
-	// versionSettleTime is how long a version that nobody ordered must be listed before it is
-	// used: endpoints of a version that is about to be ordered may be listed a moment
-	// before the order comes, and all VMs would use them until they hear of it. In a release one
-	// endpoint after the other waits so long at its start.
+	// versionSettleTime is how long a version without an order must be listed before it is used.
+	// Endpoints of a version may be listed a moment before its order arrives, and until then all
+	// VMs would use them. During a release without an order each endpoint waits this long at its
+	// start.
 	versionSettleTime = 1500 * time.Millisecond
-	// oldVersionGoneAfter is how long after the completion of a move endpoints of the old version
-	// are left alone: they have stopped, and the registry drops them some seconds later.
+	// oldVersionGoneAfter is how long after the completion of a rollout endpoints of the old
+	// version get no requests: they have stopped, and the registry drops them some seconds later.
 	oldVersionGoneAfter = 10 * time.Second
-	// cutSettleTime is how long after a request was cut off it counts against the version: by
-	// then it is known whether its endpoint has crashed, as good ones do.
+	// cutSettleTime is the delay after which a cut-off request counts against the version: by then
+	// it is known whether its endpoint has crashed, which happens to good versions too.
 	cutSettleTime = time.Second
-	// minCensoredTime is after what time a request that its caller left counts as slow.
+	// minCensoredTime is the time after which a request whose caller disconnected counts as slow.
 	minCensoredTime = time.Second
-	// resyncMargin is how long after such a time endpoints are looked at again: several notes.
+	// resyncMargin is how long after such a point in time the endpoints are still recomputed:
+	// several notes.
 	resyncMargin = 500 * time.Millisecond
-	// minGrantUptime is the least uptime of a process that gets a grant; half of it is the most
-	// that an order may be old then.
+	// minGrantUptime is the minimum uptime of a process that gets an initial grant of canary
+	// requests; half of it is the maximum age of the order then.
 	minGrantUptime = 2 * time.Second
-	// statusQueueSize holds services whose status is to be written.
+	// statusQueueSize limits the services whose status waits to be written.
 	statusQueueSize = 64
 )
 
@@ -100,7 +103,7 @@
 	}
 }
 
-// applyOrders takes in what the operator's feed holds of orders.
+// applyOrders applies the orders read from the operator's feed.
 func (r *rollouts) applyOrders(records []Record) {
 	for _, rec := range records {
 		o, err := r.d.codec.Order(rec)
@@ -115,15 +118,15 @@
 	r.markFeedRead()
 }
 
-// markFeedRead notes that orders that come from now on are heard of as they come.
+// markFeedRead records that orders read from now on are new.
 func (r *rollouts) markFeedRead() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.feedRead = true
 }
 
-// applyOrder takes in an order that lies at a place of the store and came at a time. phase is how far
-// it is, nil if that is not told.
+// applyOrder applies an order at a position of the store that came at the time orderedAt. phase is
+// its phase as received from another VM, nil if the order comes from the store.
 func (r *rollouts) applyOrder(o rollout.Order, at Position, orderedAt time.Duration, phase *rollout.Phase) {
 	r.mu.Lock()
 	changed := false
@@ -164,19 +167,20 @@
 	}
 }
 
-// isNew says whether an order that came at a time was heard of as it came, by a process that had
-// started well before: none before it at this VM can have had a grant for it. The lock is held.
+// isNew reports whether an order reached this process as it was issued, at least minGrantUptime
+// after its start: then no earlier process of this VM can have had a grant for it. The caller holds
+// the lock.
 func (r *rollouts) isNew(orderedAt time.Duration) bool {
 	return r.feedRead && orderedAt >= minGrantUptime && r.d.now()-orderedAt < minGrantUptime/2
 }
 
-// isRestoredOrder says whether an order that was replaced by this one comes back from a copy of the store
-// in which the later one is missing. The operator writes that again.
+// isRestoredOrder reports whether an order that this one superseded reappears because the store was
+// restored from a backup without the later one. The operator writes the later one again.
 func (m *rolloutState) isRestoredOrder(o rollout.Order, at Position) bool {
 	return at.Era > m.position.Era && slices.Contains(m.superseded, o.Version)
 }
 
-// allPhasesKnown says whether it is known how far each order is.
+// allPhasesKnown reports whether the phase of each order is known.
 func (r *rollouts) allPhasesKnown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +192,7 @@
 	return true
 }
 
-// advance moves an order to a later phase. The lock is held.
+// advance moves an order to a later phase. The caller holds the lock.
 func (r *rollouts) advance(m *rolloutState, phase rollout.Phase, learned string) {
 	next := m.phase.Merge(phase)
 	if next == m.phase {
@@ -202,7 +206,7 @@
 	case next == rollout.Moving:
 		m.shiftingSince = r.d.now()
 	case next == rollout.Completed && !m.phaseKnown:
-		// Done before this process knew of it: other versions may have come since.
+		// Completed before this process knew of it: other versions may have come since.
 		m.finalSince = r.d.now() - oldVersionGoneAfter
 	case next.Final():
 		m.finalSince = r.d.now()
@@ -210,7 +214,7 @@
 	r.signalChange()
 }
 
-// signalChange has others told soon. The lock is held.
+// signalChange has changes announced to other VMs soon. The caller holds the lock.
 func (r *rollouts) signalChange() {
 	select {
 	case r.changed <- struct{}{}:
@@ -218,14 +222,15 @@
 	}
 }
 
-// setHeld sets the services that are tried but not moved.
+// setHeld sets the services that are kept in the canary phase.
 func (r *rollouts) setHeld(services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held = services
 }
 
-// reserveCanary says whether a request is to try the new version of its service.
+// reserveCanary reserves a canary request for a service and reports whether it may try the new
+// version.
 func (r *rollouts) reserveCanary(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,7 +238,7 @@
 	return m != nil && m.phaseKnown && !m.phase.Final() && m.gate.Take()
 }
 
-// releaseCanary says that a request that was to try the new version did not.
+// releaseCanary returns the reservation of a request that did not try the new version.
 func (r *rollouts) releaseCanary(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,7 +247,7 @@
 	}
 }
 
-// trackedAttempt is one request at an endpoint of a service that moves.
+// trackedAttempt is one attempt of a request at an endpoint of a service under a rollout.
 type trackedAttempt struct {
 	rollouts        *rollouts
 	rollout         *rolloutState
@@ -250,13 +255,13 @@
 	ep              *members.Endpoint
 	startedAt       time.Duration
 	firstEventAfter time.Duration
-	// cold says that the endpoint started a moment ago, so that its times tell nothing.
+	// cold means that the endpoint started a moment ago, so that its times are not representative.
 	cold bool
 }
 
-// beginAttempt notes that a request is about to be sent to an endpoint, on which bytes leave only if ok.
-// What is decided and told meanwhile must not be passed by: the placer may know less. visit is
-// nil if the service does not move.
+// beginAttempt registers a request that is about to be sent to an endpoint; it may be sent only if
+// ok is true. This check sees rollout changes that the placer may not know yet. v is nil if the
+// service has no unfinished rollout.
 func (r *rollouts) beginAttempt(c *caller, ep *members.Endpoint, canary bool) (v *trackedAttempt, ok bool) {
 	if !r.hasOrder(c.service) {
 		return nil, true
@@ -281,14 +286,14 @@
 	return v, true
 }
 
-// hasOrder says whether a service is under an order.
+// hasOrder reports whether a service has a rollout order.
 func (r *rollouts) hasOrder(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byService[service] != nil
 }
 
-// isShifting says whether a service's requests move to another version.
+// isShifting reports whether a service's requests are shifting to another version.
 func (r *rollouts) isShifting(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -296,15 +301,15 @@
 	return m != nil && m.phase == rollout.Moving
 }
 
-// markFirstEvent notes that the endpoint began to answer.
+// markFirstEvent records that the endpoint began to answer.
 func (v *trackedAttempt) markFirstEvent() {
 	if v != nil && v.firstEventAfter == 0 {
 		v.firstEventAfter = v.rollouts.d.now() - v.startedAt
 	}
 }
 
-// finish notes how the request ended. sent says that it was sent, again that it had been sent to
-// another endpoint before.
+// finish records the result of the attempt. sent means that the request was sent, again that it had
+// been sent to another endpoint before.
 func (v *trackedAttempt) finish(a attempt, sent, again bool) {
 	if v == nil {
 		return
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -16,7 +16,7 @@
 
 const testBound = 0.1
 
-// versioned are n endpoints of a version.
+// versioned returns n endpoints of a version.
 func versioned(version string, n int) []*members.Endpoint {
 	var list []*members.Endpoint
 	for i := range n {
@@ -25,13 +25,13 @@
 	return list
 }
 
-// countVersions counts endpoints by version, those on trial apart.
+// countVersions counts endpoints by version, canaries separately.
 func countVersions(list []*members.Endpoint) map[string]int {
 	n := make(map[string]int)
 	for _, e := range list {
 		key := e.Version
 		if e.Trial {
-			key += " on trial"
+			key += " canary"
 		}
 		n[key]++
 	}
@@ -51,15 +51,15 @@
 		list []*members.Endpoint
 		want map[string]int
 	}{
-		{"tried by a few requests", func(m *rolloutState) {}, both, map[string]int{"v1": 20, "v2 on trial": 2}},
-		{"not known how far: the old one", func(m *rolloutState) { m.phaseKnown = false }, both, map[string]int{"v1": 20}},
-		{"not known how far, and no old one: served", func(m *rolloutState) { m.phaseKnown = false }, both[20:], map[string]int{"v2": 20}},
-		{"moving", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 on trial": 20}},
+		{"canary phase", func(m *rolloutState) {}, both, map[string]int{"v1": 20, "v2 canary": 2}},
+		{"phase unknown: old version", func(m *rolloutState) { m.phaseKnown = false }, both, map[string]int{"v1": 20}},
+		{"phase unknown and no old version: new version", func(m *rolloutState) { m.phaseKnown = false }, both[20:], map[string]int{"v2": 20}},
+		{"moving", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 canary": 20}},
 		{"moved", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both, map[string]int{"v2": 20}},
-		{"moved, but the new one is gone", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
+		{"moved, but the new version is gone", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
 		{"rolled back", func(m *rolloutState) { m.phase = rollout.RolledBack }, both, map[string]int{"v1": 20}},
-		{"completed a moment ago", func(m *rolloutState) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
-		{"completed long ago: versions of releases are used", func(m *rolloutState) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
+		{"just completed", func(m *rolloutState) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
+		{"completed long ago: all listed versions are used", func(m *rolloutState) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := testRollout(rollout.Trying)
@@ -69,17 +69,16 @@
 	}
 }
 
-// Symptom: some requests waited 1.8 s and were refused while a service moved, though endpoints
-// stood idle. Sequence: the VM that places has moved all requests; the one that asks it is some
-// ms behind, and passes over each new endpoint as one that is only tried; it then avoids
-// them all when it places by itself, where the old ones are not used any more. Evidence: five
-// lines "held_back" within 5 ms, then "too_late".
+// Guards against requests that wait 1.8 s and are refused while endpoints are idle during a
+// rollout. The placer has shifted all requests; a VM that asks it is some ms behind, rejects each
+// new endpoint as a canary, and then avoids all of them when it places requests itself, where the
+// old ones are no longer used. The log showed five lines "held_back" within 5 ms, then "too_late".
 func TestPlacerIsAheadWhileRequestsMove(t *testing.T) {
 	is := is.New(t)
 	ep := versioned("v2", 1)[0]
 	m := testRollout(rollout.Moving)
 	m.listedOld, m.listedNew = 1, 1
-	is.True(m.admits(0, ep, false, testBound)) // the first moment of the move
+	is.True(m.admits(0, ep, false, testBound)) // the shift has just begun
 	m.phase = rollout.Trying
 	is.True(!m.admits(0, ep, false, testBound))
 	is.True(m.admits(0, ep, true, testBound))
@@ -87,7 +86,7 @@
 	is.True(!m.admits(0, ep, true, testBound))
 }
 
-// A process that starts reads verdicts and orders in any order.
+// A starting process may read verdicts before orders or after them.
 func TestStatusIsReadBeforeTheOrder(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard), Codec: oneStatus{}})
@@ -95,8 +94,8 @@
 	r.loadStatuses([]Record{{Key: "status"}})
 	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
-	// The same order, written again, changes nothing; one for another version begins anew, and an
-	// older one that comes late is nothing.
+	// The same order written again changes nothing, an order for another version starts over, and
+	// an older order that arrives late is ignored.
 	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 5}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
 	r.applyOrder(rollout.Order{Service: "s", Version: "v3", Duration: time.Second}, Position{Offset: 7}, 0, nil)
@@ -105,15 +104,15 @@
 	is.Equal(r.byService["s"].order.Version, "v3")
 }
 
-// oneStatus is a codec for which each record says that a move to v2 was rolled back.
+// oneStatus is a codec that decodes each record as the rollback of a rollout of v2.
 type oneStatus struct{ Codec }
 
 func (oneStatus) RolloutStatus(Record) (*RolloutStatus, error) {
 	return &RolloutStatus{Service: "s", Version: "v2", Phase: rollout.RolledBack}, nil
 }
 
-// A version that nobody ordered is used once it has been listed for a while, those that a
-// process finds at its start at once.
+// A version without an order is used once it has been listed for versionSettleTime; versions found
+// at a process's start are used at once.
 func TestUnorderedVersionsSettle(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
@@ -123,13 +122,13 @@
 	is.Equal(countVersions(d.rollouts.usableEndpoints(time.Second, "s", all)), map[string]int{"v1": 2, "v2": 1})
 	is.True(d.rollouts.inTransition(time.Second + versionSettleTime))
 	is.Equal(countVersions(d.rollouts.usableEndpoints(time.Second+versionSettleTime, "s", all)), map[string]int{"v1": 2, "v2": 1, "v3": 1})
-	// If nothing else is left it does not wait.
+	// The only listed version is used at once.
 	is.Equal(countVersions(d.rollouts.usableEndpoints(4*time.Second, "s", versioned("v4", 1))), map[string]int{"v4": 1})
 }
 
-// Symptom, worked out: a judge's link is full while a service of 112 endpoints moves, and of 500 and
-// more no report fits into a note. Cause: evidence named each endpoint of the new version. What a
-// VM tells stays far below a note, whatever the service's size.
+// Guards against reports that grow with the service. They named each endpoint of the new version:
+// by calculation a judge's link is full during a rollout of a service with 112 endpoints, and with
+// 500 and more no report fits into a note. Reports must stay far below a note's size.
 func TestReportsStaySmall(t *testing.T) {
 	is := is.New(t)
 	e := make(rollout.Evidence)
@@ -154,9 +153,9 @@
 	is.True(size < maxDatagram/2)
 }
 
-// Symptom, by reading: the old endpoints of a failure domain that was cut off would stop under its
-// requests. Sequence: a service moves; a domain falls silent; the others have moved. Cause: only
-// domains that are heard were asked whether anything runs at the old version.
+// Guards against old endpoints that stop under the requests of a partitioned failure domain. A
+// service shifts and a domain falls silent while the others have shifted; only reachable domains
+// were asked whether they are drained. Found by reading the code.
 func TestSilentFailureDomainDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
@@ -174,10 +173,10 @@
 		}
 		return r.allDrained(m, now, pause, judges)
 	}
-	is.True(drained(time.Second)) // no other is known
+	is.True(drained(time.Second)) // no other failure domain is known
 	d.peers.mergeList([]string{"10.0.0.1:1 b", "10.0.0.2:1 c"})
 	is.True(drained(time.Second, "b", "c"))
 	is.True(!drained(time.Second, "b"))
-	is.True(drained(11*time.Second, "b")) // its time is over: taken for dead
-	is.True(!drained(11 * time.Second))   // alone: this side is the one that is cut off
+	is.True(drained(11*time.Second, "b")) // the duration is over: c counts as dead
+	is.True(!drained(11 * time.Second))   // alone: this is the smaller side of the partition
 }
--- a/entry/sharing.go
+++ b/entry/sharing.go
@@ -13,20 +13,20 @@
 	"github.com/chivefield/chivefield/core/mechanism"
 )
 
-// sharedAllowances is this VM's part of the allowances that all VMs share.
+// sharedAllowances holds this VM's share of the allowances that all VMs spend from.
 type sharedAllowances struct {
 	now func() time.Duration
 	set *settings.Entry
 
 	mu     sync.Mutex
 	ledger *allowance.Ledger
-	// vms are all VMs, empty while they are not known; keepers are those that keep
-	// an organisation's allowance.
+	// vms are all VMs, empty until they are known; holders are the VMs that hold a share of an
+	// organisation's allowance.
 	vms     []allowance.VM
 	holders map[string][]allowance.VM
-	// reserves are what requests of a tier must leave over.
+	// reserves is the balance, by tier, that requests of the tier must leave.
 	reserves map[int]float64
-	// pending are requests that wait for amounts of other VMs, by organisation.
+	// pending is the amount, by organisation, that waiting requests need from other VMs.
 	pending      map[string]float64
 	grantArrived chan struct{}
 }
@@ -50,14 +50,14 @@
 	s.ledger.SetTerms(s.now(), terms)
 }
 
-// creditRestartAllowance takes what is kept for processes that start again.
+// creditRestartAllowance adds the allowance reserved for restarted processes.
 func (s *sharedAllowances) creditRestartAllowance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Restarted(s.now())
 }
 
-// setVMs takes in all VMs of the deployment, this one included.
+// setVMs sets the list of all VMs of the deployment, this one included.
 func (s *sharedAllowances) setVMs(vms []allowance.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	s.ledger.SetParts(s.now(), s.shareOf)
 }
 
-// holdersOf are the VMs that keep an organisation's allowance.
+// holdersOf returns the VMs that hold a share of an organisation's allowance.
 func (s *sharedAllowances) holdersOf(organisation string) []allowance.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	return k
 }
 
-// shareOf is this VM's shareOf of an organisation's allowance.
+// shareOf returns this VM's share of an organisation's allowance, from 0 to 1.
 func (s *sharedAllowances) shareOf(organisation string) float64 {
 	k := s.holdersLocked(organisation)
 	if !slices.ContainsFunc(k, func(v allowance.VM) bool { return v.Address == s.set.Listen.Peers }) {
@@ -95,15 +95,15 @@
 }
 
 const (
-	// grantTimeout is how long a request waits for amounts of other VMs. They answer
-	// within a round trip of a few ms.
+	// grantTimeout is how long a request waits for grants of other VMs. They respond within a round
+	// trip of a few ms.
 	grantTimeout = 40 * time.Millisecond
-	// askMoreAfter is after how long more keepers are asked.
+	// askMoreAfter is the delay after which the remaining holders are asked.
 	askMoreAfter = 12 * time.Millisecond
 )
 
-// spend takes an amount off the organisation's allowance. If this VM has too
-// little, it asks others and waits for their answers a moment.
+// spend deducts an amount from the organisation's allowance. If this VM's balance is too low, it
+// asks other VMs for grants and waits up to grantTimeout.
 func (s *sharedAllowances) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.Verdict {
 	s.mu.Lock()
 	v := s.ledger.Spend(s.now(), r)
@@ -151,7 +151,7 @@
 	return s.ledger.Give(s.now(), want)
 }
 
-// receiveGrant takes in what another VM gave, and returns what goes back to it.
+// receiveGrant credits an amount granted by another VM and returns the excess to send back.
 func (s *sharedAllowances) receiveGrant(got allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,10 +161,10 @@
 	return back
 }
 
-// maxReserve is the reserve of the lowest tier; the highest leaves none.
+// maxReserve is the reserve for the lowest tier; the highest has none.
 const maxReserve = 0.5
 
-// reservesByTier spreads the tiers of routes over the reservesByTier.
+// reservesByTier spaces the reserves evenly over the tiers of the routes.
 func reservesByTier(routes []*routing.Route) map[int]float64 {
 	var tiers []int
 	for _, r := range routes {
@@ -189,8 +189,8 @@
 	return s.reserves[tier]
 }
 
-// refund gives back what a request that was not run had spent, and returns what
-// this VM may not keep.
+// refund credits what a request that did not run had spent, and returns the excess that this VM may
+// not keep.
 func (s *sharedAllowances) refund(a allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/sharing_test.go
+++ b/entry/sharing_test.go
@@ -11,7 +11,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Guards against a VM that holds a part of what others have divided without it.
+// Guards against a VM that takes a share of what the others have divided without it.
 func TestNewVMHoldsNoShareUntilOthersCountIt(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
@@ -27,8 +27,8 @@
 	is.Equal(d.shares.shareOf("o"), 1.0/3)
 }
 
-// Guards against a restarted VM that waits for VMs that are gone, though the others have counted it
-// all along.
+// Guards against a restarted VM that waits for VMs that are gone although the others have counted
+// it all along.
 func TestRestartedVMHoldsItsShareAtOnce(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, false), Log: logging.New(io.Discard)})
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -13,20 +13,19 @@
 )
 
 const (
-	// maxRecentSuspects bounds the records of what was learned lately in each note, and those in
-	// turn in each tenth.
+	// maxRecentSuspects limits the recently changed records in each note, and those sent in
+	// rotation in every tenth.
 	maxRecentSuspects = 8
-	// maxStartSuspects bounds what a VM that has just started is told at once by each that hears
-	// of it.
+	// maxStartSuspects limits the records that each VM sends to a newly started process.
 	maxStartSuspects = 64
-	// suspectsPushDelay is how long a VM that saw an endpoint end gathers what it ran there before
-	// it tells others, out of turn: a caller that sends again at once reaches another VM
-	// within a round trip, and with notes in turn alone one endpoint more ends.
+	// suspectsPushDelay is how long a VM that saw an endpoint end collects the requests that ran
+	// there before it sends an extra note. A caller that retries at once reaches another VM within
+	// a round trip; with regular notes alone one more endpoint ends.
 	suspectsPushDelay = 5 * time.Millisecond
-	// suspectKeyPrefix begins the keys of convicted requests in the store.
+	// suspectKeyPrefix starts the keys of convicted requests in the store.
 	suspectKeyPrefix = "suspect-"
-	// maxStoreTries is how often in a row a conviction is written to the store that fails, which
-	// takes up to half a minute, before others get their turn.
+	// maxStoreTries limits the attempts in a row to write one conviction to the store, which take
+	// up to half a minute, before the next one gets its turn.
 	maxStoreTries = 16
 )
 
@@ -40,7 +39,7 @@
 	return m
 }
 
-// digestFromWire is the zero digest for bytes that are none.
+// digestFromWire decodes a digest; bytes of the wrong length give the zero digest.
 func digestFromWire(b []byte) suspect.Digest {
 	var d suspect.Digest
 	if len(b) == len(d) {
@@ -49,10 +48,10 @@
 	return d
 }
 
-// maxWireDuration bounds what others say; longer would wrap.
+// maxWireDuration limits durations received from other VMs; longer ones would overflow.
 const maxWireDuration = 365 * 24 * time.Hour
 
-// durationFromWire is a time in ms that another VM tells, within bounds.
+// durationFromWire decodes a duration in ms, limited to maxWireDuration.
 func durationFromWire(ms uint64) time.Duration {
 	return time.Duration(min(ms, uint64(maxWireDuration.Milliseconds()))) * time.Millisecond
 }
@@ -75,7 +74,8 @@
 	return encoded
 }
 
-// forNote is what a note tells: what was learned lately and, in some notes, of all in turn.
+// forNote returns the records for a note: those changed recently and, with inTurn, some of all in
+// rotation.
 func (s *suspects) forNote(inTurn bool) []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,14 +86,14 @@
 	return suspectsToWire(list)
 }
 
-// forNewProcess is what a process that has just started is told.
+// forNewProcess returns the records to send to a newly started process.
 func (s *suspects) forNewProcess() []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return suspectsToWire(s.ledger.Worst(s.d.now(), maxStartSuspects))
 }
 
-// mergeRemote takes in what another VM knows.
+// mergeRemote merges records received from another VM.
 func (s *suspects) mergeRemote(list []*schema.Suspect) {
 	if len(list) > 0 {
 		s.merge(list, learnedTold)
@@ -109,7 +109,7 @@
 	s.handleChanges(learned)
 }
 
-// pushUpdates tells those who get the i-th note what was just learned.
+// pushUpdates sends recent changes at once to the recipients of the i-th round of notes.
 func (p *peers) pushUpdates(i uint64) {
 	n := p.newNote()
 	n.Suspects, n.Notices = p.d.suspects.forNote(false), p.d.notices.forNote(false)
@@ -120,8 +120,8 @@
 	p.writeAll(p.encode(n), slices.Concat(to.Loads, to.State, to.Heartbeats))
 }
 
-// sendStartState tells a process that was not heard before what it must not learn late: which
-// requests end endpoints, which versions get few requests, and what endpoints say of themselves.
+// sendStartState sends a newly seen process the state that it must not learn late: requests that
+// crash endpoints, rollouts, whose new versions get few requests, and notices of endpoints.
 func (p *peers) sendStartState(pe *peer) {
 	n := p.newNote()
 	n.Suspects, n.Rollouts, n.Notices = p.d.suspects.forNewProcess(), p.d.rollouts.forNote(), p.d.notices.forNewProcess()
@@ -130,11 +130,11 @@
 	}
 }
 
-// isSuspectRecord says whether a record of the store is a convicted request's.
+// isSuspectRecord reports whether a record of the store is that of a convicted request.
 func isSuspectRecord(r Record) bool { return strings.HasPrefix(r.Key, suspectKeyPrefix) }
 
-// loadStored takes in the convictions of the store, once in a process's life: later ones are told by
-// notes, and a record says how long ago it was written by no clock that could be trusted.
+// loadStored loads the convictions in the store, once per process. Later ones arrive in notes; the
+// store's records carry no age, since no clock that could tell it can be trusted.
 func (s *suspects) loadStored(records []Record) {
 	if s.storeRead {
 		return
@@ -155,8 +155,8 @@
 	s.merge(list, learnedStore)
 }
 
-// updateStored has a conviction written to the store, or its end, by the VM that saw it. The lock
-// is held.
+// updateStored queues a new conviction, or the end of one, for writing to the store if this VM saw
+// it. The caller holds the lock.
 func (s *suspects) updateStored(c suspect.Change, learned string) {
 	switch {
 	case c.WasConvicted():
@@ -173,9 +173,9 @@
 	}
 }
 
-// storeConvicted has convictions written that this VM was told, if it reads the store for its
-// failure domain: the VM that saw one may be lost before the store takes it, and with it
-// the conviction, if all VMs are killed while the store is away. The lock is held.
+// storeConvicted queues convictions received from other VMs for writing if this VM reads the store
+// for its failure domain. The VM that saw one may be lost before it has written it, and the
+// conviction with it if all VMs are killed while the store is away. The caller holds the lock.
 func (s *suspects) storeConvicted() {
 	convicted := s.ledger.Convicted()
 	if len(convicted) == 0 || !s.d.peers.reads() {
@@ -189,7 +189,7 @@
 	}
 }
 
-// rewriteStored has convictions written again that the store may have lost.
+// rewriteStored queues convictions again that a restore of the store may have lost.
 func (s *suspects) rewriteStored() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +197,7 @@
 	s.storeConvicted()
 }
 
-// enqueueStore has the store's record of a request written, or removed. The lock is held.
+// enqueueStore queues the writing or removal of a request's record. The caller holds the lock.
 func (s *suspects) enqueueStore(d suspect.Digest) {
 	select {
 	case s.storeQueue <- d:
@@ -208,8 +208,8 @@
 	}
 }
 
-// processStoreQueue writes convictions to the store, so that they outlast a restart of all VMs, until ctx
-// ends.
+// processStoreQueue writes convictions to the store until ctx ends, so that they survive a restart
+// of all VMs.
 func (s *suspects) processStoreQueue(ctx context.Context) error {
 	for {
 		select {
@@ -241,7 +241,7 @@
 	delete(s.stored, d)
 }
 
-// storeValue is the record in the store of a request; nothing if it is not convicted any more.
+// storeValue encodes the store's record of a request, nil if the request is no longer convicted.
 func (s *suspects) storeValue(d suspect.Digest) ([]byte, error) {
 	s.mu.Lock()
 	r, ok := s.ledger.Record(s.d.now(), d)
--- a/entry/suspect_notes_test.go
+++ b/entry/suspect_notes_test.go
@@ -11,7 +11,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// recordWithEnds is a request under which n endpoints ended.
+// recordWithEnds returns the record of a request under which n endpoints ended.
 func recordWithEnds(n int) suspect.Record {
 	r := suspect.Record{Digest: suspect.Identity{Target: "/a"}.Digest(), Cleared: 1, Quiet: 90 * time.Second}
 	for i := range n {
@@ -20,7 +20,7 @@
 	return r
 }
 
-// What a note says of a request comes out as it went in, and what cannot be true says nothing.
+// Records survive encoding and decoding; impossible values are ignored.
 func TestSuspectsInNotes(t *testing.T) {
 	is := is.New(t)
 	want := recordWithEnds(3)
@@ -34,8 +34,8 @@
 	is.True(suspectFromWire(&schema.Suspect{QuietMs: 1 << 63}).Quiet == maxWireDuration)
 }
 
-// The records that each note may carry fit beside its loads, and what a VM that has just
-// started is told fits into one datagram.
+// The records in each note fit beside its loads, and those sent to a newly started VM fit into one
+// datagram.
 func TestSuspectsFitIntoNotes(t *testing.T) {
 	is := is.New(t)
 	for ends, most := range map[int]int{1: 60, 3: 120, 8: 250} {
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -17,51 +17,52 @@
 	"github.com/chivefield/chivefield/upstream"
 )
 
-// reasonEndsEndpoints is why a request is refused under which endpoints ended. It gets no
-// time to come back: it would be refused again.
+// reasonEndsEndpoints is the reason for refusing a request that crashed endpoints. The refusal
+// names no time to retry after: a retry would be refused again.
 const reasonEndsEndpoints = "ends_endpoints"
 
-// endedTTL is how long this VM remembers that an incarnation has ended: other requests that
-// were there are found to be cut some ms later, those that fell silent some seconds.
+// endedTTL is how long this VM remembers that an incarnation has ended: other requests there are
+// found cut off some ms later, those that fell silent some seconds later.
 const endedTTL = 10 * time.Second
 
-// suspects finds out which requests end the endpoints that run them, and keeps them from
-// running. What was seen and told goes into a ledger, which judges; here are the ways in which
-// a cut, an end and an answer are seen:
+// suspects detects poison requests, which crash the endpoints that run them, and keeps them from
+// running. Sightings from this VM and others go into a ledger, which decides. This file detects the
+// cuts, ends and responses that the ledger records:
 //
-//   - A cut: the connection broke under a request, or was given up for silence, while the
-//     registry listed the incarnation and it had not said that it leaves. Answers that
-//     came and cannot be passed on are none.
-//   - An end: after a cut a connection is opened at once, and refused, while others of the
-//     failure domain take connections; or another incarnation answers there; or the
-//     registry drops the entry, three to four seconds later, or lists another start under
-//     the id. Until one of these is seen the cut counts for trials only.
-//   - An answer of the incarnation to anything that was sent after the cut says that it lives.
+//   - A cut: the connection of a request broke, or was given up for silence, while the registry
+//     listed the incarnation and it had not announced that it leaves. Responses that were
+//     received but cannot be passed on are no cuts.
+//   - An end, the unexpected termination of an incarnation: after a cut a new connection is
+//     opened at once, and is refused while other endpoints of the failure domain accept
+//     connections; or another incarnation responds there; or the registry drops the entry,
+//     three to four seconds later, or lists another start under the id. Until one of these is
+//     seen the cut counts only towards quarantining the request.
+//   - A response of the incarnation to anything sent after the cut proves that it is alive.
 type suspects struct {
 	d *Daemon
 
 	mu     sync.Mutex
 	ledger *suspect.Ledger
-	// unanswered are the requests here that no endpoint has answered yet. When one is
-	// convicted the others of its digest are stopped: in an endpoint's queue they have not
-	// run yet, and closing their connections may spare it.
+	// unanswered holds the requests here that no endpoint has answered yet. When a digest is
+	// convicted its other requests are stopped: those in an endpoint's queue have not run yet, and
+	// closing their connections may spare the endpoint.
 	unanswered map[suspect.Digest]map[*caller]context.CancelFunc
-	// probing are the incarnations to which a connection is being opened, ended those
-	// that have ended, with the time.
+	// probing holds the incarnations to which a connection is being opened, ended those that have
+	// ended, with the time.
 	probing map[uint64]bool
 	ended   map[uint64]time.Duration
-	// storeRead says that the store's records were taken in.
+	// storeRead reports whether the store's records were loaded.
 	storeRead bool
-	// urgent says that something was seen here that others should hear at once.
+	// urgent signals a sighting that other VMs should receive at once.
 	urgent chan struct{}
-	// stored are the convictions that the store has, or will have, by this VM's doing or as it
-	// read there.
+	// stored holds the convictions that the store has or will have: written by this VM or read
+	// there.
 	stored map[suspect.Digest]bool
-	// storeQueue are digests whose record in the store is to be written or removed.
+	// storeQueue holds digests whose record in the store is to be written or removed.
 	storeQueue chan suspect.Digest
 }
 
-// storeQueueSize holds convictions until they are written; each takes three ends of endpoints.
+// storeQueueSize limits the convictions waiting to be written; each takes three ends of endpoints.
 const storeQueueSize = 64
 
 func newSuspects(d *Daemon) *suspects {
@@ -86,7 +87,7 @@
 	return s.ledger.Look(d)
 }
 
-// suspicionFor is how carefully a request is placed.
+// suspicionFor returns how carefully a request is placed.
 func suspicionFor(v suspect.View) dispatch.Suspicion {
 	switch {
 	case v.OnTrial():
@@ -97,8 +98,8 @@
 	return dispatch.Unsuspected
 }
 
-// admit says whether a request may run. It is stopped by stop if that changes before an
-// endpoint answers it; over must follow.
+// admit reports whether a request may run. If the request is convicted before an endpoint answers
+// it, stop is called. The caller must call unregister afterwards.
 func (s *suspects) admit(c *caller, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,14 +113,14 @@
 	return true
 }
 
-// unregister says that a request need not be stopped any more.
+// unregister removes a request from those that a conviction stops.
 func (s *suspects) unregister(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unregisterLocked(c)
 }
 
-// unregisterLocked takes a request out of those that wait. The lock is held.
+// unregisterLocked is unregister for a caller that holds the lock.
 func (s *suspects) unregisterLocked(c *caller) {
 	delete(s.unanswered[c.digest], c)
 	if len(s.unanswered[c.digest]) == 0 {
@@ -127,7 +128,8 @@
 	}
 }
 
-// recordAnswerStart says that an endpoint began to answer a request that was sent at a time.
+// recordAnswerStart records that an endpoint began to answer a request that was sent at the time
+// sent.
 func (s *suspects) recordAnswerStart(c *caller, ep *members.Endpoint, sent time.Duration, reply Reply) {
 	if reply.Replaced {
 		return
@@ -141,8 +143,8 @@
 	s.handleChanges(learnedSeen)
 }
 
-// recordSuccess says that an endpoint gave a request its whole answer. Of one that ends with its
-// connection nobody can say that it is whole.
+// recordSuccess records that an endpoint gave a request a complete response. A response that ends
+// with its connection is ignored: it may be incomplete.
 func (s *suspects) recordSuccess(d suspect.Digest, ans *upstream.Answer) {
 	if ans.Unframed() {
 		return
@@ -153,18 +155,18 @@
 	s.handleChanges(learnedSeen)
 }
 
-// isConnectionBroken says whether an error means that a connection ended, not that what came over it
-// cannot be understood.
+// isConnectionBroken reports whether an error means that a connection ended, as opposed to one
+// about unreadable data.
 func isConnectionBroken(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE) || errors.Is(err, context.Canceled) || errors.Is(err, net.ErrClosed)
 }
 
-// isConnectionRefused says whether nothing listens at an address.
+// isConnectionRefused reports whether an error means that nothing listens at an address.
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// recordAttempt takes in how a try at an endpoint ended that was sent at a time. generation is what was
-// known then.
+// recordAttempt records how an attempt that was sent at the time sent ended. generation is the
+// request's generation in the ledger at that time.
 func (s *suspects) recordAttempt(c *caller, ep *members.Endpoint, sent time.Duration, generation int, a attempt) {
 	switch {
 	case a.cut:
@@ -176,10 +178,11 @@
 	}
 }
 
-// recordCut notes that a request was recordCut off at an endpoint, and finds out whether that ended.
+// recordCut records that a request was cut off at an endpoint, and probes whether the endpoint
+// ended.
 func (s *suspects) recordCut(d suspect.Digest, ep *members.Endpoint, sent time.Duration, generation int) {
 	if !s.d.sched.serving(ep) {
-		// It leaves, or left, as it was told to.
+		// The endpoint was told to leave: the cut is expected.
 		return
 	}
 	hash := dispatch.NameOf(ep.Key())
@@ -194,7 +197,8 @@
 	s.probeIfWatched(ep)
 }
 
-// probeIfWatched finds out whether an incarnation has ended under which something was cut off.
+// probeIfWatched probes an incarnation under which a request was cut off, unless it is known to
+// have ended or is being probed.
 func (s *suspects) probeIfWatched(ep *members.Endpoint) {
 	hash := dispatch.NameOf(ep.Key())
 	s.mu.Lock()
@@ -206,12 +210,12 @@
 	go s.probe(ep)
 }
 
-// probe opens a connection to an endpoint under which one broke. Requests that wait for a
-// place need not find out one by one.
+// probe opens a connection to an endpoint after a connection to it broke. Requests that wait for a
+// place then need not find out one by one.
 //
 // A VM whose own link refuses connections would take every endpoint behind it for ended, and a
-// stream that goes on elsewhere would have several ends. So connections must open to
-// others of its failure domain; else the registry's word is awaited.
+// stream that continues elsewhere would count several ends. So connections to other endpoints of
+// the failure domain must succeed; otherwise the registry decides.
 func (s *suspects) probe(ep *members.Endpoint) {
 	err := s.d.openTo(dispatch.Probe{Key: ep.Key(), Address: ep.Address})
 	ended := false
@@ -231,14 +235,14 @@
 	}
 }
 
-// How an end was seen, in logs.
+// How an end was detected, in logs.
 const (
 	howRefused  = "connection_refused"
 	howReplaced = "replaced"
 	howDropped  = "dropped_by_registry"
 )
 
-// recordEnd notes that an incarnation has ended.
+// recordEnd records that an incarnation has ended.
 func (s *suspects) recordEnd(key, how string) {
 	hash := dispatch.NameOf(key)
 	s.mu.Lock()
@@ -258,7 +262,7 @@
 	s.handleChanges(learnedSeen)
 }
 
-// hasEnded says whether an incarnation is known to have ended.
+// hasEnded reports whether an incarnation is known to have ended.
 func (s *suspects) hasEnded(ep *members.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,7 +270,7 @@
 	return ended
 }
 
-// recordDepartures takes in what the registry says.
+// recordDepartures records incarnations that the registry dropped or that announced leaving.
 func (s *suspects) recordDepartures(list []members.Departure) {
 	for _, dep := range list {
 		if !dep.Leaving {
@@ -280,7 +284,7 @@
 	}
 }
 
-// expire forgets what is over.
+// expire drops expired entries.
 func (s *suspects) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,17 +299,17 @@
 	s.storeConvicted()
 }
 
-// Where something was learned, in logs.
+// Where a change was learned, in logs.
 const (
 	learnedSeen  = "seen"
 	learnedTold  = "told"
 	learnedStore = "store"
 )
 
-// changeEvents names the changes in logs.
+// changeEvents maps the kinds of changes to log events.
 var changeEvents = [...]string{"request_suspected", "request_convicted", "request_cleared", "request_forgotten"}
 
-// handleChanges logs what the ledger's last step changed, and acts on it. The lock is held.
+// handleChanges logs the ledger's latest changes and acts on them. The caller holds the lock.
 func (s *suspects) handleChanges(learned string) {
 	for _, c := range s.ledger.Changes() {
 		if learned == learnedSeen && c.Level > c.Was {
@@ -320,7 +324,8 @@
 		}
 		s.updateStored(c, learned)
 		if c.Level <= 1 && !c.WasConvicted() && learned != learnedSeen {
-			// Each neighbour of each endpoint that ends, at each VM.
+			// Not logged: each VM would log every request that ran beside a poison request on each
+			// endpoint that ends.
 			continue
 		}
 		hashes := make([]string, 0, len(c.Endpoints))
@@ -332,7 +337,8 @@
 	}
 }
 
-// stopUnanswered ends the requests of a digest that no endpoint has answered. The lock is held.
+// stopUnanswered stops the requests of a digest that no endpoint has answered. The caller holds the
+// lock.
 func (s *suspects) stopUnanswered(d suspect.Digest) {
 	if s.ledger.Look(d).Released {
 		return
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -10,66 +10,66 @@
 )
 
 const (
-	// configWaitShare is the share of the time in which a configuration must be in force that a
-	// read of it waits for a change, and leastWait the least. A connection that fell silent
-	// is noticed a margin after it.
+	// configWaitShare is the fraction of the time within which a configuration must be in force
+	// that a read of it waits for a change, and minConfigWait the minimum. The remainder is the
+	// margin for noticing a connection that fell silent.
 	configWaitShare = 0.75
 	minConfigWait   = 2 * time.Second
-	// followCheckInterval is how often a VM looks whether others still read the store.
+	// followCheckInterval is how often a VM checks whether another VM still reads the
+	// configuration.
 	followCheckInterval = 300 * time.Millisecond
-	// relaySilenceShare and everyShare are shares of the time after which a leaving endpoint
-	// must get nothing more: how long a VM waits for what others read of the registry
-	// before it reads itself, a quarter more with spread, and how often the reader reads.
-	// Endpoints write there each second or so, so a waiting read would return at once each
-	// time.
+	// relaySilenceShare and endpointsIntervalShare are fractions of the time after which a leaving
+	// endpoint must get no more requests: how long a VM waits for a relay of registry changes
+	// before it reads the store, up to a quarter more with jitter, and how often the reader reads.
+	// The reader polls: endpoints write every second or so, so that a long poll would return at
+	// once each time.
 	relaySilenceShare      = 0.6
 	endpointsIntervalShare = 0.35
-	// maxEndpointsInterval and mostSilence bound them: endpoints that come are used as late as this.
+	// maxEndpointsInterval and maxRelaySilence bound them: new endpoints get requests this much
+	// later at most.
 	maxEndpointsInterval = 1500 * time.Millisecond
 	maxRelaySilence      = 2600 * time.Millisecond
-	// minRetryPause is the pause after a first failed call to the store, with spread.
+	// minRetryPause is the pause after a first failed call to the store, before jitter.
 	minRetryPause = 300 * time.Millisecond
 	// startRetryPause bounds the pause of a process that cannot serve yet.
 	startRetryPause = 2 * minRetryPause
 )
 
-// fraction is a share of a time.
+// fraction returns a share of a duration.
 func fraction(share float64, of time.Duration) time.Duration {
 	return time.Duration(share * float64(of))
 }
 
-// configWait is how long a read of the configuration waits for a change.
+// configWait returns how long a read of the configuration waits for a change.
 func (d *Daemon) configWait() time.Duration {
 	return max(minConfigWait, fraction(configWaitShare, d.set.InForce))
 }
 
-// relaySilence is how long a VM waits for what others read of the registry.
+// relaySilence returns how long a VM waits for a relay before it reads the registry itself.
 func (d *Daemon) relaySilence() time.Duration {
 	return min(maxRelaySilence, fraction(relaySilenceShare, d.set.Drain))
 }
 
-// endpointsInterval is how often the registry is read.
+// endpointsInterval returns how often the reader reads the registry.
 func (d *Daemon) endpointsInterval() time.Duration {
 	return min(maxEndpointsInterval, fraction(endpointsIntervalShare, d.set.Drain))
 }
 
-// backoff is the pause before a call to the store is repeated. It doubles with each failure in
-// a row: a store that turns all away, or is down, otherwise gets a call from each VM three
-// times a second for each feed. It stays within the time in
-// which VMs that hear nothing look for themselves, so that all have caught up soon after
-// the store's return.
+// backoff computes the pause before a call to the store is retried. The pause doubles with each
+// failure in a row: otherwise a store that is down or refuses all calls gets three calls a second
+// from each VM for each feed. It stays within the time after which a VM without relays reads the
+// store, so that all VMs have caught up soon after the store's return.
 type backoff struct{ pause time.Duration }
 
-// next returns the next pause. most bounds it.
+// next returns the next pause, at most longest.
 func (r *backoff) next(longest time.Duration) time.Duration {
 	r.pause = min(longest, max(minRetryPause, 2*r.pause))
 	return r.pause
 }
 
-// reset begins anew.
 func (r *backoff) reset() { r.pause = 0 }
 
-// maxRetryPause bounds the pause between two failed calls.
+// maxRetryPause returns the limit of the pause between two failed calls.
 func (d *Daemon) maxRetryPause() time.Duration {
 	if !d.knowsAll() {
 		return startRetryPause
@@ -77,11 +77,11 @@
 	return d.relaySilence()
 }
 
-// jitter is d, more or less by up to a quarter.
+// jitter returns d changed at random by up to a quarter of it either way.
 func jitter(d time.Duration) time.Duration { return d*3/4 + rand.N(d/2+1) }
 
-// sleepJittered waits for d, with a spread of half of it, so that VMs do not call the
-// store at the same moments.
+// sleepJittered waits for d with jitter, so that VMs do not call the store at the same moments. It
+// reports false if ctx ended first.
 func sleepJittered(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(jitter(d))
 	defer t.Stop()
@@ -93,29 +93,30 @@
 	}
 }
 
-// feedCursor is a place in a feed of the store.
+// feedCursor tracks the read position in a feed of the store.
 type feedCursor struct {
 	store Store
 	feed  Feed
-	// next is where to read on. Its era is the latest that this feed heard of; it is kept
-	// when known is not set, so that a copy is noticed after an outage too.
+	// next is the position to read from next; it is valid if known is set. Its era is the latest
+	// that this feed has seen; it is kept when known is cleared, so that a restore of the store is
+	// also noticed after an outage.
 	next  Position
 	known bool
-	// readBefore says that the feed was read before.
+	// readBefore reports whether the feed was ever read.
 	readBefore bool
 }
 
-// readResult is what a read of a feed gave.
+// readResult is the result of reading a feed.
 type readResult struct {
 	records []Record
-	// full says that they are all that the feed holds, restored that the store has come back
-	// from a copy of itself since the last read: they may be older than what was read before.
+	// full means that the records are all that the feed holds, restored that the store was restored
+	// from a backup since the last read, so that records may be older than those read before.
 	full, restored bool
 }
 
-// read returns records since the last read. After a failure everything is read again, since an
-// outage may have hidden what was removed; and if the store came back from a copy, since
-// offsets were given out again: a reader that went on from its own would miss what lies before.
+// read returns the records since the last read. It reads the whole feed after a failure, since an
+// outage may hide removals, and after the store was restored from a backup: offsets were assigned
+// again, and a reader that continued at its own would miss the records below it.
 func (c *feedCursor) read(ctx context.Context, wait time.Duration) (readResult, error) {
 	if !c.known {
 		return c.readAll(ctx)
@@ -129,7 +130,7 @@
 		c.known = false
 		return readResult{}, err
 	case next.Era < c.next.Era:
-		// An answer from before the copy that was long under way.
+		// A delayed response from before the restore.
 		return readResult{}, nil
 	}
 	c.next = next
@@ -150,7 +151,7 @@
 	return readResult{records: records, full: true, restored: restored}, nil
 }
 
-// storeHealth logs when the store is lost and regained.
+// storeHealth tracks whether reads of a feed fail, to log when the store is lost and regained.
 type storeHealth struct {
 	lost  bool
 	since time.Time
@@ -170,11 +171,10 @@
 	}
 }
 
-// followConfig keeps the configuration in force up to date. One VM of each
-// failure domain reads the store; the others hear of a new version from any VM and
-// fetch it there. A VM that hears of no reader reads for itself. Before the first version
-// is written they wait for it alike, or all VMs of a start would read, one call each two
-// seconds.
+// followConfig keeps the configuration in force up to date. One VM of each failure domain reads the
+// store; the others learn of a new version from any VM's notes and fetch it there. A VM that knows
+// of no reader reads the store. Before the first version is written the other VMs wait in the same
+// way: otherwise all VMs of a starting deployment would read, one call every two seconds each.
 func (d *Daemon) followConfig(ctx context.Context) error {
 	c := feedCursor{store: d.opts.Store, feed: FeedConfig}
 	var health storeHealth
@@ -196,7 +196,8 @@
 		}
 		delay.reset()
 		readBefore = true
-		// Orders first: a service that moves must not use its new endpoints before.
+		// Orders come first: a service with a rollout order must not use its new endpoints before
+		// the order is known.
 		d.rollouts.applyOrders(got.records)
 		d.observeEra(c.next.Era)
 		for _, r := range got.records {
@@ -209,7 +210,7 @@
 	return nil
 }
 
-// fetchConfigs takes newer versions from VMs that were heard to serve by them.
+// fetchConfigs fetches newer versions of the configuration from VMs whose notes announce them.
 func (d *Daemon) fetchConfigs(ctx context.Context) error {
 	for {
 		select {
@@ -232,7 +233,7 @@
 	}
 }
 
-// applyConfig puts a document in force if it is newer than the one in force.
+// applyConfig puts a document in force if it is newer than the current one.
 func (d *Daemon) applyConfig(r Record) {
 	doc, err := d.codec.Config(r)
 	if err != nil {
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -21,8 +21,8 @@
 	"github.com/chivefield/chivefield/settings"
 )
 
-// A VM whose processes are killed one after the other takes what is kept for restarts once:
-// each finds the start of the one before in the store.
+// A VM whose processes are killed in series claims the restart allowance once: each process finds
+// its predecessor's start in the store.
 func TestRestartsInSeriesClaimOnce(t *testing.T) {
 	is := is.New(t)
 	const window = 8 * time.Second
@@ -41,7 +41,7 @@
 		stored = self.String()
 	}
 	is.Equal(claims, 1)
-	// Records of older processes do not tell their start, and notes name VMs without it.
+	// Records of older processes have no start time, and neither do list entries in notes.
 	last, err := parseVMRecord(listEntry(vm))
 	is.NoErr(err)
 	is.True(!mayClaimRestart(last, vmRecord{VM: vm, started: start}, window))
@@ -51,7 +51,7 @@
 	is.True(err != nil)
 }
 
-// callLog is a store that notes the calls on the list of VMs.
+// callLog is a store that records the calls on the list of VMs.
 type callLog struct {
 	Store
 	calls []string
@@ -71,10 +71,9 @@
 	return nil
 }
 
-// Symptom: 23,000 requests of a day with 63 VMs were refused for their allowance, eleven
-// before. Sequence: all VMs start together; each reads the list of VMs and then writes its
-// own record; the list is a part, and counts as whole for a minute. Cause: the order. What
-// counts as whole is read after the record was written.
+// Guards against requests refused for their allowance: 23,000 in a day with 63 VMs, where it had
+// been eleven. All VMs start together; each reads the list of VMs before it writes its own record,
+// and takes the partial list for complete for a minute. The list must be read after the write.
 func TestListOfVMsIsReadAfterTheRecordWasWritten(t *testing.T) {
 	is := is.New(t)
 	for _, first := range []bool{true, false} {
@@ -113,10 +112,10 @@
 	return set
 }
 
-// Symptom: a calm day of 295 VMs made 8,900 calls to the store, most of them in the first
-// seconds. Sequence: all VMs start; each learns the list of VMs and hears the others in
-// turns, over seconds; meanwhile most take themselves for the reader. Cause: the reader
-// followed from those that had been heard. Of 49 VMs that know each other, one reads.
+// Guards against most VMs taking themselves for the reader at a start: a calm day of 295 VMs made
+// 8,900 calls to the store, most of them in the first seconds. VMs learn the list at once but hear
+// from each other in rotation, over seconds, and the reader was chosen among those heard from. Of
+// 49 VMs that know each other exactly one must read.
 func TestOneVMReadsBeforeNotesArrive(t *testing.T) {
 	is := is.New(t)
 	var entries []string
@@ -136,12 +135,12 @@
 	is.Equal(readers, 1)
 }
 
-// noStatuses is a codec that finds no statuses of roll-outs among the records of VMs.
+// noStatuses is a codec that finds no rollout statuses among the VM records.
 type noStatuses struct{ Codec }
 
 func (noStatuses) RolloutStatus(Record) (*RolloutStatus, error) { return nil, nil }
 
-// restartStore has the record that this VM's process before wrote, beside another's.
+// restartStore holds the record of this VM's previous process and that of another VM.
 type restartStore struct {
 	callLog
 	own string
@@ -157,11 +156,11 @@
 	return s.callLog.Write(ctx, records...)
 }
 
-// Symptom: 8,000 calls more on a day on which 295 VMs were killed at once, some of them
-// needless reads of the list of VMs. Sequence: a restarted process reads the list, writes its
-// record, reads the list again. Cause: the second reading is needed
-// only for VMs that are new, which those that start beside them do not know. A VM whose own
-// record was in the first list reads once; one at a new address twice.
+// Guards against needless reads of the list of VMs: part of 8,000 additional calls on a day on
+// which 295 VMs were killed at once. A restarted process read the list, wrote its record and read
+// the list again. The second read is needed only for a new VM, which VMs that start at the same
+// time do not know. A VM whose own record is in the first list reads once; one at a new address
+// twice.
 func TestRestartedVMReadsTheListOnce(t *testing.T) {
 	for own, calls := range map[string][]string{
 		"127.0.0.1:3 a 1786786484342": {"read", "write"},
@@ -178,8 +177,8 @@
 	}
 }
 
-// Symptom: 49,339 lines in the first moments of 295 VMs. Sequence: the endpoints register
-// one after the other; what the reader passes on names many; each VM logs each of them.
+// Guards against a log line per endpoint and VM: 49,339 lines in the first moments of 295 VMs. The
+// endpoints register one after the other and each relay names many of them.
 func TestManyChangesAreLoggedInOneLine(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -197,11 +196,10 @@
 	is.True(out.Len() < 1000)
 }
 
-// Symptom: 1,085 reads of the registry in the start of 295 VMs, where 6 read for all.
-// Sequence: the endpoints register; the reader passes on 82 that changed, in a note of over
-// 32 KB, which is not sent; the others hear nothing for 1.2 s and read. Cause: what was read
-// went into one note whatever its length. A VM takes the parts in order, and one that
-// misses a part notices.
+// Guards against relays too large to send: 1,085 reads of the registry at the start of 295 VMs,
+// where 6 VMs read for all. The reader relayed 82 changed endpoints in one note of over 32 KB,
+// which was not sent; the others received nothing for 1.2 s and read the registry. Relays must be
+// split; a VM applies the parts in order and detects a missing one.
 func TestLongRelaysGoInParts(t *testing.T) {
 	is := is.New(t)
 	var records []Record
@@ -233,9 +231,9 @@
 	is.True(unpack(&schema.EndpointRelay{Packed: []byte("no such thing")}) != nil)
 }
 
-// Symptom: 831 calls to the store on a calm day of 23 VMs, a fifth of what the day was worth,
-// three in four of them by readers that looked for changes twice as often as the operator's
-// bounds ask. The times follow the bounds, and keep within them.
+// Guards against readers that poll twice as often as the operator's bounds require: 831 calls to
+// the store on a calm day of 23 VMs, three in four of them by such readers, a fifth of that day's
+// score. The intervals must follow the bounds and stay within them.
 func TestReadersKeepToTheOperatorsBounds(t *testing.T) {
 	is := is.New(t)
 	set := testSettings(t, true)
@@ -256,11 +254,10 @@
 	}
 }
 
-// Symptom: 10,055 calls on a day on which all of 295 VMs were killed once and the store
-// turned all away for 4.5 s. Sequence: the reader fails; nobody hears of the registry, so
-// all look for themselves; each is turned away and asks again after 0.3 s, for each feed.
-// Cause: the pause after a failed call did not grow. Of one feed, for the time that a store
-// is away, a VM makes few calls, and one soon after its return.
+// Guards against constant retry pauses: 10,055 calls on a day on which all of 295 VMs were killed
+// once and the store refused all calls for 4.5 s. The reader fails; no relays arrive, so all VMs
+// read the store, are refused and retry after 0.3 s for each feed. For one feed a VM must make few
+// calls during an outage, and one soon after its end.
 func TestRetriesAgainstALostStoreBackOff(t *testing.T) {
 	is := is.New(t)
 	d := startedAgo(t, time.Minute)
