--- a/entry/notes.go
+++ b/entry/notes.go
@@ -252,11 +252,11 @@
 
 // endpointLoads returns this VM's load at the endpoints it uses. With paces it includes the other
 // endpoints whose event gap this VM knows.
-func (s *scheduling) endpointLoads(paces bool) []*schema.EndpointUse {
+func (s *scheduling) endpointLoads(withGaps bool) []*schema.EndpointUse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*schema.EndpointUse
-	for _, u := range s.sched.Uses(s.now(), paces) {
+	for _, u := range s.sched.Uses(s.now(), withGaps) {
 		list = append(list, &schema.EndpointUse{
 			Endpoint: u.Name, Running: uint32(u.Running), Waiting: uint32(u.Waiting),
 			PromptTokens: uint32(u.PromptTokens), EventGapUs: uint32(u.Gap.Microseconds()), FreshGapUs: uint32(u.Fresh.Microseconds()), Doubted: u.Doubted, Gone: u.Gone, Ejected: u.Ejected,
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -165,11 +165,11 @@
 
 // forNote returns the records for a note: those changed recently and, with inTurn, some of all in
 // rotation.
-func (n *notices) forNote(inTurn bool) []*schema.EndpointNotice {
+func (n *notices) forNote(inRotation bool) []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	list := n.ledger.Hot(n.d.now(), maxRecentNotices)
-	if inTurn {
+	if inRotation {
 		list = append(list, n.ledger.Turn(n.d.now(), maxRotatedNotices)...)
 	}
 	return noticesToWire(list)
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -35,10 +35,10 @@
 )
 
 // apply merges records into the cache; whole means that they replace its content.
-func (g *registryCache) apply(records []Record, whole bool, next Position) {
+func (g *registryCache) apply(records []Record, full bool, next Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if whole {
+	if full {
 		g.records = make(map[string]Record, len(records))
 		g.complete = true
 	}
@@ -226,29 +226,29 @@
 func (g *registryCache) restoreDiff(records []Record, before, next Position) *schema.EndpointRelay {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	part := &schema.EndpointRelay{From: next.Offset, Next: next.Offset, Era: next.Era}
+	relay := &schema.EndpointRelay{From: next.Offset, Next: next.Offset, Era: next.Era}
 	if !g.complete || g.next != before {
-		return part
+		return relay
 	}
 	missing := maps.Clone(g.records)
 	size := 0
 	for _, r := range records {
 		if known, ok := missing[r.Key]; !ok || !bytes.Equal(known.Value, r.Value) {
-			part.Records = append(part.Records, &schema.StoreRecord{Key: r.Key, Value: r.Value, Written: r.wireOffset(next.Era)})
+			relay.Records = append(relay.Records, &schema.StoreRecord{Key: r.Key, Value: r.Value, Written: r.wireOffset(next.Era)})
 			size += len(r.Key) + len(r.Value)
 		}
 		delete(missing, r.Key)
 	}
 	for key := range missing {
-		part.Records = append(part.Records, &schema.StoreRecord{Key: key})
+		relay.Records = append(relay.Records, &schema.StoreRecord{Key: key})
 		size += len(key)
 	}
 	if size > relayBytes {
-		part.Records = nil
-		return part
+		relay.Records = nil
+		return relay
 	}
-	part.Before = &schema.StorePosition{Era: before.Era, Offset: before.Offset}
-	return part
+	relay.Before = &schema.StorePosition{Era: before.Era, Offset: before.Offset}
+	return relay
 }
 
 // readFailureWindow is how long after a failed read of the registry a VM leaves the role of its
@@ -291,10 +291,10 @@
 		d.log.Info().Str("from", r.from).Uint64("era", next.Era).Uint64("offset", r.Next).Err(err).Msg("registry_fetch_failed")
 		return c.known
 	}
-	copied := c.readBefore && fetched.Era > c.next.Era
+	restored := c.readBefore && fetched.Era > c.next.Era
 	c.next, c.known, c.readBefore = fetched, true, true
 	d.observeEra(fetched.Era)
-	d.applyEndpoints(readResult{records: records, full: true, restored: copied}, fetched)
+	d.applyEndpoints(readResult{records: records, full: true, restored: restored}, fetched)
 	d.log.Info().Uint64("era", fetched.Era).Uint64("offset", fetched.Offset).Int("endpoints", len(records)).Msg("registry_fetched")
 	return true
 }
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -43,18 +43,18 @@
 type drainReports map[string]time.Duration
 
 // record records a report of a VM or failure domain.
-func (d drainReports) record(now time.Duration, who string, report *schema.RolloutReport) {
+func (d drainReports) record(now time.Duration, name string, report *schema.RolloutReport) {
 	if report.Drained {
-		d[who] = now
+		d[name] = now
 		return
 	}
-	delete(d, who)
+	delete(d, name)
 }
 
 // isDrained reports whether the last report of a VM or failure domain says that it is drained and
 // is still valid.
-func (d drainReports) isDrained(now, interval time.Duration, who string) bool {
-	at, ok := d[who]
+func (d drainReports) isDrained(now, interval time.Duration, name string) bool {
+	at, ok := d[name]
 	return ok && now-at <= reportTTLIntervals*interval
 }
 
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -158,7 +158,7 @@
 	}
 	if phase != nil {
 		changed = changed || !m.phaseKnown || *phase > m.phase
-		r.advance(m, *phase, learnedTold)
+		r.advance(m, *phase, learnedRemote)
 		m.phaseKnown = true
 	}
 	r.mu.Unlock()
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -76,11 +76,11 @@
 
 // forNote returns the records for a note: those changed recently and, with inTurn, some of all in
 // rotation.
-func (s *suspects) forNote(inTurn bool) []*schema.Suspect {
+func (s *suspects) forNote(inRotation bool) []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.ledger.Hot(s.d.now(), maxRecentSuspects)
-	if inTurn {
+	if inRotation {
 		list = append(list, s.ledger.Turn(s.d.now(), maxRecentSuspects)...)
 	}
 	return suspectsToWire(list)
@@ -96,7 +96,7 @@
 // mergeRemote merges records received from another VM.
 func (s *suspects) mergeRemote(list []*schema.Suspect) {
 	if len(list) > 0 {
-		s.merge(list, learnedTold)
+		s.merge(list, learnedRemote)
 	}
 }
 
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -301,9 +301,9 @@
 
 // Where a change was learned, in logs.
 const (
-	learnedSeen  = "seen"
-	learnedTold  = "told"
-	learnedStore = "store"
+	learnedSeen   = "seen"
+	learnedRemote = "told"
+	learnedStore  = "store"
 )
 
 // changeEvents maps the kinds of changes to log events.
