--- a/entry/notes.go
+++ b/entry/notes.go
@@ -250,8 +250,8 @@
 	p.grantWants(n.Wants, from)
 }
 
-// endpointLoads returns this VM's load at the endpoints it uses. With paces it includes the other
-// endpoints whose event gap this VM knows.
+// endpointLoads returns this VM's load at the endpoints it uses. With withGaps it includes the
+// other endpoints whose event gap this VM knows.
 func (s *scheduling) endpointLoads(withGaps bool) []*schema.EndpointUse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// forNote returns the records for a note: those changed recently and, with inTurn, some of all in
-// rotation.
+// forNote returns the records for a note: those changed recently and, with inRotation, some of all
+// in rotation.
 func (n *notices) forNote(inRotation bool) []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -34,7 +34,7 @@
 	maxSources = 3
 )
 
-// apply merges records into the cache; whole means that they replace its content.
+// apply merges records into the cache; full means that they replace its content.
 func (g *registryCache) apply(records []Record, full bool, next Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -201,8 +201,8 @@
 	return report
 }
 
-// domainDrained reports whether no reachable VM of this VM's failure domain has a request at the old
-// version. An unreachable VM is dead or partitioned: it cannot be waited for, and sees the old
+// domainDrained reports whether no reachable VM of this VM's failure domain has a request at the
+// old version. An unreachable VM is dead or partitioned: it cannot be waited for, and sees the old
 // endpoints gone when they stop. The caller holds the lock.
 func (r *rollouts) domainDrained(m *rolloutState, now, interval time.Duration) bool {
 	for _, address := range append(r.d.peers.reachableIn(r.d.set.Vm.FailureDomain), r.d.set.Listen.Peers) {
@@ -215,8 +215,9 @@
 
 // allDrained reports whether all failure domains are drained. A failure domain without a reachable
 // VM may be dead, or partitioned and still sending to the old version, whose endpoints would stop
-// under its requests: it is waited for until the order's duration is over, and on the smaller side
-// of a partition indefinitely. The caller holds the lock.
+// under its requests. It is waited for until the order's duration is over, and indefinitely on a
+// side of the partition that reaches at most half of the failure domains. The caller holds the
+// lock.
 func (r *rollouts) allDrained(m *rolloutState, now, interval time.Duration, judges map[string]string) bool {
 	known := r.d.peers.knownDomains()
 	if len(judges) < known && (now-m.orderedAt < m.order.Duration || 2*len(judges) <= known) {
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -75,8 +75,7 @@
 const (
 	// versionSettleTime is how long a version without an order must be listed before it is used.
 	// Endpoints of a version may be listed a moment before its order arrives, and until then all
-	// VMs would use them. During a release without an order each endpoint waits this long at its
-	// start.
+	// VMs would use them. A release without an order also waits this long at its start.
 	versionSettleTime = 1500 * time.Millisecond
 	// oldVersionGoneAfter is how long after the completion of a rollout endpoints of the old
 	// version get no requests: they have stopped, and the registry drops them some seconds later.
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -178,5 +178,5 @@
 	is.True(drained(time.Second, "b", "c"))
 	is.True(!drained(time.Second, "b"))
 	is.True(drained(11*time.Second, "b")) // the duration is over: c counts as dead
-	is.True(!drained(11 * time.Second))   // alone: this is the smaller side of the partition
+	is.True(!drained(11 * time.Second))   // alone: this side reaches at most half of the failure domains
 }
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -74,8 +74,8 @@
 	return encoded
 }
 
-// forNote returns the records for a note: those changed recently and, with inTurn, some of all in
-// rotation.
+// forNote returns the records for a note: those changed recently and, with inRotation, some of all
+// in rotation.
 func (s *suspects) forNote(inRotation bool) []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
