--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -16,7 +16,7 @@
 
 const testBound = 0.1
 
-// versioned are n endpoints of a version.
+// versioned returns n endpoints of a version.
 func versioned(version string, n int) []*members.Endpoint {
 	var list []*members.Endpoint
 	for i := range n {
@@ -25,21 +25,21 @@
 	return list
 }
 
-// versionsOf counts endpoints by version, those on trial apart.
-func versionsOf(list []*members.Endpoint) map[string]int {
+// countVersions counts endpoints by version, canaries separately.
+func countVersions(list []*members.Endpoint) map[string]int {
 	n := make(map[string]int)
 	for _, e := range list {
 		key := e.Version
 		if e.Trial {
-			key += " on trial"
+			key += " canary"
 		}
 		n[key]++
 	}
 	return n
 }
 
-func testMovement(phase rollout.Phase) *movement {
-	return &movement{order: rollout.Order{Service: "s", Version: "v2", Duration: 10 * time.Second}, phase: phase, known: true}
+func testRollout(phase rollout.Phase) *rolloutState {
+	return &rolloutState{order: rollout.Order{Service: "s", Version: "v2", Duration: 10 * time.Second}, phase: phase, phaseKnown: true}
 }
 
 func TestUsableVersions(t *testing.T) {
@@ -47,39 +47,38 @@
 	both := append(versioned("v1", 20), versioned("v2", 20)...)
 	for _, c := range []struct {
 		name string
-		m    func(m *movement)
+		m    func(m *rolloutState)
 		list []*members.Endpoint
 		want map[string]int
 	}{
-		{"tried by a few requests", func(m *movement) {}, both, map[string]int{"v1": 20, "v2 on trial": 2}},
-		{"not known how far: the old one", func(m *movement) { m.known = false }, both, map[string]int{"v1": 20}},
-		{"not known how far, and no old one: served", func(m *movement) { m.known = false }, both[20:], map[string]int{"v2": 20}},
-		{"moving", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 on trial": 20}},
-		{"moved", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now-5*time.Second }, both, map[string]int{"v2": 20}},
-		{"moved, but the new one is gone", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
-		{"rolled back", func(m *movement) { m.phase = rollout.RolledBack }, both, map[string]int{"v1": 20}},
-		{"completed a moment ago", func(m *movement) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
-		{"completed long ago: versions of releases are used", func(m *movement) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
+		{"canary phase", func(m *rolloutState) {}, both, map[string]int{"v1": 20, "v2 canary": 2}},
+		{"phase unknown: old version", func(m *rolloutState) { m.phaseKnown = false }, both, map[string]int{"v1": 20}},
+		{"phase unknown and no old version: new version", func(m *rolloutState) { m.phaseKnown = false }, both[20:], map[string]int{"v2": 20}},
+		{"moving", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 canary": 20}},
+		{"moved", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both, map[string]int{"v2": 20}},
+		{"moved, but the new version is gone", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
+		{"rolled back", func(m *rolloutState) { m.phase = rollout.RolledBack }, both, map[string]int{"v1": 20}},
+		{"just completed", func(m *rolloutState) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
+		{"completed long ago: all listed versions are used", func(m *rolloutState) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := testMovement(rollout.Trying)
+			m := testRollout(rollout.Trying)
 			c.m(m)
-			is.New(t).Equal(versionsOf(m.usable(now, c.list, testBound)), c.want)
+			is.New(t).Equal(countVersions(m.usableEndpoints(now, c.list, testBound)), c.want)
 		})
 	}
 }
 
-// Symptom: some requests waited 1.8 s and were refused while a service moved, though endpoints
-// stood idle. Sequence: the VM that places has moved all requests; the one that asks it is some
-// ms behind, and passes over each new endpoint as one that is only tried; it then avoids
-// them all when it places by itself, where the old ones are not used any more. Evidence: five
-// lines "held_back" within 5 ms, then "too_late".
+// Guards against requests that wait 1.8 s and are refused while endpoints are idle during a
+// rollout. The placer has shifted all requests; a VM that asks it is some ms behind, rejects each
+// new endpoint as a canary, and then avoids all of them when it places requests itself, where the
+// old ones are no longer used. The log showed five lines "held_back" within 5 ms, then "too_late".
 func TestPlacerIsAheadWhileRequestsMove(t *testing.T) {
 	is := is.New(t)
 	ep := versioned("v2", 1)[0]
-	m := testMovement(rollout.Moving)
+	m := testRollout(rollout.Moving)
 	m.listedOld, m.listedNew = 1, 1
-	is.True(m.admits(0, ep, false, testBound)) // the first moment of the move
+	is.True(m.admits(0, ep, false, testBound)) // the shift has just begun
 	m.phase = rollout.Trying
 	is.True(!m.admits(0, ep, false, testBound))
 	is.True(m.admits(0, ep, true, testBound))
@@ -87,49 +86,49 @@
 	is.True(!m.admits(0, ep, true, testBound))
 }
 
-// A process that starts reads verdicts and orders in any order.
+// A starting process may read verdicts before orders or after them.
 func TestStatusIsReadBeforeTheOrder(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard), Codec: oneStatus{}})
 	r := d.rollouts
-	r.learn([]Record{{Key: "status"}})
-	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{}, 0, nil)
+	r.loadStatuses([]Record{{Key: "status"}})
+	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
-	// The same order, written again, changes nothing; one for another version begins anew, and an
-	// older one that comes late is nothing.
-	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 5}, 0, nil)
+	// The same order written again changes nothing, an order for another version starts over, and
+	// an older order that arrives late is ignored.
+	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 5}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
-	r.take(rollout.Order{Service: "s", Version: "v3", Duration: time.Second}, Position{Offset: 7}, 0, nil)
+	r.applyOrder(rollout.Order{Service: "s", Version: "v3", Duration: time.Second}, Position{Offset: 7}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.Trying)
-	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 6}, 0, nil)
+	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 6}, 0, nil)
 	is.Equal(r.byService["s"].order.Version, "v3")
 }
 
-// oneStatus is a codec for which each record says that a move to v2 was rolled back.
+// oneStatus is a codec that decodes each record as the rollback of a rollout of v2.
 type oneStatus struct{ Codec }
 
 func (oneStatus) RolloutStatus(Record) (*RolloutStatus, error) {
 	return &RolloutStatus{Service: "s", Version: "v2", Phase: rollout.RolledBack}, nil
 }
 
-// A version that nobody ordered is used once it has been listed for a while, those that a
-// process finds at its start at once.
+// A version without an order is used once it has been listed for versionSettleTime; versions found
+// at a process's start are used at once.
 func TestUnorderedVersionsSettle(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
 	both := append(versioned("v1", 2), versioned("v2", 1)...)
-	is.Equal(versionsOf(d.rollouts.usable(0, "s", both)), map[string]int{"v1": 2, "v2": 1})
+	is.Equal(countVersions(d.rollouts.usableEndpoints(0, "s", both)), map[string]int{"v1": 2, "v2": 1})
 	all := append(both, versioned("v3", 1)...)
-	is.Equal(versionsOf(d.rollouts.usable(time.Second, "s", all)), map[string]int{"v1": 2, "v2": 1})
-	is.True(d.rollouts.changing(time.Second + versionSettles))
-	is.Equal(versionsOf(d.rollouts.usable(time.Second+versionSettles, "s", all)), map[string]int{"v1": 2, "v2": 1, "v3": 1})
-	// If nothing else is left it does not wait.
-	is.Equal(versionsOf(d.rollouts.usable(4*time.Second, "s", versioned("v4", 1))), map[string]int{"v4": 1})
+	is.Equal(countVersions(d.rollouts.usableEndpoints(time.Second, "s", all)), map[string]int{"v1": 2, "v2": 1})
+	is.True(d.rollouts.inTransition(time.Second + versionSettleTime))
+	is.Equal(countVersions(d.rollouts.usableEndpoints(time.Second+versionSettleTime, "s", all)), map[string]int{"v1": 2, "v2": 1, "v3": 1})
+	// The only listed version is used at once.
+	is.Equal(countVersions(d.rollouts.usableEndpoints(4*time.Second, "s", versioned("v4", 1))), map[string]int{"v4": 1})
 }
 
-// Symptom, worked out: a judge's link is full while a service of 112 endpoints moves, and of 500 and
-// more no report fits into a note. Cause: evidence named each endpoint of the new version. What a
-// VM tells stays far below a note, whatever the service's size.
+// Guards against reports that grow with the service. They named each endpoint of the new version:
+// by calculation a judge's link is full during a rollout of a service with 112 endpoints, and with
+// 500 and more no report fits into a note. Reports must stay far below a note's size.
 func TestReportsStaySmall(t *testing.T) {
 	is := is.New(t)
 	e := make(rollout.Evidence)
@@ -149,20 +148,20 @@
 			})
 		}
 	}
-	size := proto.Size(reportOf(rollout.Order{Service: "s", Version: "v2"}, e))
+	size := proto.Size(reportToWire(rollout.Order{Service: "s", Version: "v2"}, e))
 	t.Logf("%d B", size)
 	is.True(size < maxDatagram/2)
 }
 
-// Symptom, by reading: the old endpoints of a failure domain that was cut off would stop under its
-// requests. Sequence: a service moves; a domain falls silent; the others have moved. Cause: only
-// domains that are heard were asked whether anything runs at the old version.
-func TestSilentFailureDomainIsWaitedFor(t *testing.T) {
+// Guards against old endpoints that stop under the requests of a partitioned failure domain. A
+// service shifts and a domain falls silent while the others have shifted; only reachable domains
+// were asked whether they are drained. Found by reading the code.
+func TestSilentFailureDomainDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
 	own := d.set.Vm.FailureDomain
 	r := d.rollouts
-	m := testMovement(rollout.Moving)
+	m := testRollout(rollout.Moving)
 	m.judge = newJudge(m.order)
 	const pause = time.Second
 	drained := func(now time.Duration, domains ...string) bool {
@@ -174,10 +173,10 @@
 		}
 		return r.allDrained(m, now, pause, judges)
 	}
-	is.True(drained(time.Second)) // no other is known
-	d.peers.learnAll([]string{"10.0.0.1:1 b", "10.0.0.2:1 c"})
+	is.True(drained(time.Second)) // no other failure domain is known
+	d.peers.mergeList([]string{"10.0.0.1:1 b", "10.0.0.2:1 c"})
 	is.True(drained(time.Second, "b", "c"))
 	is.True(!drained(time.Second, "b"))
-	is.True(drained(11*time.Second, "b")) // its time is over: taken for dead
-	is.True(!drained(11 * time.Second))   // alone: this side is the one that is cut off
+	is.True(drained(11*time.Second, "b")) // the duration is over: c counts as dead
+	is.True(!drained(11 * time.Second))   // alone: this side reaches at most half of the failure domains
 }
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -17,77 +17,78 @@
 	"github.com/chivefield/chivefield/upstream"
 )
 
-// reasonEndsEndpoints is why a request is refused under which endpoints ended. It gets no
-// time to come back: it would be refused again.
+// reasonEndsEndpoints is the reason for refusing a request that crashed endpoints. The refusal
+// names no time to retry after: a retry would be refused again.
 const reasonEndsEndpoints = "ends_endpoints"
 
-// endedFor is how long this VM remembers that an incarnation has ended: other requests that
-// were there are found to be cut some ms later, those that fell silent some seconds.
-const endedFor = 10 * time.Second
+// endedTTL is how long this VM remembers that an incarnation has ended: other requests there are
+// found cut off some ms later, those that fell silent some seconds later.
+const endedTTL = 10 * time.Second
 
-// suspects finds out which requests end the endpoints that run them, and keeps them from
-// running. What was seen and told goes into a ledger, which judges; here are the ways in which
-// a cut, an end and an answer are seen:
+// suspects detects poison requests, which crash the endpoints that run them, and keeps them from
+// running. Sightings from this VM and others go into a ledger, which decides. This file detects the
+// cuts, ends and responses that the ledger records:
 //
-//   - A cut: the connection broke under a request, or was given up for silence, while the
-//     registry listed the incarnation and it had not said that it leaves. Answers that
-//     came and cannot be passed on are none.
-//   - An end: after a cut a connection is opened at once, and refused, while others of the
-//     failure domain take connections; or another incarnation answers there; or the
-//     registry drops the entry, three to four seconds later, or lists another start under
-//     the id. Until one of these is seen the cut counts for trials only.
-//   - An answer of the incarnation to anything that was sent after the cut says that it lives.
+//   - A cut: the connection of a request broke, or was given up for silence, while the registry
+//     listed the incarnation and it had not announced that it leaves. Responses that were
+//     received but cannot be passed on are no cuts.
+//   - An end, the unexpected termination of an incarnation: after a cut a new connection is
+//     opened at once, and is refused while other endpoints of the failure domain accept
+//     connections; or another incarnation responds there; or the registry drops the entry,
+//     three to four seconds later, or lists another start under the id. Until one of these is
+//     seen the cut counts only towards quarantining the request.
+//   - A response of the incarnation to anything sent after the cut proves that it is alive.
 type suspects struct {
 	d *Daemon
 
 	mu     sync.Mutex
 	ledger *suspect.Ledger
-	// waiting are the requests here that no endpoint has answered yet. When one is
-	// convicted the others of its digest are stopped: in an endpoint's queue they have not
-	// run yet, and closing their connections may spare it.
-	waiting map[suspect.Digest]map[*caller]context.CancelFunc
-	// probing are the incarnations to which a connection is being opened, ended those
-	// that have ended, with the time.
+	// unanswered holds the requests here that no endpoint has answered yet. When a digest is
+	// convicted its other requests are stopped: those in an endpoint's queue have not run yet, and
+	// closing their connections may spare the endpoint.
+	unanswered map[suspect.Digest]map[*caller]context.CancelFunc
+	// probing holds the incarnations to which a connection is being opened, ended those that have
+	// ended, with the time.
 	probing map[uint64]bool
 	ended   map[uint64]time.Duration
-	// read says that the store's records were taken in.
-	read bool
-	// fresh says that something was seen here that others should hear at once.
-	fresh chan struct{}
-	// kept are the convictions that the store has, or will have, by this VM's doing or as it
-	// read there.
-	kept map[suspect.Digest]bool
-	// unkept are digests whose record in the store is to be written or removed.
-	unkept chan suspect.Digest
+	// storeRead reports whether the store's records were loaded.
+	storeRead bool
+	// urgent signals a sighting that other VMs should receive at once.
+	urgent chan struct{}
+	// stored holds the convictions that the store has or will have: written by this VM or read
+	// there.
+	stored map[suspect.Digest]bool
+	// storeQueue holds digests whose record in the store is to be written or removed.
+	storeQueue chan suspect.Digest
 }
 
-// unkeptBuffer holds convictions until they are written; each takes three ends of endpoints.
-const unkeptBuffer = 64
+// storeQueueSize limits the convictions waiting to be written; each takes three ends of endpoints.
+const storeQueueSize = 64
 
 func newSuspects(d *Daemon) *suspects {
 	s := &suspects{
-		d: d, ledger: suspect.New(), waiting: make(map[suspect.Digest]map[*caller]context.CancelFunc),
-		kept: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), unkept: make(chan suspect.Digest, unkeptBuffer), fresh: make(chan struct{}, 1),
+		d: d, ledger: suspect.New(), unanswered: make(map[suspect.Digest]map[*caller]context.CancelFunc),
+		stored: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), storeQueue: make(chan suspect.Digest, storeQueueSize), urgent: make(chan struct{}, 1),
 	}
 	s.ledger.Release(d.set.Released)
 	return s
 }
 
-func (s *suspects) release(list []suspect.Digest) {
+func (s *suspects) setReleased(list []suspect.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Release(list)
 }
 
-// look returns what is known against a request.
-func (s *suspects) look(d suspect.Digest) suspect.View {
+// status returns what is known against a request.
+func (s *suspects) status(d suspect.Digest) suspect.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Look(d)
 }
 
-// suspicionOf is how carefully a request is placed.
-func suspicionOf(v suspect.View) dispatch.Suspicion {
+// suspicionFor returns how carefully a request is placed.
+func suspicionFor(v suspect.View) dispatch.Suspicion {
 	switch {
 	case v.OnTrial():
 		return dispatch.OnTrial
@@ -97,125 +98,128 @@
 	return dispatch.Unsuspected
 }
 
-// admit says whether a request may run. It is stopped by stop if that changes before an
-// endpoint answers it; over must follow.
+// admit reports whether a request may run. If the request is convicted before an endpoint answers
+// it, stop is called. The caller must call unregister afterwards.
 func (s *suspects) admit(c *caller, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ledger.Look(c.digest).Convicted() {
 		return false
 	}
-	if s.waiting[c.digest] == nil {
-		s.waiting[c.digest] = make(map[*caller]context.CancelFunc)
+	if s.unanswered[c.digest] == nil {
+		s.unanswered[c.digest] = make(map[*caller]context.CancelFunc)
 	}
-	s.waiting[c.digest][c] = stop
+	s.unanswered[c.digest][c] = stop
 	return true
 }
 
-// over says that a request need not be stopped any more.
-func (s *suspects) over(c *caller) {
+// unregister removes a request from those that a conviction stops.
+func (s *suspects) unregister(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(c)
+	s.unregisterLocked(c)
 }
 
-// forget takes a request out of those that wait. The lock is held.
-func (s *suspects) forget(c *caller) {
-	delete(s.waiting[c.digest], c)
-	if len(s.waiting[c.digest]) == 0 {
-		delete(s.waiting, c.digest)
+// unregisterLocked is unregister for a caller that holds the lock.
+func (s *suspects) unregisterLocked(c *caller) {
+	delete(s.unanswered[c.digest], c)
+	if len(s.unanswered[c.digest]) == 0 {
+		delete(s.unanswered, c.digest)
 	}
 }
 
-// answering says that an endpoint began to answer a request that was sent at a time.
-func (s *suspects) answering(c *caller, ep *members.Endpoint, sent time.Duration, reply Reply) {
+// recordAnswerStart records that an endpoint began to answer a request that was sent at the time
+// sent.
+func (s *suspects) recordAnswerStart(c *caller, ep *members.Endpoint, sent time.Duration, reply Reply) {
 	if reply.Replaced {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !reply.NotRun {
-		s.forget(c)
+		s.unregisterLocked(c)
 	}
 	s.ledger.Answered(s.d.now(), sent, dispatch.NameOf(ep.Key()))
-	s.note(learnedSeen)
+	s.handleChanges(learnedSeen)
 }
 
-// succeeded says that an endpoint gave a request its whole answer. Of one that ends with its
-// connection nobody can say that it is whole.
-func (s *suspects) succeeded(d suspect.Digest, ans *upstream.Answer) {
+// recordSuccess records that an endpoint gave a request a complete response. A response that ends
+// with its connection is ignored: it may be incomplete.
+func (s *suspects) recordSuccess(d suspect.Digest, ans *upstream.Answer) {
 	if ans.Unframed() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Success(s.d.now(), d)
-	s.note(learnedSeen)
+	s.handleChanges(learnedSeen)
 }
 
-// brokeOff says whether an error means that a connection ended, not that what came over it
-// cannot be understood.
-func brokeOff(err error) bool {
+// isConnectionBroken reports whether an error means that a connection ended, as opposed to one
+// about unreadable data.
+func isConnectionBroken(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE) || errors.Is(err, context.Canceled) || errors.Is(err, net.ErrClosed)
 }
 
-// refusedConnection says whether nothing listens at an address.
-func refusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused reports whether an error means that nothing listens at an address.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// tried takes in how a try at an endpoint ended that was sent at a time. generation is what was
-// known then.
-func (s *suspects) tried(c *caller, ep *members.Endpoint, sent time.Duration, generation int, a attempt) {
+// recordAttempt records how an attempt that was sent at the time sent ended. generation is the
+// request's generation in the ledger at that time.
+func (s *suspects) recordAttempt(c *caller, ep *members.Endpoint, sent time.Duration, generation int, a attempt) {
 	switch {
 	case a.cut:
-		s.cut(c.digest, ep, sent, generation)
+		s.recordCut(c.digest, ep, sent, generation)
 	case a.outcome == dispatch.Replaced:
-		s.end(ep.Key(), howReplaced)
-	case a.outcome == dispatch.Unreachable && refusedConnection(a.err):
-		s.examine(ep)
+		s.recordEnd(ep.Key(), howReplaced)
+	case a.outcome == dispatch.Unreachable && isConnectionRefused(a.err):
+		s.probeIfWatched(ep)
 	}
 }
 
-// cut notes that a request was cut off at an endpoint, and finds out whether that ended.
-func (s *suspects) cut(d suspect.Digest, ep *members.Endpoint, sent time.Duration, generation int) {
+// recordCut records that a request was cut off at an endpoint, and probes whether the endpoint
+// ended.
+func (s *suspects) recordCut(d suspect.Digest, ep *members.Endpoint, sent time.Duration, generation int) {
 	if !s.d.sched.serving(ep) {
-		// It leaves, or left, as it was told to.
+		// The endpoint was told to leave: the cut is expected.
 		return
 	}
-	name := dispatch.NameOf(ep.Key())
+	hash := dispatch.NameOf(ep.Key())
 	s.mu.Lock()
 	now := s.d.now()
-	s.ledger.Cut(now, sent, d, name, generation)
-	if _, ok := s.ended[name]; ok {
-		s.ledger.Ended(now, name)
+	s.ledger.Cut(now, sent, d, hash, generation)
+	if _, ok := s.ended[hash]; ok {
+		s.ledger.Ended(now, hash)
 	}
-	s.note(learnedSeen)
+	s.handleChanges(learnedSeen)
 	s.mu.Unlock()
-	s.examine(ep)
+	s.probeIfWatched(ep)
 }
 
-// examine finds out whether an incarnation has ended under which something was cut off.
-func (s *suspects) examine(ep *members.Endpoint) {
-	name := dispatch.NameOf(ep.Key())
+// probeIfWatched probes an incarnation under which a request was cut off, unless it is known to
+// have ended or is being probed.
+func (s *suspects) probeIfWatched(ep *members.Endpoint) {
+	hash := dispatch.NameOf(ep.Key())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ended := s.ended[name]; ended || s.probing[name] || !s.ledger.Watched(name) {
+	if _, ended := s.ended[hash]; ended || s.probing[hash] || !s.ledger.Watched(hash) {
 		return
 	}
-	s.probing[name] = true
+	s.probing[hash] = true
 	go s.probe(ep)
 }
 
-// probe opens a connection to an endpoint under which one broke. Requests that wait for a
-// place need not find out one by one.
+// probe opens a connection to an endpoint after a connection to it broke. Requests that wait for a
+// place then need not find out one by one.
 //
 // A VM whose own link refuses connections would take every endpoint behind it for ended, and a
-// stream that goes on elsewhere would have several ends. So connections must open to
-// others of its failure domain; else the registry's word is awaited.
+// stream that continues elsewhere would count several ends. So connections to other endpoints of
+// the failure domain must succeed; otherwise the registry decides.
 func (s *suspects) probe(ep *members.Endpoint) {
 	err := s.d.openTo(dispatch.Probe{Key: ep.Key(), Address: ep.Address})
 	ended := false
-	if refusedConnection(err) {
+	if isConnectionRefused(err) {
 		s.d.sched.doubt(ep.Key())
 		controls := s.d.sched.controls(ep)
 		ended = len(controls) == 0
@@ -227,38 +231,38 @@
 	delete(s.probing, dispatch.NameOf(ep.Key()))
 	s.mu.Unlock()
 	if ended {
-		s.end(ep.Key(), howRefused)
+		s.recordEnd(ep.Key(), howRefused)
 	}
 }
 
-// How an end was seen, in logs.
+// How an end was detected, in logs.
 const (
 	howRefused  = "connection_refused"
 	howReplaced = "replaced"
 	howDropped  = "dropped_by_registry"
 )
 
-// end notes that an incarnation has ended.
-func (s *suspects) end(key, how string) {
-	name := dispatch.NameOf(key)
+// recordEnd records that an incarnation has ended.
+func (s *suspects) recordEnd(key, how string) {
+	hash := dispatch.NameOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.d.now()
-	watched := s.ledger.Watched(name)
-	_, known := s.ended[name]
-	s.ended[name] = now
+	watched := s.ledger.Watched(hash)
+	_, known := s.ended[hash]
+	s.ended[hash] = now
 	if !watched {
 		return
 	}
 	if !known {
 		s.d.count("endpoints_ended")
-		s.d.log.Info().Str("endpoint", key).Uint64("endpoint_hash", name).Str("how", how).Msg("endpoint_ended")
+		s.d.log.Info().Str("endpoint", key).Uint64("endpoint_hash", hash).Str("how", how).Msg("endpoint_ended")
 	}
-	s.ledger.Ended(now, name)
-	s.note(learnedSeen)
+	s.ledger.Ended(now, hash)
+	s.handleChanges(learnedSeen)
 }
 
-// hasEnded says whether an incarnation is known to have ended.
+// hasEnded reports whether an incarnation is known to have ended.
 func (s *suspects) hasEnded(ep *members.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,78 +270,80 @@
 	return ended
 }
 
-// departed takes in what the registry says.
-func (s *suspects) departed(list []members.Departure) {
+// recordDepartures records incarnations that the registry dropped or that announced leaving.
+func (s *suspects) recordDepartures(list []members.Departure) {
 	for _, dep := range list {
 		if !dep.Leaving {
-			s.end(dep.Key, howDropped)
+			s.recordEnd(dep.Key, howDropped)
 			continue
 		}
 		s.mu.Lock()
 		s.ledger.Leaving(s.d.now(), dispatch.NameOf(dep.Key))
-		s.note(learnedSeen)
+		s.handleChanges(learnedSeen)
 		s.mu.Unlock()
 	}
 }
 
-// expire forgets what is over.
+// expire drops expired entries.
 func (s *suspects) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.d.now()
 	s.ledger.Expire(now)
-	for name, at := range s.ended {
-		if now-at >= endedFor {
-			delete(s.ended, name)
+	for hash, at := range s.ended {
+		if now-at >= endedTTL {
+			delete(s.ended, hash)
 		}
 	}
-	s.note(learnedSeen)
-	s.keepConvicted()
+	s.handleChanges(learnedSeen)
+	s.storeConvicted()
 }
 
-// Where something was learned, in logs.
+// Where a change was learned, in logs.
 const (
-	learnedSeen  = "seen"
-	learnedTold  = "told"
-	learnedStore = "store"
+	learnedSeen   = "seen"
+	learnedRemote = "told"
+	learnedStore  = "store"
 )
 
-// eventOf names the changes in logs.
-var eventOf = [...]string{"request_suspected", "request_convicted", "request_cleared", "request_forgotten"}
+// changeEvents maps the kinds of changes to log events.
+var changeEvents = [...]string{"request_suspected", "request_convicted", "request_cleared", "request_forgotten"}
 
-// note logs what the ledger's last step changed, and acts on it. The lock is held.
-func (s *suspects) note(learned string) {
+// handleChanges logs the ledger's latest changes and acts on them. The caller holds the lock.
+func (s *suspects) handleChanges(learned string) {
 	for _, c := range s.ledger.Changes() {
 		if learned == learnedSeen && c.Level > c.Was {
 			select {
-			case s.fresh <- struct{}{}:
+			case s.urgent <- struct{}{}:
 			default:
 			}
 		}
 		if c.Kind == suspect.Convicted {
 			s.d.count("requests_convicted")
-			s.stop(c.Digest)
+			s.stopUnanswered(c.Digest)
 		}
-		s.noteKept(c, learned)
+		s.updateStored(c, learned)
 		if c.Level <= 1 && !c.WasConvicted() && learned != learnedSeen {
-			// Each neighbour of each endpoint that ends, at each VM.
+			// Not logged: each VM would log every request that ran beside a poison request on each
+			// endpoint that ends.
 			continue
 		}
-		names := make([]string, 0, len(c.Endpoints))
-		for _, name := range c.Endpoints {
-			names = append(names, strconv.FormatUint(name, 10))
+		hashes := make([]string, 0, len(c.Endpoints))
+		for _, hash := range c.Endpoints {
+			hashes = append(hashes, strconv.FormatUint(hash, 10))
 		}
-		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.Was).Str("endpoint_hashes", strings.Join(names, ",")).
-			Str("learned", learned).Msg(eventOf[c.Kind])
+		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.Was).Str("endpoint_hashes", strings.Join(hashes, ",")).
+			Str("learned", learned).Msg(changeEvents[c.Kind])
 	}
 }
 
-// stop ends the requests of a digest that no endpoint has answered. The lock is held.
-func (s *suspects) stop(d suspect.Digest) {
+// stopUnanswered stops the requests of a digest that no endpoint has answered. The caller holds the
+// lock.
+func (s *suspects) stopUnanswered(d suspect.Digest) {
 	if s.ledger.Look(d).Released {
 		return
 	}
-	for c, stop := range s.waiting[d] {
+	for c, stop := range s.unanswered[d] {
 		c.stopped.Store(true)
 		stop()
 	}
