--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -97,16 +97,16 @@
 				list = append(list, &members.Endpoint{ID: fmt.Sprintf("e%05d", i), Service: playService, Slots: 10, FailureDomain: "a"})
 			}
 			s.SetEndpoints(0, playService, list, true)
-			var uses []NamedUse
+			var uses []EndpointLoad
 			for _, e := range list {
-				uses = append(uses, NamedUse{NameOf(e.ID), Use{Running: 5, Gap: 20 * time.Millisecond}})
+				uses = append(uses, EndpointLoad{EndpointHash(e.ID), Load{Running: 5, EventGap: 20 * time.Millisecond}})
 			}
-			s.PeerUses(0, "other", "a", uses, true)
+			s.ApplyPeerLoads(0, "other", "a", uses, true)
 			h := uint64(0)
 			for b.Loop() {
 				h++
-				s.Submit(0, Job{Handle: h, Service: playService, Prompt: 1000, Objective: time.Second, Abandon: 2 * time.Second})
-				s.End(0, h, Answered)
+				s.Submit(0, Job{Handle: h, Service: playService, PromptTokens: 1000, Objective: time.Second, AbandonAt: 2 * time.Second})
+				s.EndRun(0, h, Answered)
 			}
 		})
 	}
--- a/core/dispatch/bounds.go
+++ b/core/dispatch/bounds.go
@@ -26,8 +26,8 @@
 	return min(max(v, 0), most)
 }
 
-// Impossible returns how many quantities that cannot be were taken in since the last call.
-func (s *Scheduler) Impossible() int {
+// TakeInvalidValues returns how many quantities that cannot be were taken in since the last call.
+func (s *Scheduler) TakeInvalidValues() int {
 	n := s.impossible
 	s.impossible = 0
 	return n
@@ -35,17 +35,17 @@
 
 // checkJob bounds what a caller or another VM says of a job.
 func (s *Scheduler) checkJob(j *Job) {
-	j.Prompt = s.bounded(j.Prompt, mostTokens)
-	j.Events = s.bounded(j.Events, mostEvents)
+	j.PromptTokens = s.bounded(j.PromptTokens, mostTokens)
+	j.ExpectedEvents = s.bounded(j.ExpectedEvents, mostEvents)
 }
 
 // checkUse bounds what another VM says of its load.
-func (s *Scheduler) checkUse(u *Use) {
+func (s *Scheduler) checkUse(u *Load) {
 	u.Running = s.bounded(u.Running, mostRuns)
 	u.Waiting = s.bounded(u.Waiting, mostRuns)
 	u.PromptTokens = s.bounded(u.PromptTokens, mostTokens)
-	u.Gap = s.boundedTime(u.Gap)
-	u.Fresh = s.boundedTime(u.Fresh)
+	u.EventGap = s.boundedTime(u.EventGap)
+	u.RecentGap = s.boundedTime(u.RecentGap)
 }
 
 // boundedTime is d, or nothing if it cannot be.
--- a/core/dispatch/caution.go
+++ b/core/dispatch/caution.go
@@ -19,8 +19,8 @@
 	Unsuspected Suspicion = iota
 	// Suspected: it was at an endpoint that ended.
 	Suspected
-	// OnTrial: endpoints ended twice in a row with it.
-	OnTrial
+	// Quarantined: endpoints ended twice in a row with it.
+	Quarantined
 )
 
 // Costs, in seconds, among endpoints where an answer is on time; less than a late answer
@@ -37,7 +37,7 @@
 
 // caution is what the suspects at an endpoint, and those that a suspect would endanger there,
 // count for a job.
-func (s *Scheduler) caution(j *Job, e *endpoint, u Use) float64 {
+func (s *Scheduler) caution(j *Job, e *endpoint, u Load) float64 {
 	cost := 0.0
 	if e.trials > 0 {
 		cost += besideTrial
@@ -45,7 +45,7 @@
 	if j.Suspicion >= Suspected && e.suspects > 0 {
 		cost += besideSuspect
 	}
-	if j.Suspicion == OnTrial {
+	if j.Suspicion == Quarantined {
 		cost += trialNeighbour * float64(u.Running+u.Waiting)
 	}
 	return cost
@@ -54,7 +54,7 @@
 // mayTry says whether a job may run at an endpoint as far as trials go. A job that may not
 // anywhere waits.
 func (s *Scheduler) mayTry(j *Job, e *endpoint) bool {
-	return j.Suspicion != OnTrial || s.onTrial[j.Request] == 0 && e.trials == 0
+	return j.Suspicion != Quarantined || s.onTrial[j.Request] == 0 && e.trials == 0
 }
 
 // suspicion is how carefully a job is placed here.
@@ -70,7 +70,7 @@
 	if r.job.Suspicion >= Suspected {
 		r.ep.suspects += n
 	}
-	if r.job.Suspicion == OnTrial {
+	if r.job.Suspicion == Quarantined {
 		r.ep.trials += n
 		if s.onTrial[r.job.Request] += n; s.onTrial[r.job.Request] == 0 {
 			delete(s.onTrial, r.job.Request)
--- a/core/dispatch/caution_test.go
+++ b/core/dispatch/caution_test.go
@@ -25,7 +25,7 @@
 
 func cautious(handle uint64, request byte, c Suspicion) Job {
 	return Job{
-		Handle: handle, Service: "engine", Prompt: 100, Events: 10, Objective: 10 * time.Second, Abandon: 20 * time.Second,
+		Handle: handle, Service: "engine", PromptTokens: 100, ExpectedEvents: 10, Objective: 10 * time.Second, AbandonAt: 20 * time.Second,
 		Request: suspect.Digest{request}, Suspicion: c,
 	}
 }
@@ -67,18 +67,18 @@
 	for _, r := range s.running {
 		busy[r.ep.ID]++
 	}
-	first := placed(s, cautious(10, 1, OnTrial))
+	first := placed(s, cautious(10, 1, Quarantined))
 	for id, n := range busy {
 		is.True(busy[first] <= n || id == first)
 	}
-	is.Equal(placed(s, cautious(11, 1, OnTrial)), "")
-	second := placed(s, cautious(12, 2, OnTrial))
+	is.Equal(placed(s, cautious(11, 1, Quarantined)), "")
+	second := placed(s, cautious(12, 2, Quarantined))
 	is.True(second != "" && second != first)
 	for i := range uint64(4) {
 		is.True(placed(s, cautious(20+i, 0, Unsuspected)) != first)
 	}
 	var next string
-	for _, d := range s.End(time.Second, 10, Broken) {
+	for _, d := range s.EndRun(time.Second, 10, Broken) {
 		if d.Handle == 11 {
 			next = d.Endpoint.ID
 		}
@@ -86,7 +86,7 @@
 	is.True(next != "")
 	// Counts of what runs come out even.
 	for h := range s.running {
-		s.End(2*time.Second, h, Answered)
+		s.EndRun(2*time.Second, h, Answered)
 	}
 	for _, e := range s.service("engine").list {
 		is.Equal(e.suspects, 0)
@@ -101,8 +101,8 @@
 	s := New("vm", "a")
 	off, err := mechanism.Parse([]string{"trials"})
 	is.NoErr(err)
-	s.SwitchOff(off)
+	s.Disable(off)
 	s.SetEndpoints(0, "engine", []*members.Endpoint{{ID: "e", Service: "engine", FailureDomain: "a", Slots: 4}}, true)
-	is.True(placed(s, cautious(1, 1, OnTrial)) != "")
-	is.True(placed(s, cautious(2, 1, OnTrial)) != "")
+	is.True(placed(s, cautious(1, 1, Quarantined)) != "")
+	is.True(placed(s, cautious(2, 1, Quarantined)) != "")
 }
--- a/core/dispatch/choice.go
+++ b/core/dispatch/choice.go
@@ -51,7 +51,7 @@
 	}
 	ranked := make([]weighed, 0, len(list))
 	for _, m := range list {
-		ranked = append(ranked, weighed{m, weight(NameOf(m.Key()), s.chooser)})
+		ranked = append(ranked, weighed{m, weight(EndpointHash(m.Key()), s.chooser)})
 	}
 	slices.SortFunc(ranked, func(a, b weighed) int { return cmp.Compare(b.w, a.w) })
 	picked := make([]*members.Endpoint, 0, n)
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -19,14 +19,14 @@
 	Service string
 	// Tier orders jobs: 0 first.
 	Tier int
-	// Prompt is in tokens, Events is how many events the answer is expected to have;
+	// PromptTokens is in tokens, ExpectedEvents is how many events the answer is expected to have;
 	// both 0 for plain services.
-	Prompt, Events int
-	// Objective is the time by which the first event should be there, Abandon the
+	PromptTokens, ExpectedEvents int
+	// Objective is the time by which the first event should be there, AbandonAt the
 	// time after which nobody waits for it.
-	Objective, Abandon time.Duration
-	// Limit is when the whole answer must be there; 0 for any time.
-	Limit time.Duration
+	Objective, AbandonAt time.Duration
+	// Deadline is when the whole answer must be there; 0 for any time.
+	Deadline time.Duration
 	// MaxPause is the longest pause between events that is on time; 0 for any.
 	MaxPause time.Duration
 	// Tried endpoints, by their short names, are not picked again.
@@ -35,15 +35,15 @@
 	Avoided []uint64
 	// Remote says that another VM sends the request and asks where to, Domain is that
 	// VM's failure domain.
-	Remote bool
-	Domain string
+	Remote       bool
+	SenderDomain string
 	// Request names what the caller repeats, Suspicion says how carefully it is placed.
 	Request   suspect.Digest
 	Suspicion Suspicion
-	// Trial says that the request is to try a new version of the service.
-	Trial bool
-	// Counted says that the VM that placed it counted it against the endpoint's limit.
-	Counted bool
+	// Canary says that the request is to try a new version of the service.
+	Canary bool
+	// LimitCharged says that the VM that placed it counted it against the endpoint's limit.
+	LimitCharged bool
 
 	arrived time.Duration
 	// late says that the objective cannot be met any more; rank orders the queue.
@@ -56,8 +56,8 @@
 	Handle uint64
 	// Endpoint is nil if the job is refused. Name is the short name of one that another
 	// VM chose and that may not be used here.
-	Endpoint *members.Endpoint
-	Name     uint64
+	Endpoint     *members.Endpoint
+	EndpointHash uint64
 	// RetryAfter says when room is expected, for refused jobs.
 	RetryAfter time.Duration
 	// Reason says why it was refused; empty if it was placed.
@@ -66,36 +66,36 @@
 	Predicted time.Duration
 	// Candidates is how many endpoints were usable, Waiting how many jobs wait.
 	Candidates, Waiting int
-	// By is the VM that decided, if it was another.
-	By string
+	// DecidedBy is the VM that decided, if it was another.
+	DecidedBy string
 	// Load is what all VMs together had at the endpoint, as far as known, and its
 	// slowness as assumed.
-	Load Use
-	// Counted says that it was counted against the endpoint's limit.
-	Counted bool
+	Load Load
+	// LimitCharged says that it was counted against the endpoint's limit.
+	LimitCharged bool
 }
 
 // Reasons of refusals.
 const (
 	ReasonNoEndpoint = "no_endpoint"
 	ReasonTooLate    = "too_late"
-	ReasonFull       = "queue_full"
-	ReasonRest       = "endpoints_rest"
+	ReasonQueueFull  = "queue_full"
+	ReasonBackoff    = "endpoints_rest"
 )
 
-// Use is the load that one VM puts on an endpoint.
-type Use struct {
+// Load is the load that one VM puts on an endpoint.
+type Load struct {
 	Running, Waiting int
 	PromptTokens     int
-	// Gap is the time between two events of a stream when nothing disturbs; 0 if
+	// EventGap is the time between two events of a stream when nothing disturbs; 0 if
 	// not known.
-	Gap time.Duration
-	// Fresh is the lesser of the last two times between events, if one was seen since
+	EventGap time.Duration
+	// RecentGap is the lesser of the last two times between events, if one was seen since
 	// the VM told last; 0 otherwise.
-	Fresh time.Duration
-	// Doubted says that the endpoint could not be reached, Gone that another
+	RecentGap time.Duration
+	// SuspectedDown says that the endpoint could not be reached, Replaced that another
 	// incarnation has its address, Ejected that it fails more than others.
-	Doubted, Gone, Ejected bool
+	SuspectedDown, Replaced, Ejected bool
 }
 
 // Scheduler is one VM's queues and its view of the endpoints. It is not safe
@@ -185,7 +185,7 @@
 }
 
 type peerUse struct {
-	Use
+	Load
 	vm int
 	at time.Duration
 }
@@ -221,8 +221,8 @@
 	}
 }
 
-// SwitchOff runs without some mechanisms. It must be called before any other method.
-func (s *Scheduler) SwitchOff(off mechanism.Off) { s.off = off }
+// Disable runs without some mechanisms. It must be called before any other method.
+func (s *Scheduler) Disable(off mechanism.Off) { s.off = off }
 
 func (s *Scheduler) service(name string) *service {
 	sv := s.services[name]
@@ -233,8 +233,8 @@
 	return sv
 }
 
-// SetEventTokens tells how many tokens an event of a service's streams holds.
-func (s *Scheduler) SetEventTokens(name string, tokens int) {
+// SetTokensPerEvent tells how many tokens an event of a service's streams holds.
+func (s *Scheduler) SetTokensPerEvent(name string, tokens int) {
 	s.service(name).pace.eventTokens = tokens
 }
 
@@ -252,7 +252,7 @@
 		key := m.Key()
 		ep := old[key]
 		if ep == nil {
-			ep = &endpoint{own: make(map[uint64]*run), name: NameOf(key)}
+			ep = &endpoint{own: make(map[uint64]*run), name: EndpointHash(key)}
 			s.restarted = append(s.restarted, runsOfEarlier(old, m)...)
 		}
 		ep.Endpoint, ep.engine = *m, engine
@@ -278,9 +278,9 @@
 	return handles
 }
 
-// Restarted returns the runs whose endpoint has started anew since the last call. They
+// TakeLostRuns returns the runs whose endpoint has started anew since the last call. They
 // are lost, though a connection to an endpoint that lost power shows nothing.
-func (s *Scheduler) Restarted() []uint64 {
+func (s *Scheduler) TakeLostRuns() []uint64 {
 	handles := s.restarted
 	s.restarted = nil
 	return handles
@@ -302,9 +302,9 @@
 	sv.queue = slices.DeleteFunc(sv.queue, func(j *Job) bool { return j.Handle == handle })
 }
 
-// Events says that n events of a stream came, or the answer of a plain service.
+// RecordEvents says that n events of a stream came, or the answer of a plain service.
 // The first one of a run says that its prompt was read.
-func (s *Scheduler) Events(now time.Duration, handle uint64, n int) {
+func (s *Scheduler) RecordEvents(now time.Duration, handle uint64, n int) {
 	r := s.running[handle]
 	if r == nil {
 		return
@@ -354,8 +354,8 @@
 	Broken
 	// Silent: nothing came from it for too long.
 	Silent
-	// Left: the caller left, or its time ran out.
-	Left
+	// CallerLeft: the caller left, or its time ran out.
+	CallerLeft
 )
 
 // outcomeNames are the outcomes as logs name them, in order.
@@ -364,8 +364,8 @@
 // String names the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// End says that a run is over, and places what fits into its room.
-func (s *Scheduler) End(now time.Duration, handle uint64, o Outcome) []Decision {
+// EndRun says that a run is over, and places what fits into its room.
+func (s *Scheduler) EndRun(now time.Duration, handle uint64, o Outcome) []Decision {
 	r := s.running[handle]
 	if r == nil {
 		return nil
@@ -373,7 +373,7 @@
 	delete(s.running, handle)
 	delete(r.ep.own, handle)
 	s.watch(r, -1)
-	if !r.adopted && (o == Answered || o == Left) {
+	if !r.adopted && (o == Answered || o == CallerLeft) {
 		// A slot that a failure gives back is no sign of room.
 		r.ep.turn.ended(now)
 	}
@@ -393,8 +393,8 @@
 	return s.take()
 }
 
-// Waiting is the number of jobs that wait.
-func (s *Scheduler) Waiting() int {
+// QueuedJobs is the number of jobs that wait.
+func (s *Scheduler) QueuedJobs() int {
 	n := 0
 	for _, sv := range s.services {
 		n += len(sv.queue)
@@ -416,7 +416,7 @@
 	sv.effort += (sv.work(j) - sv.effort) * effortWeight
 	ep := c.ep.Endpoint
 	s.out = append(s.out, Decision{
-		Handle: j.Handle, Endpoint: &ep, Predicted: c.first, Candidates: len(sv.list), Waiting: len(sv.queue), Load: c.load, Counted: s.spend(c.ep),
+		Handle: j.Handle, Endpoint: &ep, Predicted: c.first, Candidates: len(sv.list), Waiting: len(sv.queue), Load: c.load, LimitCharged: s.spend(c.ep),
 	})
 }
 
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -138,11 +138,11 @@
 		s.SetEndpoints(0, "plain", []*members.Endpoint{{ID: "p1", Service: "plain", Slots: 6, FailureDomain: "a"}}, false)
 		for j := range 66 {
 			if j != i {
-				s.PeerUses(0, fmt.Sprint(j), "a", nil, true)
+				s.ApplyPeerLoads(0, fmt.Sprint(j), "a", nil, true)
 			}
 		}
-		s.PeerUses(0, "busy", "a", []NamedUse{{NameOf("p1"), Use{Waiting: 5}}}, true)
-		got := s.Submit(0, Job{Handle: 1, Service: "plain", Objective: 300 * time.Millisecond, Abandon: 2 * time.Second})
+		s.ApplyPeerLoads(0, "busy", "a", []EndpointLoad{{EndpointHash("p1"), Load{Waiting: 5}}}, true)
+		got := s.Submit(0, Job{Handle: 1, Service: "plain", Objective: 300 * time.Millisecond, AbandonAt: 2 * time.Second})
 		is.Equal(len(got), 1)
 		is.True(got[0].Endpoint != nil)
 	}
@@ -169,7 +169,7 @@
 			is.True(k > n/parts/2)
 		}
 		for _, s := range p.vms {
-			for _, d := range append(s.Submit(p.now, Job{Handle: 1 << 40, Service: "none", Abandon: p.now + time.Second}), s.Tick(p.now)...) {
+			for _, d := range append(s.Submit(p.now, Job{Handle: 1 << 40, Service: "none", AbandonAt: p.now + time.Second}), s.Tick(p.now)...) {
 				is.Equal(d.Endpoint, nil)
 				is.Equal(d.RetryAfter, comeBack(&Job{Handle: d.Handle}))
 			}
@@ -187,16 +187,16 @@
 	s.SetEndpoints(0, playService, []*members.Endpoint{{ID: "e", Service: playService, Slots: 4, FailureDomain: "a"}}, true)
 	now := time.Duration(0)
 	submit := func(h uint64) bool {
-		out := s.Submit(now, Job{Handle: h, Service: playService, Objective: now + time.Second, Abandon: now + 2*time.Second})
+		out := s.Submit(now, Job{Handle: h, Service: playService, Objective: now + time.Second, AbandonAt: now + 2*time.Second})
 		return len(out) == 1 && out[0].Endpoint != nil
 	}
 	h := uint64(0)
 	for ; now < 2*time.Second; now += 100 * time.Millisecond {
-		s.PeerUses(now, "other", "a", nil, true)
+		s.ApplyPeerLoads(now, "other", "a", nil, true)
 		h++
 		is.True(submit(h))
-		s.Events(now, h, 1)
-		s.End(now, h, Answered)
+		s.RecordEvents(now, h, 1)
+		s.EndRun(now, h, Answered)
 	}
 	now += 500 * time.Millisecond
 	is.True(submit(h + 1))
@@ -232,9 +232,9 @@
 	}
 	s.SetEndpoints(0, playService, list, true)
 	for h, domain := range map[uint64]string{1: "a", 2: "b"} {
-		out := s.Submit(0, Job{Handle: h, Service: playService, Objective: time.Second, Abandon: time.Second, Remote: true, Domain: domain})
+		out := s.Submit(0, Job{Handle: h, Service: playService, Objective: time.Second, AbandonAt: time.Second, Remote: true, SenderDomain: domain})
 		is.Equal(out[0].Endpoint.FailureDomain, domain)
-		s.End(0, h, Left)
+		s.EndRun(0, h, CallerLeft)
 	}
 }
 
@@ -252,12 +252,12 @@
 	}, true)
 	paces := func(near, far time.Duration) {
 		for range 200 {
-			s.PeerUses(0, "other", "b", []NamedUse{{NameOf("near"), Use{Gap: near}}, {NameOf("far"), Use{Gap: far}}}, false)
+			s.ApplyPeerLoads(0, "other", "b", []EndpointLoad{{EndpointHash("near"), Load{EventGap: near}}, {EndpointHash("far"), Load{EventGap: far}}}, false)
 		}
 	}
 	pick := func(h uint64, objective time.Duration) string {
-		out := s.Submit(0, Job{Handle: h, Service: playService, Objective: objective, Abandon: 2 * time.Second})
-		s.End(0, h, Left)
+		out := s.Submit(0, Job{Handle: h, Service: playService, Objective: objective, AbandonAt: 2 * time.Second})
+		s.EndRun(0, h, CallerLeft)
 		return out[0].Endpoint.ID
 	}
 	paces(60*time.Millisecond, 20*time.Millisecond)
@@ -278,23 +278,23 @@
 	is := is.New(t)
 	s := New("self", "a")
 	s.SetEndpoints(0, playService, []*members.Endpoint{{ID: "e", Service: playService, Slots: 4, FailureDomain: "a"}}, true)
-	job := Job{Service: playService, Objective: time.Second, Abandon: 2 * time.Second}
+	job := Job{Service: playService, Objective: time.Second, AbandonAt: 2 * time.Second}
 	adopt := func(now time.Duration, h uint64) bool {
 		j := job
 		j.Handle = h
-		dec, _ := s.Adopt(now, j, NameOf("e"), 50*time.Millisecond, 0)
+		dec, _ := s.Adopt(now, j, EndpointHash("e"), 50*time.Millisecond, 0)
 		return dec != nil
 	}
 	is.True(adopt(0, 1))
 	now := 2 * time.Second
-	is.Equal(len(s.Probes(now)), 1) // it looks silent
+	is.Equal(len(s.DueProbes(now)), 1) // it looks silent
 	is.True(adopt(now, 2))
-	is.Equal(len(s.Barred(now, playService)), 0)
-	s.ProbeEnded(now, "e", false)
+	is.Equal(len(s.Unavailable(now, playService)), 0)
+	s.RecordProbe(now, "e", false)
 	now += time.Second
-	is.Equal(len(s.Probes(now)), 1)
+	is.Equal(len(s.DueProbes(now)), 1)
 	is.True(!adopt(now, 3))
-	is.Equal(s.Barred(now, playService), []uint64{NameOf("e")})
+	is.Equal(s.Unavailable(now, playService), []uint64{EndpointHash("e")})
 }
 
 // Symptom: the lowest tier earned 0.26 to 0.285 of what it was owed on a day with bursts,
@@ -330,16 +330,16 @@
 	}
 	for _, asks := range []bool{true, false} {
 		s := New("self", "a")
-		s.Follow("placer", asks)
+		s.SetPlacer("placer", asks)
 		s.SetEndpoints(0, "v", list, true)
 		now := 2 * time.Second
-		s.PeerUses(now, "other", "a", []NamedUse{{NameOf("x"), Use{Doubted: true}}}, true)
-		probes := s.Probes(now)
+		s.ApplyPeerLoads(now, "other", "a", []EndpointLoad{{EndpointHash("x"), Load{SuspectedDown: true}}}, true)
+		probes := s.DueProbes(now)
 		is.Equal(len(probes) == 0, asks)
-		d, why := s.Adopt(now, Job{Handle: 1, Service: "v", Prompt: 100}, NameOf("y"), time.Second, 0)
-		is.Equal(why, Unusable(""))
-		s.End(now, d.Handle, Unreachable)
-		probes = s.Probes(now)
+		d, why := s.Adopt(now, Job{Handle: 1, Service: "v", PromptTokens: 100}, EndpointHash("y"), time.Second, 0)
+		is.Equal(why, UnusableReason(""))
+		s.EndRun(now, d.Handle, Unreachable)
+		probes = s.DueProbes(now)
 		is.Equal(len(probes), 1)
 		is.Equal(probes[0].Key, "y")
 	}
@@ -357,23 +357,23 @@
 	now, handle := time.Second, uint64(0)
 	submit := func() []Decision {
 		handle++
-		return s.Submit(now, Job{Handle: handle, Service: "v", Prompt: 700, Events: 5, Objective: now + 5*time.Second, Abandon: now + 9*time.Second})
+		return s.Submit(now, Job{Handle: handle, Service: "v", PromptTokens: 700, ExpectedEvents: 5, Objective: now + 5*time.Second, AbandonAt: now + 9*time.Second})
 	}
 	is.Equal(len(submit()), 1)
-	s.End(now, handle, Unreachable)
+	s.EndRun(now, handle, Unreachable)
 	for range 2 {
-		is.Equal(len(s.Probes(now)), 1)
-		s.ProbeEnded(now, "x", false)
+		is.Equal(len(s.DueProbes(now)), 1)
+		s.RecordProbe(now, "x", false)
 		now += time.Second
 	}
 	is.Equal(len(submit()), 0)
-	is.Equal(len(s.Probes(now)), 1)
-	s.ProbeEnded(now, "x", true)
+	is.Equal(len(s.DueProbes(now)), 1)
+	s.RecordProbe(now, "x", true)
 	first := s.Tick(now)
 	is.Equal(len(first), 1)
 	for range 3 {
 		is.Equal(len(submit()), 0)
 	}
-	s.Events(now, first[0].Handle, 1)
+	s.RecordEvents(now, first[0].Handle, 1)
 	is.Equal(len(s.Tick(now)), 3)
 }
--- a/core/dispatch/ejection.go
+++ b/core/dispatch/ejection.go
@@ -82,16 +82,16 @@
 	// Endpoint is the key of its incarnation.
 	Endpoint string
 	Ejected  bool
-	// Told says that another VM's word ejected it.
-	Told bool
+	// ByPeer says that another VM's word ejected it.
+	ByPeer bool
 	// Failures is how many requests failed here without a success in between.
 	Failures int
-	// Pause is the time until the first trial.
-	Pause time.Duration
+	// TrialDelay is the time until the first trial.
+	TrialDelay time.Duration
 }
 
-// Ejections returns what changed since the last call.
-func (s *Scheduler) Ejections() []EjectionChange {
+// TakeEjectionChanges returns what changed since the last call.
+func (s *Scheduler) TakeEjectionChanges() []EjectionChange {
 	var changes []EjectionChange
 	for _, sv := range s.services {
 		for _, e := range sv.list {
@@ -100,7 +100,7 @@
 				continue
 			}
 			x.reported = x.on
-			changes = append(changes, EjectionChange{Endpoint: e.Key(), Ejected: x.on, Told: x.told, Failures: e.health.inARow, Pause: x.pause})
+			changes = append(changes, EjectionChange{Endpoint: e.Key(), Ejected: x.on, ByPeer: x.told, Failures: e.health.inARow, TrialDelay: x.pause})
 		}
 	}
 	return changes
--- a/core/dispatch/ejection_test.go
+++ b/core/dispatch/ejection_test.go
@@ -67,16 +67,16 @@
 	for i := range 2 * n {
 		*now += step
 		for _, e := range ends[*now] {
-			note(s.End(*now, e.h, e.o))
+			note(s.EndRun(*now, e.h, e.o))
 		}
 		if i%2 == 0 {
-			note(s.Submit(*now, Job{Handle: uint64(*now), Service: "plain", Objective: *now + time.Second, Abandon: *now + time.Second}))
+			note(s.Submit(*now, Job{Handle: uint64(*now), Service: "plain", Objective: *now + time.Second, AbandonAt: *now + time.Second}))
 		}
 	}
 	for range whole {
 		*now += step
 		for _, e := range ends[*now] {
-			note(s.End(*now, e.h, e.o))
+			note(s.EndRun(*now, e.h, e.o))
 		}
 	}
 	return got
@@ -147,14 +147,14 @@
 	var now time.Duration
 	s := plainServers("a", "b", "c", "d")
 	answer(s, &now, 200, func(id string) bool { return id == "a" })
-	changes := s.Ejections()
+	changes := s.TakeEjectionChanges()
 	is.Equal(len(changes), 1)
 	is.True(changes[0].Ejected)
 	is.Equal(changes[0].Endpoint, "a")
 	answer(s, &now, 300, func(string) bool { return false })
 	got := answer(s, &now, 400, func(string) bool { return false })
 	is.True(got["a"] > 60)
-	changes = s.Ejections()
+	changes = s.TakeEjectionChanges()
 	is.Equal(len(changes), 1)
 	is.True(!changes[0].Ejected)
 }
@@ -169,7 +169,7 @@
 	well := func(string) bool { return false }
 	got := map[string]int{}
 	for range 100 {
-		s.PeerUses(now, "other", "b", []NamedUse{{NameOf("a"), Use{Ejected: true}}}, true)
+		s.ApplyPeerLoads(now, "other", "b", []EndpointLoad{{EndpointHash("a"), Load{Ejected: true}}}, true)
 		for id, n := range answer(s, &now, 10, well) {
 			got[id] += n
 		}
@@ -186,7 +186,7 @@
 	s := plainServers("a", "b")
 	say := func() {
 		for _, vm := range []string{"1", "2", "3", "4"} {
-			s.PeerUses(now, vm, "b", []NamedUse{{NameOf("a"), Use{Ejected: true}}}, true)
+			s.ApplyPeerLoads(now, vm, "b", []EndpointLoad{{EndpointHash("a"), Load{Ejected: true}}}, true)
 		}
 	}
 	say()
@@ -212,19 +212,19 @@
 	s.SetEndpoints(0, "plain", []*members.Endpoint{first, other}, false)
 	var now time.Duration
 	answer(s, &now, 100, func(id string) bool { return id == "a" })
-	s.PeerUses(now, "vm", "a", []NamedUse{{NameOf(first.Key()), Use{Waiting: 50, Gone: true}}}, true)
-	_, why := s.Adopt(now, Job{Handle: 7, Service: "plain"}, NameOf(other.Key()), 0, 0)
-	is.Equal(why, Unusable(""))
+	s.ApplyPeerLoads(now, "vm", "a", []EndpointLoad{{EndpointHash(first.Key()), Load{Waiting: 50, Replaced: true}}}, true)
+	_, why := s.Adopt(now, Job{Handle: 7, Service: "plain"}, EndpointHash(other.Key()), 0, 0)
+	is.Equal(why, UnusableReason(""))
 	s.SetEndpoints(now, "plain", []*members.Endpoint{next, other}, false)
-	is.Equal(len(s.Restarted()), 0) // nothing ran at the one before
-	s.PeerUses(now, "vm", "a", []NamedUse{{NameOf(first.Key()), Use{Waiting: 50, Gone: true, Ejected: true}}}, true)
+	is.Equal(len(s.TakeLostRuns()), 0) // nothing ran at the one before
+	s.ApplyPeerLoads(now, "vm", "a", []EndpointLoad{{EndpointHash(first.Key()), Load{Waiting: 50, Replaced: true, Ejected: true}}}, true)
 	got := answer(s, &now, 100, func(string) bool { return false })
 	t.Log(got)
 	is.True(got["a"] > 40)
-	_, why = s.Adopt(now, Job{Handle: 8, Service: "plain"}, NameOf(next.Key()), 0, 0)
-	is.Equal(why, Unusable(""))
+	_, why = s.Adopt(now, Job{Handle: 8, Service: "plain"}, EndpointHash(next.Key()), 0, 0)
+	is.Equal(why, UnusableReason(""))
 	s.SetEndpoints(now, "plain", []*members.Endpoint{{ID: "a", Born: 3000, Service: "plain", Slots: 6}, other}, false)
-	is.Equal(s.Restarted(), []uint64{8})
+	is.Equal(s.TakeLostRuns(), []uint64{8})
 }
 
 // Symptom: on a day on which all endpoints of a service failed 45 in 100 requests for four
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -8,14 +8,14 @@
 
 // ownUse is the load that this VM knows of itself. read is the time to read a token,
 // in seconds: the prompt that is being read counts only with what is left of it.
-func (e *endpoint) ownUse(now time.Duration, read float64) Use { return e.use(now, read, false) }
+func (e *endpoint) ownUse(now time.Duration, read float64) Load { return e.use(now, read, false) }
 
 // placedUse is the load that this VM has placed: others would count what it adopted
 // twice.
-func (e *endpoint) placedUse(now time.Duration, read float64) Use { return e.use(now, read, true) }
+func (e *endpoint) placedUse(now time.Duration, read float64) Load { return e.use(now, read, true) }
 
-func (e *endpoint) use(now time.Duration, read float64, placed bool) Use {
-	u := Use{}
+func (e *endpoint) use(now time.Duration, read float64, placed bool) Load {
+	u := Load{}
 	oldest := -1 * time.Second
 	var first int
 	for _, r := range e.own {
@@ -27,16 +27,16 @@
 			continue
 		}
 		u.Waiting++
-		u.PromptTokens = addTokens(u.PromptTokens, r.job.Prompt)
+		u.PromptTokens = addTokens(u.PromptTokens, r.job.PromptTokens)
 		if oldest < 0 || r.sent < oldest {
-			oldest, first = r.sent, r.job.Prompt
+			oldest, first = r.sent, r.job.PromptTokens
 		}
 	}
 	if oldest >= 0 {
 		u.PromptTokens -= readIn(now-max(oldest, e.lastFirst), read, first)
 	}
 	if e.gap.seen >= tellAfter {
-		u.Gap = seconds(e.gap.value)
+		u.EventGap = seconds(e.gap.value)
 	}
 	return u
 }
@@ -54,7 +54,7 @@
 
 // load is what all VMs together have at the endpoint, as far as known. lastNote
 // is when each VM spoke last: what it said before is over.
-func (e *endpoint) load(now time.Duration, read float64, lastNote []time.Duration) Use {
+func (e *endpoint) load(now time.Duration, read float64, lastNote []time.Duration) Load {
 	u := e.ownUse(now, read)
 	kept := e.others[:0]
 	for _, o := range e.others {
--- a/core/dispatch/filter.go
+++ b/core/dispatch/filter.go
@@ -12,7 +12,7 @@
 const plainFill = 2
 
 // hasRoom says whether this VM may count on a free slot.
-func (s *Scheduler) hasRoom(now time.Duration, e *endpoint, u Use) bool {
+func (s *Scheduler) hasRoom(now time.Duration, e *endpoint, u Load) bool {
 	if !e.engine {
 		return u.Running+u.Waiting < plainFill*e.Slots
 	}
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -113,7 +113,7 @@
 		e.health.gone = true
 	case Unreachable, Silent:
 		e.health.doubt(now)
-	case Left:
+	case CallerLeft:
 	}
 }
 
@@ -160,16 +160,16 @@
 	return !e.health.gone && !e.health.doubted
 }
 
-// Doubt says that nothing listens at an endpoint's address: it gets no requests until a probe
+// ReportUnreachable says that nothing listens at an endpoint's address: it gets no requests until a probe
 // shows otherwise.
-func (s *Scheduler) Doubt(now time.Duration, key string) {
-	if e := s.byName[NameOf(key)]; e != nil {
+func (s *Scheduler) ReportUnreachable(now time.Duration, key string) {
+	if e := s.byName[EndpointHash(key)]; e != nil {
 		e.health.doubt(now)
 	}
 }
 
-// OtherFit says whether a service has a fit endpoint that was not tried.
-func (s *Scheduler) OtherFit(now time.Duration, service string, tried []uint64) bool {
+// HasAlternative says whether a service has a fit endpoint that was not tried.
+func (s *Scheduler) HasAlternative(now time.Duration, service string, tried []uint64) bool {
 	for _, e := range s.service(service).list {
 		if e.fit(now) && s.permits(now, e) && !s.wantsRest(now, e) && !slices.Contains(tried, e.name) {
 			return true
@@ -181,9 +181,9 @@
 // mostControls bounds the endpoints that tell a VM's own link from an endpoint's end.
 const mostControls = 2
 
-// Controls returns endpoints to which connections should open while they do not to another: of
+// ControlProbes returns endpoints to which connections should open while they do not to another: of
 // its failure domain if there are any, else of others.
-func (s *Scheduler) Controls(now time.Duration, key, failureDomain string) []Probe {
+func (s *Scheduler) ControlProbes(now time.Duration, key, failureDomain string) []Probe {
 	var near, far []Probe
 	for _, sv := range s.services {
 		for _, e := range sv.list {
@@ -206,8 +206,8 @@
 // be reached. ProbeEnded must follow.
 type Probe struct{ Key, Address string }
 
-// Probes returns the endpoints to probe now.
-func (s *Scheduler) Probes(now time.Duration) []Probe {
+// DueProbes returns the endpoints to probe now.
+func (s *Scheduler) DueProbes(now time.Duration) []Probe {
 	var probes []Probe
 	for _, sv := range s.services {
 		for _, e := range sv.list {
@@ -219,9 +219,9 @@
 	return probes
 }
 
-// ProbeEnded says how a probe ended.
-func (s *Scheduler) ProbeEnded(now time.Duration, key string, ok bool) {
-	e := s.byName[NameOf(key)]
+// RecordProbe says how a probe ended.
+func (s *Scheduler) RecordProbe(now time.Duration, key string, ok bool) {
+	e := s.byName[EndpointHash(key)]
 	if e == nil {
 		return
 	}
--- a/core/dispatch/hopeless.go
+++ b/core/dispatch/hopeless.go
@@ -52,7 +52,7 @@
 		late = ahead[class{j.Tier, true}]
 	}
 	wait, known := sv.wait(now, class{j.Tier, true}, late)
-	if sv.off.Has(mechanism.Hopeless) || !known || wait <= j.Abandon-now {
+	if sv.off.Has(mechanism.Hopeless) || !known || wait <= j.AbandonAt-now {
 		return false
 	}
 	if j.late {
--- a/core/dispatch/limits.go
+++ b/core/dispatch/limits.go
@@ -19,12 +19,12 @@
 	s.limits[endpoint] = limit.New(now, perSecond)
 }
 
-// LiftLimit ends an endpoint's limit.
-func (s *Scheduler) LiftLimit(endpoint uint64) { delete(s.limits, endpoint) }
+// RemoveLimit ends an endpoint's limit.
+func (s *Scheduler) RemoveLimit(endpoint uint64) { delete(s.limits, endpoint) }
 
-// SetReach says how many VMs the placers that are heard serve, this one included, of those known. It must be
+// SetCoverage says how many VMs the placers that are heard serve, this one included, of those known. It must be
 // called several times a second.
-func (s *Scheduler) SetReach(now time.Duration, heard, known int) {
+func (s *Scheduler) SetCoverage(now time.Duration, heard, known int) {
 	s.reach = limit.Part(heard, known)
 	s.endRests(now)
 	for name, b := range s.limits {
--- a/core/dispatch/notices_test.go
+++ b/core/dispatch/notices_test.go
@@ -21,7 +21,7 @@
 // placeOne places a job of a plain service, of this VM or another, and returns where; empty if it waits, the
 // reason if it is refused.
 func placeOne(s *Scheduler, now time.Duration, handle uint64, remote bool) string {
-	j := Job{Handle: handle, Service: "plain", Objective: now + time.Second, Abandon: now + 2*time.Second, Remote: remote, Domain: "a"}
+	j := Job{Handle: handle, Service: "plain", Objective: now + time.Second, AbandonAt: now + 2*time.Second, Remote: remote, SenderDomain: "a"}
 	out := s.Submit(now, j)
 	switch {
 	case len(out) == 0:
@@ -37,11 +37,11 @@
 	is := is.New(t)
 	s := New("vm1", "a")
 	plainEndpoints(s, "e")
-	s.SetRest(NameOf("e"), time.Second, 0)
+	s.SetBackoff(EndpointHash("e"), time.Second, 0)
 	is.Equal(placeOne(s, 0, 1, false), "")
-	is.Equal(s.Barred(0, "plain"), []uint64{NameOf("e")})
-	_, why := s.Adopt(0, Job{Handle: 2, Service: "plain"}, NameOf("e"), 0, 0)
-	is.Equal(why, Resting)
+	is.Equal(s.Unavailable(0, "plain"), []uint64{EndpointHash("e")})
+	_, why := s.Adopt(0, Job{Handle: 2, Service: "plain"}, EndpointHash("e"), 0, 0)
+	is.Equal(why, BackingOff)
 	out := s.Tick(time.Second)
 	is.Equal(len(out), 1)
 	is.Equal(out[0].Endpoint.ID, "e")
@@ -52,10 +52,10 @@
 	is := is.New(t)
 	s := New("vm1", "a")
 	plainEndpoints(s, "e", "f")
-	s.SetRest(NameOf("e"), 5*time.Second, 0)
-	s.SetRest(NameOf("f"), 4*time.Second, 0)
-	out := s.Submit(0, Job{Handle: 1, Service: "plain", Objective: time.Second, Abandon: 2 * time.Second})
-	is.Equal(out[0].Reason, ReasonRest)
+	s.SetBackoff(EndpointHash("e"), 5*time.Second, 0)
+	s.SetBackoff(EndpointHash("f"), 4*time.Second, 0)
+	out := s.Submit(0, Job{Handle: 1, Service: "plain", Objective: time.Second, AbandonAt: 2 * time.Second})
+	is.Equal(out[0].Reason, ReasonBackoff)
 	is.Equal(out[0].RetryAfter, 4*time.Second)
 }
 
@@ -65,7 +65,7 @@
 	is := is.New(t)
 	s := New("vm1", "a")
 	plainEndpoints(s, "e", "f")
-	s.SetRest(NameOf("e"), 0, time.Second)
+	s.SetBackoff(EndpointHash("e"), 0, time.Second)
 	for n := range uint64(plainFill * 2) {
 		is.Equal(placeOne(s, 0, n+1, n%2 == 0), "f")
 	}
@@ -78,24 +78,24 @@
 	s := New("vm1", "a")
 	plainEndpoints(s, "e")
 	use := func(now time.Duration) string {
-		s.SetReach(now, 2, 2)
+		s.SetCoverage(now, 2, 2)
 		return placeOne(s, now, uint64(now), false)
 	}
-	s.SetLimit(0, NameOf("e"), 10)
+	s.SetLimit(0, EndpointHash("e"), 10)
 	is.Equal(use(0), "") // begins with nothing
 	is.Equal(use(250*time.Millisecond), "e")
 	// A VM of the endpoint's failure domain that places comes first, or this one does, but not both.
-	s.PeerUses(300*time.Millisecond, "vm2", "a", nil, true)
+	s.ApplyPeerLoads(300*time.Millisecond, "vm2", "a", nil, true)
 	other := New("vm2", "a")
 	plainEndpoints(other, "e")
-	other.SetLimit(0, NameOf("e"), 10)
-	other.PeerUses(300*time.Millisecond, "vm1", "a", nil, true)
-	e := s.byName[NameOf("e")]
+	other.SetLimit(0, EndpointHash("e"), 10)
+	other.ApplyPeerLoads(300*time.Millisecond, "vm1", "a", nil, true)
+	e := s.byName[EndpointHash("e")]
 	is.True((s.part(300*time.Millisecond, e) == 0) != (func() bool {
-		other.SetReach(300*time.Millisecond, 2, 2)
-		return other.part(300*time.Millisecond, other.byName[NameOf("e")]) == 0
+		other.SetCoverage(300*time.Millisecond, 2, 2)
+		return other.part(300*time.Millisecond, other.byName[EndpointHash("e")]) == 0
 	}()))
-	s.Follow("vm3", true)
+	s.SetPlacer("vm3", true)
 	is.Equal(s.part(5*time.Second, e), 0.0)
 }
 
@@ -104,14 +104,14 @@
 	is := is.New(t)
 	s := New("vm1", "a")
 	plainEndpoints(s, "e")
-	s.SetLimit(0, NameOf("e"), 0)
+	s.SetLimit(0, EndpointHash("e"), 0)
 	sent := 0
 	for now := time.Duration(0); now < 30*time.Second; now += 100 * time.Millisecond {
-		s.SetReach(now, 1, 1)
-		for _, d := range s.Submit(now, Job{Handle: uint64(now) + 1, Service: "plain", Objective: now + time.Second, Abandon: now + time.Second}) {
+		s.SetCoverage(now, 1, 1)
+		for _, d := range s.Submit(now, Job{Handle: uint64(now) + 1, Service: "plain", Objective: now + time.Second, AbandonAt: now + time.Second}) {
 			if d.Endpoint != nil {
 				sent++
-				s.End(now, d.Handle, Answered)
+				s.EndRun(now, d.Handle, Answered)
 			}
 		}
 	}
@@ -123,8 +123,8 @@
 	is := is.New(t)
 	s := New("vm1", "a")
 	plainEndpoints(s, "e", "f")
-	s.SetReach(0, 1, 1)
-	s.SetLimit(0, NameOf("e"), 0.1)
+	s.SetCoverage(0, 1, 1)
+	s.SetLimit(0, EndpointHash("e"), 0.1)
 	for n := range uint64(plainFill * 2) {
 		is.Equal(placeOne(s, 0, n+1, false), "f")
 	}
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -94,20 +94,20 @@
 
 // hearPace takes in what another VM says of the endpoint's pace: of one that places its
 // opinion, of one that asks what it sees.
-func (e *endpoint) hearPace(now time.Duration, u Use, places bool) {
-	if u.Fresh > 0 && !places {
-		e.gap.follow(u.Fresh.Seconds(), toldUp)
+func (e *endpoint) hearPace(now time.Duration, u Load, places bool) {
+	if u.RecentGap > 0 && !places {
+		e.gap.follow(u.RecentGap.Seconds(), toldUp)
 		e.observed = now
 		return
 	}
-	if u.Gap <= 0 || !places && e.gap.seen > 0 {
+	if u.EventGap <= 0 || !places && e.gap.seen > 0 {
 		return
 	}
 	weight := hearWeight
 	if now-e.observed > paceOld {
 		weight = hearOld
 	}
-	e.gap.hear(u.Gap.Seconds(), weight)
+	e.gap.hear(u.EventGap.Seconds(), weight)
 }
 
 // observeEvents takes in the time between events of one stream.
@@ -132,18 +132,18 @@
 // observeFirst takes in the time to the first event of a run.
 func (p *pace) observeFirst(r *run, took time.Duration) {
 	t := took.Seconds()
-	if r.job.Prompt == 0 {
+	if r.job.PromptTokens == 0 {
 		r.ep.plain = orStart(r.ep.plain, startPlain)
 		r.ep.plain += (t - r.ep.plain) * plainWeight
 		p.plain = orStart(p.plain, startPlain)
 		p.plain += (t - p.plain) * gapWeight
 		return
 	}
-	prompt := float64(r.job.Prompt)
+	prompt := float64(r.job.PromptTokens)
 	if r.ep.gap.value == 0 || float64(r.ahead) > tellingAhead*prompt {
 		return
 	}
-	p.observePrompt(r.job.Prompt, prompt+float64(r.ahead), t/p.gapOf(r.ep))
+	p.observePrompt(r.job.PromptTokens, prompt+float64(r.ahead), t/p.gapOf(r.ep))
 }
 
 // observePrompt takes in that a prompt of some length, behind which tokens in all were read,
--- a/core/dispatch/pace_test.go
+++ b/core/dispatch/pace_test.go
@@ -51,14 +51,14 @@
 	now, handle := time.Duration(0), uint64(0)
 	answer := func(first time.Duration) Decision {
 		handle++
-		out := s.Submit(now, Job{Handle: handle, Service: "v", Prompt: 1000, Objective: now + time.Second, Abandon: now + 2*time.Second})
+		out := s.Submit(now, Job{Handle: handle, Service: "v", PromptTokens: 1000, Objective: now + time.Second, AbandonAt: now + 2*time.Second})
 		is.Equal(len(out), 1)
 		now += first
 		for range 4 {
-			s.Events(now, handle, 1)
+			s.RecordEvents(now, handle, 1)
 			now += 50 * time.Millisecond
 		}
-		s.End(now, handle, Answered)
+		s.EndRun(now, handle, Answered)
 		return out[0]
 	}
 	answer(80 * time.Millisecond)
@@ -66,7 +66,7 @@
 	for range 200 {
 		answer(20 * time.Millisecond)
 	}
-	s.Submit(now, Job{Handle: 1000, Service: "v", Prompt: 6000, Objective: now + time.Second, Abandon: now + 2*time.Second})
+	s.Submit(now, Job{Handle: 1000, Service: "v", PromptTokens: 6000, Objective: now + time.Second, AbandonAt: now + 2*time.Second})
 	now += 5 * time.Millisecond
 	d := answer(20 * time.Millisecond)
 	t.Logf("predicted %v behind %d unread tokens", d.Predicted, d.Load.PromptTokens)
@@ -95,18 +95,18 @@
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0:
 				handle++
-				out = s.Submit(now, Job{Handle: handle, Service: "v", Prompt: anyTokens.Draw(rt, "prompt"), Events: anyTokens.Draw(rt, "events"), Objective: now + time.Second, Abandon: now + 2*time.Second, Remote: rapid.Bool().Draw(rt, "remote")})
+				out = s.Submit(now, Job{Handle: handle, Service: "v", PromptTokens: anyTokens.Draw(rt, "prompt"), ExpectedEvents: anyTokens.Draw(rt, "events"), Objective: now + time.Second, AbandonAt: now + 2*time.Second, Remote: rapid.Bool().Draw(rt, "remote")})
 			case 1:
 				if len(running) > 0 {
-					s.Events(now, rapid.SampledFrom(running).Draw(rt, "run"), rapid.IntRange(1, 3).Draw(rt, "events"))
+					s.RecordEvents(now, rapid.SampledFrom(running).Draw(rt, "run"), rapid.IntRange(1, 3).Draw(rt, "events"))
 				}
 			case 2:
 				if len(running) > 0 {
-					out = s.End(now, rapid.SampledFrom(running).Draw(rt, "run"), Answered)
+					out = s.EndRun(now, rapid.SampledFrom(running).Draw(rt, "run"), Answered)
 				}
 			default:
-				u := Use{Running: rapid.IntRange(0, 4).Draw(rt, "running"), Waiting: rapid.IntRange(0, 2).Draw(rt, "waiting"), PromptTokens: anyTokens.Draw(rt, "unread"), Gap: anyTime.Draw(rt, "gap")}
-				s.PeerUses(now, "other", "a", []NamedUse{{NameOf("x"), u}}, true)
+				u := Load{Running: rapid.IntRange(0, 4).Draw(rt, "running"), Waiting: rapid.IntRange(0, 2).Draw(rt, "waiting"), PromptTokens: anyTokens.Draw(rt, "unread"), EventGap: anyTime.Draw(rt, "gap")}
+				s.ApplyPeerLoads(now, "other", "a", []EndpointLoad{{EndpointHash("x"), u}}, true)
 			}
 			for _, d := range append(out, s.Tick(now)...) {
 				if d.Endpoint == nil {
@@ -119,13 +119,13 @@
 				if d.Load.PromptTokens < 0 || d.Load.PromptTokens > mostTokens {
 					rt.Fatalf("%d tokens unread", d.Load.PromptTokens)
 				}
-				if d.Load.Gap <= 0 {
-					rt.Fatalf("events %v apart", d.Load.Gap)
+				if d.Load.EventGap <= 0 {
+					rt.Fatalf("events %v apart", d.Load.EventGap)
 				}
 			}
 		}
-		for _, u := range s.Uses(now, true) {
-			if u.PromptTokens < 0 || u.PromptTokens > mostTokens || u.Gap < 0 || u.Gap > longestTime {
+		for _, u := range s.Loads(now, true) {
+			if u.PromptTokens < 0 || u.PromptTokens > mostTokens || u.EventGap < 0 || u.EventGap > longestTime {
 				rt.Fatalf("told: %+v", u)
 			}
 		}
@@ -168,19 +168,19 @@
 			}
 			for _, h := range c.runs[i] {
 				if c.now >= c.next[h] {
-					m.Events(c.now, h, 1)
+					m.RecordEvents(c.now, h, 1)
 					c.next[h] = c.now + gap
 				}
 			}
 			if c.now%(2*time.Second) == 0 {
 				for _, h := range c.runs[i] {
-					m.End(c.now, h, Answered)
-					c.placer.End(c.now, h, Answered)
+					m.EndRun(c.now, h, Answered)
+					c.placer.EndRun(c.now, h, Answered)
 				}
 				c.runs[i] = nil
 			}
 			if c.now%(100*time.Millisecond) == 0 {
-				c.placer.PeerUses(c.now, strconv.Itoa(i), "a", m.Uses(c.now, c.now%time.Second == 0), false)
+				c.placer.ApplyPeerLoads(c.now, strconv.Itoa(i), "a", m.Loads(c.now, c.now%time.Second == 0), false)
 			}
 		}
 	}
@@ -188,14 +188,14 @@
 
 func (c *cellOf) begin(i int, gap time.Duration) {
 	c.handle++
-	j := Job{Handle: c.handle, Service: "v", Prompt: 700, Events: 10, Objective: c.now + 5*time.Second, Abandon: c.now + 9*time.Second, Remote: true}
+	j := Job{Handle: c.handle, Service: "v", PromptTokens: 700, ExpectedEvents: 10, Objective: c.now + 5*time.Second, AbandonAt: c.now + 9*time.Second, Remote: true}
 	out := c.placer.Submit(c.now, j)
 	c.is.Equal(len(out), 1)
-	c.predicted = out[0].Load.Gap
+	c.predicted = out[0].Load.EventGap
 	j.Remote = false
-	d, why := c.members[i].Adopt(c.now, j, NameOf(out[0].Endpoint.Key()), out[0].Predicted, 0)
+	d, why := c.members[i].Adopt(c.now, j, EndpointHash(out[0].Endpoint.Key()), out[0].Predicted, 0)
 	c.is.True(d != nil)
-	c.is.Equal(why, Unusable(""))
+	c.is.Equal(why, UnusableReason(""))
 	c.runs[i] = append(c.runs[i], c.handle)
 	c.next[c.handle] = c.now + gap
 }
@@ -243,7 +243,7 @@
 	var p pace
 	for i := range n {
 		prompt := prompts[i%len(prompts)]
-		p.observeFirst(&run{job: &Job{Prompt: prompt}, ep: e}, seconds(took(i, 0.3*gap, read*float64(prompt))))
+		p.observeFirst(&run{job: &Job{PromptTokens: prompt}, ep: e}, seconds(took(i, 0.3*gap, read*float64(prompt))))
 	}
 	for _, prompt := range checked {
 		got := p.readOf(e, prompt) / read
--- a/core/dispatch/play_test.go
+++ b/core/dispatch/play_test.go
@@ -165,7 +165,7 @@
 
 func (p *play) run(length time.Duration) {
 	for _, s := range p.vms {
-		s.SetEventTokens(playService, p.tokens)
+		s.SetTokensPerEvent(playService, p.tokens)
 	}
 	for ; p.now < length; p.now += playStep {
 		p.arrive()
@@ -203,9 +203,9 @@
 				far = append(far, j)
 			}
 		}
-		uses := from.Uses(p.now, p.told%10 == 0)
+		uses := from.Loads(p.now, p.told%10 == 0)
 		for _, j := range append(inTurns(near, p.near, p.told+i), inTurns(far, p.far, p.told+i)...) {
-			p.vms[j].PeerUses(p.now, strconv.Itoa(i), strconv.Itoa(i%p.domains), uses, true)
+			p.vms[j].ApplyPeerLoads(p.now, strconv.Itoa(i), strconv.Itoa(i%p.domains), uses, true)
 		}
 	}
 	p.told++
@@ -260,8 +260,8 @@
 	relative := (float64(prompt) + 10*float64(output)) / (k.prompt + 10*k.output)
 	pl := &played{kind: i, vm: vm, credit: min(4, 0.3+0.7*relative), largest: float64(prompt) > 2.2*k.prompt, submitted: p.now, output: output}
 	pl.job = Job{
-		Handle: p.next, Service: playService, Tier: k.tier, Prompt: prompt, Events: p.size(float64(output)/float64(p.tokens), 0.7), MaxPause: p.maxPause, Limit: p.now + k.limit,
-		Objective: p.now + k.objective, Abandon: p.now + max(playPatient, 4*k.objective),
+		Handle: p.next, Service: playService, Tier: k.tier, PromptTokens: prompt, ExpectedEvents: p.size(float64(output)/float64(p.tokens), 0.7), MaxPause: p.maxPause, Deadline: p.now + k.limit,
+		Objective: p.now + k.objective, AbandonAt: p.now + max(playPatient, 4*k.objective),
 	}
 	p.jobs[p.next] = pl
 	r := &p.results[i]
@@ -291,7 +291,7 @@
 			pl.reset = true
 			continue
 		}
-		p.engines[pl.engine].Submit(p.now, strconv.FormatUint(d.Handle, 10), nil, pl.job.Prompt, pl.output)
+		p.engines[pl.engine].Submit(p.now, strconv.FormatUint(d.Handle, 10), nil, pl.job.PromptTokens, pl.output)
 	}
 }
 
@@ -306,7 +306,7 @@
 			if ev.Kind == engine.First {
 				pl.started, pl.first, pl.last = true, ev.At, ev.At
 				p.ratios = append(p.ratios, float64(ev.At-pl.placed)/float64(max(1, pl.expected)))
-				p.vms[pl.vm].Events(p.now, h, 1)
+				p.vms[pl.vm].RecordEvents(p.now, h, 1)
 				continue
 			}
 			p.finish(h, pl)
@@ -316,7 +316,7 @@
 		if pl := p.jobs[h]; pl != nil && pl.reset {
 			p.broken++
 			delete(p.jobs, h)
-			p.carryOut(pl.vm, p.vms[pl.vm].End(p.now, h, Broken))
+			p.carryOut(pl.vm, p.vms[pl.vm].EndRun(p.now, h, Broken))
 		}
 	}
 	for _, h := range p.handles() {
@@ -328,7 +328,7 @@
 			pl.told += n
 			pl.pause = max(pl.pause, p.now-pl.last)
 			pl.last = p.now
-			p.vms[pl.vm].Events(p.now, h, n)
+			p.vms[pl.vm].RecordEvents(p.now, h, n)
 		}
 	}
 }
@@ -351,7 +351,7 @@
 		r.largeServed++
 	}
 	delete(p.jobs, h)
-	p.carryOut(pl.vm, p.vms[pl.vm].End(p.now, h, Answered))
+	p.carryOut(pl.vm, p.vms[pl.vm].EndRun(p.now, h, Answered))
 }
 
 func (p *play) handles() []uint64 { return slices.Sorted(maps.Keys(p.jobs)) }
@@ -360,7 +360,7 @@
 func (p *play) leave() {
 	for _, h := range p.handles() {
 		pl := p.jobs[h]
-		if pl == nil || p.now < pl.job.Limit && (pl.started || p.now < pl.job.Abandon) {
+		if pl == nil || p.now < pl.job.Deadline && (pl.started || p.now < pl.job.AbandonAt) {
 			continue
 		}
 		p.results[pl.kind].left++
@@ -370,7 +370,7 @@
 			continue
 		}
 		p.engines[pl.engine].Cancel(p.now, strconv.FormatUint(h, 10))
-		p.carryOut(pl.vm, p.vms[pl.vm].End(p.now, h, Left))
+		p.carryOut(pl.vm, p.vms[pl.vm].EndRun(p.now, h, CallerLeft))
 	}
 }
 
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -13,7 +13,7 @@
 // seat is an endpoint with room, and its load.
 type seat struct {
 	ep   *endpoint
-	load Use
+	load Load
 }
 
 // place gives waiting jobs to endpoints and refuses those that cannot be served
@@ -125,7 +125,7 @@
 	if fastest == nil || !fastest.engine {
 		return 0
 	}
-	return seconds(sv.pace.firstOf(fastest, j.Prompt))
+	return seconds(sv.pace.firstOf(fastest, j.PromptTokens))
 }
 
 // refuseHopeless refuses jobs whose caller is about to leave or would have left by
@@ -140,12 +140,12 @@
 		switch {
 		case len(sv.list) == 0 || len(j.Tried) > 0 && !sv.untried(j):
 			s.refuse(now, sv, j, ReasonNoEndpoint)
-		case now+sv.atBest(j, fastest) >= j.Abandon || sv.hopeless(now, j, ahead, late[j.Tier]):
+		case now+sv.atBest(j, fastest) >= j.AbandonAt || sv.hopeless(now, j, ahead, late[j.Tier]):
 			s.refuse(now, sv, j, ReasonTooLate)
-		case now+s.restWait(now, sv, j) >= j.Abandon:
-			s.refuse(now, sv, j, ReasonRest)
+		case now+s.restWait(now, sv, j) >= j.AbandonAt:
+			s.refuse(now, sv, j, ReasonBackoff)
 		case len(kept) >= maxQueued:
-			s.refuse(now, sv, j, ReasonFull)
+			s.refuse(now, sv, j, ReasonQueueFull)
 		default:
 			ahead[class{j.Tier, j.late}]++
 			kept = append(kept, j)
--- a/core/dispatch/rank.go
+++ b/core/dispatch/rank.go
@@ -32,5 +32,5 @@
 
 // work is what a job takes of an engine, in times between two events of a stream.
 func (sv *service) work(j *Job) float64 {
-	return float64(j.Prompt)*sv.pace.startReadRatio() + float64(j.Events)
+	return float64(j.PromptTokens)*sv.pace.startReadRatio() + float64(j.ExpectedEvents)
 }
--- a/core/dispatch/remote.go
+++ b/core/dispatch/remote.go
@@ -12,44 +12,44 @@
 // a run of it: the one that placed it counts its load, the other, which has adopted
 // it, learns from it and notices if the endpoint falls silent.
 
-// Unusable says why an endpoint may not be used; empty if it may.
-type Unusable string
+// UnusableReason says why an endpoint may not be used; empty if it may.
+type UnusableReason string
 
 // Reasons why an endpoint may not be used.
 const (
 	// NotListed: it is not among the service's endpoints, or is leaving.
-	NotListed Unusable = "not_listed"
-	// Gone: another incarnation has its address.
-	Gone Unusable = "gone"
-	// NotReached: a probe from here failed.
-	NotReached Unusable = "not_reached"
-	// Limited: it names a limit against which the request was not counted.
-	Limited Unusable = "limited"
-	// Resting: it wants nothing from this VM for a time.
-	Resting Unusable = "resting"
-	// HeldBack: its version gets only requests that are chosen to try it.
-	HeldBack Unusable = "held_back"
+	NotListed UnusableReason = "not_listed"
+	// IncarnationGone: another incarnation has its address.
+	IncarnationGone UnusableReason = "gone"
+	// ProbeFailed: a probe from here failed.
+	ProbeFailed UnusableReason = "not_reached"
+	// OverLimit: it names a limit against which the request was not counted.
+	OverLimit UnusableReason = "limited"
+	// BackingOff: it wants nothing from this VM for a time.
+	BackingOff UnusableReason = "resting"
+	// CanaryOnly: its version gets only requests that are chosen to try it.
+	CanaryOnly UnusableReason = "held_back"
 )
 
 // Adopt notes that another VM placed a job at the endpoint of that name, with the
 // first event expected after a time, behind the prompt tokens ahead. It returns nil and
 // why if the endpoint may not be used as far as this VM knows, which may know better:
 // the endpoint may be leaving.
-func (s *Scheduler) Adopt(now time.Duration, j Job, name uint64, first time.Duration, ahead int) (*Decision, Unusable) {
+func (s *Scheduler) Adopt(now time.Duration, j Job, name uint64, first time.Duration, ahead int) (*Decision, UnusableReason) {
 	e := s.byName[name]
 	switch {
 	case e == nil || e.Service != j.Service:
 		return nil, NotListed
 	case e.health.gone:
-		return nil, Gone
+		return nil, IncarnationGone
 	case !admitsVersion(&j, e):
-		return nil, HeldBack
+		return nil, CanaryOnly
 	case e.health.unreachable():
-		return nil, NotReached
+		return nil, ProbeFailed
 	case s.wantsRest(now, e):
-		return nil, Resting
-	case s.limits[name] != nil && !j.Counted:
-		return nil, Limited
+		return nil, BackingOff
+	case s.limits[name] != nil && !j.LimitCharged:
+		return nil, OverLimit
 	}
 	s.checkJob(&j)
 	j.arrived, j.Suspicion = now, s.suspicion(&j)
@@ -59,15 +59,15 @@
 	return &Decision{Handle: j.Handle, Endpoint: &ep, Predicted: first}, ""
 }
 
-// Own makes an adopted run this VM's: the VM that placed it no longer counts it.
-func (s *Scheduler) Own(handle uint64) {
+// TakeOwnership makes an adopted run this VM's: the VM that placed it no longer counts it.
+func (s *Scheduler) TakeOwnership(handle uint64) {
 	if r := s.running[handle]; r != nil {
 		r.adopted = false
 	}
 }
 
-// Barred returns the names of a service's endpoints that this VM cannot reach, or that want nothing from it.
-func (s *Scheduler) Barred(now time.Duration, service string) []uint64 {
+// Unavailable returns the names of a service's endpoints that this VM cannot reach, or that want nothing from it.
+func (s *Scheduler) Unavailable(now time.Duration, service string) []uint64 {
 	var names []uint64
 	for _, e := range s.service(service).list {
 		if e.health.unreachable() || s.wantsRest(now, e) {
@@ -77,9 +77,9 @@
 	return names
 }
 
-// Follow makes the next SetEndpoints choose as the VM of that name does, which places this
+// SetPlacer makes the next SetEndpoints choose as the VM of that name does, which places this
 // one's requests: what it places must be known here. asks says that it is another VM.
-func (s *Scheduler) Follow(vm string, asks bool) {
+func (s *Scheduler) SetPlacer(vm string, asks bool) {
 	s.chooser = xxhash.Sum64String(vm)
 	s.asks = asks
 }
--- a/core/dispatch/rests.go
+++ b/core/dispatch/rests.go
@@ -18,9 +18,9 @@
 	own, others time.Duration
 }
 
-// SetRest sets when an endpoint wants requests of this VM again, by its short name, and of others that it asked
+// SetBackoff sets when an endpoint wants requests of this VM again, by its short name, and of others that it asked
 // for rest.
-func (s *Scheduler) SetRest(endpoint uint64, own, others time.Duration) {
+func (s *Scheduler) SetBackoff(endpoint uint64, own, others time.Duration) {
 	s.rests[endpoint] = rest{own, others}
 }
 
@@ -44,8 +44,8 @@
 	return 0
 }
 
-// RestWait is how long all endpoints of a service that were not tried want nothing from this VM; 0 if one does.
-func (s *Scheduler) RestWait(now time.Duration, service string, tried []uint64) time.Duration {
+// BackoffWait is how long all endpoints of a service that were not tried want nothing from this VM; 0 if one does.
+func (s *Scheduler) BackoffWait(now time.Duration, service string, tried []uint64) time.Duration {
 	if len(s.rests) == 0 {
 		return 0
 	}
@@ -69,5 +69,5 @@
 	if j.Remote {
 		return 0
 	}
-	return s.RestWait(now, sv.name, j.Tried)
+	return s.BackoffWait(now, sv.name, j.Tried)
 }
--- a/core/dispatch/score.go
+++ b/core/dispatch/score.go
@@ -18,7 +18,7 @@
 	score float64
 	// ahead are the prompt tokens that wait there.
 	ahead int
-	load  Use
+	load  Load
 }
 
 const (
@@ -48,7 +48,7 @@
 )
 
 // rate predicts what a job meets at an endpoint.
-func (s *Scheduler) rate(now time.Duration, sv *service, j *Job, e *endpoint, u Use) candidate {
+func (s *Scheduler) rate(now time.Duration, sv *service, j *Job, e *endpoint, u Load) candidate {
 	c := candidate{ep: e, ahead: u.PromptTokens, load: u}
 	if e.engine {
 		sv.rateEngine(now, j, &c)
@@ -61,7 +61,7 @@
 	}
 	from := s.domain
 	if j.Remote {
-		from = j.Domain
+		from = j.SenderDomain
 	}
 	if e.FailureDomain != from && !s.off.Has(mechanism.NearFirst) {
 		c.score += farCost
@@ -74,16 +74,16 @@
 }
 
 func (sv *service) rateEngine(now time.Duration, j *Job, c *candidate) {
-	gap, read := sv.pace.gapOf(c.ep), sv.pace.readOf(c.ep, j.Prompt)
-	c.load.Gap = seconds(gap)
-	first := sv.pace.readOf(c.ep, 0)*float64(c.load.PromptTokens) + sv.pace.firstOf(c.ep, j.Prompt)
+	gap, read := sv.pace.gapOf(c.ep), sv.pace.readOf(c.ep, j.PromptTokens)
+	c.load.EventGap = seconds(gap)
+	first := sv.pace.readOf(c.ep, 0)*float64(c.load.PromptTokens) + sv.pace.firstOf(c.ep, j.PromptTokens)
 	if c.load.Running+c.load.Waiting >= c.ep.Slots {
 		first += slotEvents * gap
 	}
 	c.first = seconds(first)
-	pause := gap + read*float64(min(c.load.PromptTokens+j.Prompt, sv.readBesideEvent()))
-	whole := first + gap*float64(j.Events)
-	ends := j.Limit == 0 || wholeMargin*whole <= (j.Limit-now).Seconds()
+	pause := gap + read*float64(min(c.load.PromptTokens+j.PromptTokens, sv.readBesideEvent()))
+	whole := first + gap*float64(j.ExpectedEvents)
+	ends := j.Deadline == 0 || wholeMargin*whole <= (j.Deadline-now).Seconds()
 	c.onTime = ends && first <= onTimeShare*(j.Objective-now).Seconds() && (j.MaxPause == 0 || pause <= j.MaxPause.Seconds())
 	busy := float64(c.load.Running+c.load.Waiting) / float64(max(1, c.ep.Slots))
 	c.score = first + busy*gap
--- a/core/dispatch/uses.go
+++ b/core/dispatch/uses.go
@@ -9,37 +9,37 @@
 	"github.com/chivefield/chivefield/core/members"
 )
 
-// Uses returns this VM's load at the endpoints it uses, with paces also at those
+// Loads returns this VM's load at the endpoints it uses, with paces also at those
 // whose pace it knows.
-func (s *Scheduler) Uses(now time.Duration, paces bool) []NamedUse {
-	var uses []NamedUse
+func (s *Scheduler) Loads(now time.Duration, paces bool) []EndpointLoad {
+	var uses []EndpointLoad
 	for _, sv := range s.services {
 		for _, ep := range sv.list {
 			u := ep.placedUse(now, sv.pace.readOf(ep, 0))
-			u.Doubted, u.Gone = ep.health.doubted && ep.health.probes > 0, ep.health.gone
+			u.SuspectedDown, u.Replaced = ep.health.doubted && ep.health.probes > 0, ep.health.gone
 			u.Ejected = ep.health.ejection.on
-			u.Fresh = ep.takeFresh()
-			if u.Running+u.Waiting > 0 || paces && u.Gap > 0 || u.Fresh > 0 || u.Doubted || u.Gone || u.Ejected {
-				uses = append(uses, NamedUse{ep.name, u})
+			u.RecentGap = ep.takeFresh()
+			if u.Running+u.Waiting > 0 || paces && u.EventGap > 0 || u.RecentGap > 0 || u.SuspectedDown || u.Replaced || u.Ejected {
+				uses = append(uses, EndpointLoad{ep.name, u})
 			}
 		}
 	}
 	return uses
 }
 
-// NameOf is the short name by which VMs tell each other of an endpoint, from its key.
-func NameOf(key string) uint64 { return members.NameOf(key) }
+// EndpointHash is the short name by which VMs tell each other of an endpoint, from its key.
+func EndpointHash(key string) uint64 { return members.NameOf(key) }
 
-// NamedUse is a load with the short name of its endpoint.
-type NamedUse struct {
-	Name uint64
-	Use
+// EndpointLoad is a load with the short name of its endpoint.
+type EndpointLoad struct {
+	EndpointHash uint64
+	Load
 }
 
-// PeerUses takes in the whole load that another VM has placed. Endpoints that it
+// ApplyPeerLoads takes in the whole load that another VM has placed. Endpoints that it
 // does not name, it does not use. places says whether that VM places requests by
 // itself: one that asks another VM takes no slots of its own accord.
-func (s *Scheduler) PeerUses(now time.Duration, vm, domain string, uses []NamedUse, places bool) {
+func (s *Scheduler) ApplyPeerLoads(now time.Duration, vm, domain string, uses []EndpointLoad, places bool) {
 	i, ok := s.vms[vm]
 	if !ok {
 		i = len(s.lastNote)
@@ -55,19 +55,19 @@
 	s.others[i].heard(now, s.lastNote[i])
 	s.lastNote[i] = now
 	for _, u := range uses {
-		ep := s.byName[u.Name]
+		ep := s.byName[u.EndpointHash]
 		if ep == nil {
 			continue
 		}
-		s.checkUse(&u.Use)
+		s.checkUse(&u.Load)
 		// A VM that asks another sends no requests on trial by itself.
 		u.Ejected = u.Ejected && places
-		ep.setOther(peerUse{u.Use, i, now})
-		ep.hearPace(now, u.Use, places)
-		if u.Doubted && !s.asks && !s.off.Has(mechanism.PeerDoubts) {
+		ep.setOther(peerUse{u.Load, i, now})
+		ep.hearPace(now, u.Load, places)
+		if u.SuspectedDown && !s.asks && !s.off.Has(mechanism.PeerDoubts) {
 			ep.peerDoubts(now)
 		}
-		ep.health.gone = ep.health.gone || u.Gone
+		ep.health.gone = ep.health.gone || u.Replaced
 		if u.Ejected {
 			ep.peerEjects(now, s.service(ep.Service))
 		}
--- a/core/limit/fleet_test.go
+++ b/core/limit/fleet_test.go
@@ -129,7 +129,7 @@
 		f.in(f.sometime(300*time.Millisecond), k, func(v *vm) {
 			v.known[i] = true
 			v.heard[i] = f.now
-			v.sched.PeerUses(f.now, from.name, from.domain, nil, true)
+			v.sched.ApplyPeerLoads(f.now, from.name, from.domain, nil, true)
 			for _, r := range records {
 				if v.ledger.Merge(f.now, r, true) {
 					f.apply(v)
@@ -140,12 +140,12 @@
 }
 
 func (f *fleet) apply(v *vm) {
-	name := dispatch.NameOf(endpointID)
+	name := dispatch.EndpointHash(endpointID)
 	if n := v.ledger.Holds(name); n.HasLimit {
 		v.sched.SetLimit(f.now, name, n.Limit)
 		return
 	}
-	v.sched.LiftLimit(name)
+	v.sched.RemoveLimit(name)
 }
 
 // reach is how many VMs one hears, with itself.
@@ -164,7 +164,7 @@
 	v := &f.vms[i]
 	f.handle++
 	handle := f.handle
-	for _, d := range v.sched.Submit(f.now, dispatch.Job{Handle: handle, Service: service, Objective: f.now + time.Second, Abandon: f.now + time.Second}) {
+	for _, d := range v.sched.Submit(f.now, dispatch.Job{Handle: handle, Service: service, Objective: f.now + time.Second, AbandonAt: f.now + time.Second}) {
 		if d.Endpoint == nil {
 			continue
 		}
@@ -186,12 +186,12 @@
 		said.Limit = f.limit
 	}
 	f.in(f.sometime(600*time.Millisecond), i, func(v *vm) {
-		v.sched.Events(f.now, handle, 1)
-		v.sched.End(f.now, handle, dispatch.Answered)
+		v.sched.RecordEvents(f.now, handle, 1)
+		v.sched.EndRun(f.now, handle, dispatch.Answered)
 		if said.HasLimit && !v.isTold {
 			v.isTold, v.toldAt = true, f.now
 		}
-		if v.ledger.Hear(f.now, sent, dispatch.NameOf(endpointID), said) {
+		if v.ledger.Hear(f.now, sent, dispatch.EndpointHash(endpointID), said) {
 			f.apply(v)
 		}
 	})
@@ -242,7 +242,7 @@
 		}
 		if f.now%noteEvery == 0 {
 			f.tell(i)
-			v.sched.SetReach(f.now, f.reach(v), len(v.known))
+			v.sched.SetCoverage(f.now, f.reach(v), len(v.known))
 		}
 		if f.storeUp && (f.now-v.started)%listEvery == 0 {
 			f.readList(v)
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -249,16 +249,16 @@
 	limit := now + time.Until(c.limit)
 	j := dispatch.Job{
 		Handle: c.d.lastHandle.Add(1), Service: c.service, Tier: c.route.Tier,
-		Prompt: c.call.Prompt, Events: c.events(), Tried: c.tried, Avoided: c.avoided,
-		Objective: arrived + c.route.Objective, Abandon: limit,
+		PromptTokens: c.call.Prompt, ExpectedEvents: c.events(), Tried: c.tried, Avoided: c.avoided,
+		Objective: arrived + c.route.Objective, AbandonAt: limit,
 		Request: c.digest, Suspicion: suspicionOf(c.d.suspects.look(c.digest)),
 	}
 	if c.org != nil {
 		j.Tier += c.org.Tier * routeTiers
 	}
 	if c.route.Repeat == routing.Stream {
-		j.Abandon = min(limit, arrived+c.patience()) - leaveMargin
-		j.MaxPause, j.Limit = c.route.MaxPause, limit
+		j.AbandonAt = min(limit, arrived+c.patience()) - leaveMargin
+		j.MaxPause, j.Deadline = c.route.MaxPause, limit
 	}
 	return j
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -307,7 +307,7 @@
 		event = "endpoint_ejected"
 		d.count("ejections")
 	}
-	d.log.Info().Str("endpoint", c.Endpoint).Bool("told", c.Told).Int("failures_in_a_row", c.Failures).Dur("pause", c.Pause).Msg(event)
+	d.log.Info().Str("endpoint", c.Endpoint).Bool("told", c.ByPeer).Int("failures_in_a_row", c.Failures).Dur("pause", c.TrialDelay).Msg(event)
 }
 
 func (d *Daemon) sweep(ctx context.Context) error {
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -47,10 +47,10 @@
 	var s *stream
 	for try := 0; ; try++ {
 		j := c.jobFor(s)
-		j.Trial = c.d.rollouts.reserve(c.service)
+		j.Canary = c.d.rollouts.reserve(c.service)
 		dec, ok := c.d.placing.place(ctx, c.call.ID, j)
-		c.trial = j.Trial && dec.Endpoint != nil && dec.Endpoint.Trial
-		if j.Trial && !c.trial {
+		c.trial = j.Canary && dec.Endpoint != nil && dec.Endpoint.Trial
+		if j.Canary && !c.trial {
 			c.d.rollouts.giveBack(c.service)
 		}
 		if !ok {
@@ -75,10 +75,10 @@
 			return
 		}
 		if last.heldBack && try < maxAttempts {
-			c.avoided = append(c.avoided, dispatch.NameOf(dec.Endpoint.Key()))
+			c.avoided = append(c.avoided, dispatch.EndpointHash(dec.Endpoint.Key()))
 			continue
 		}
-		c.tried = append(c.tried, dispatch.NameOf(dec.Endpoint.Key()))
+		c.tried = append(c.tried, dispatch.EndpointHash(dec.Endpoint.Key()))
 		c.d.log.Info().Str("request", c.call.ID).Stringer("digest", c.digest).Str("endpoint", dec.Endpoint.ID).Stringer("outcome", last.outcome).
 			Int("sent", c.sent).Bool("ran", c.ran).Err(last.err).Msg("attempt_failed")
 		if ctx.Err() != nil {
@@ -101,7 +101,7 @@
 func (c *caller) jobFor(s *stream) dispatch.Job {
 	j := c.job()
 	if s != nil && s.begun {
-		j.Abandon = c.d.now() + min(time.Until(c.limit), c.patience()/2)
+		j.AbandonAt = c.d.now() + min(time.Until(c.limit), c.patience()/2)
 		j.Objective = c.d.now()
 	}
 	return j
@@ -155,8 +155,8 @@
 
 func (c *caller) logPlaced(dec dispatch.Decision) {
 	c.d.log.Info().Str("request", c.call.ID).Str("route", c.route.Name).Str("endpoint", dec.Endpoint.ID).
-		Str("address", dec.Endpoint.Address).Str("by", dec.By).Dur("predicted", dec.Predicted).Int("candidates", dec.Candidates).
-		Int("waiting", dec.Waiting).Int("running", dec.Load.Running).Int("unread", dec.Load.PromptTokens).Int("prompt", c.call.Prompt).Int("output", c.call.GuessedOutput).Dur("gap", dec.Load.Gap).Dur("waited", time.Since(c.arrived)).Int("try", len(c.tried)).Msg("placed")
+		Str("address", dec.Endpoint.Address).Str("by", dec.DecidedBy).Dur("predicted", dec.Predicted).Int("candidates", dec.Candidates).
+		Int("waiting", dec.Waiting).Int("running", dec.Load.Running).Int("unread", dec.Load.PromptTokens).Int("prompt", c.call.Prompt).Int("output", c.call.GuessedOutput).Dur("gap", dec.Load.EventGap).Dur("waited", time.Since(c.arrived)).Int("try", len(c.tried)).Msg("placed")
 }
 
 // headers are those for the endpoint.
@@ -189,10 +189,10 @@
 	// chose it and however long that took.
 	view := c.d.suspects.look(c.digest)
 	if view.Convicted() {
-		return attempt{outcome: dispatch.Left, stopped: true}
+		return attempt{outcome: dispatch.CallerLeft, stopped: true}
 	}
 	if c.sent > 0 && !c.again.mayLeave() {
-		return attempt{outcome: dispatch.Left, unpaid: true, err: &UnpaidRepeatError{Service: c.service}}
+		return attempt{outcome: dispatch.CallerLeft, unpaid: true, err: &UnpaidRepeatError{Service: c.service}}
 	}
 	lastID := c.call.LastEventID
 	if s != nil {
@@ -205,7 +205,7 @@
 	}
 	visit, ok := c.d.rollouts.begin(c, ep, c.trial)
 	if !ok {
-		return attempt{outcome: dispatch.Left, heldBack: true}
+		return attempt{outcome: dispatch.CallerLeft, heldBack: true}
 	}
 	c.visit = visit
 	before := c.sent
@@ -234,7 +234,7 @@
 	var ex *upstream.ExchangeError
 	if errors.As(err, &ex) && ex.Stage == upstream.NotSent {
 		if whole.Err() != nil {
-			return attempt{outcome: dispatch.Left, err: err}
+			return attempt{outcome: dispatch.CallerLeft, err: err}
 		}
 		return attempt{outcome: dispatch.Unreachable, err: err}
 	}
@@ -245,7 +245,7 @@
 	if err != nil {
 		c.ran = true
 		if whole.Err() != nil {
-			return attempt{outcome: dispatch.Left, err: err}
+			return attempt{outcome: dispatch.CallerLeft, err: err}
 		}
 		return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
 	}
@@ -296,7 +296,7 @@
 	body, err := io.ReadAll(io.LimitReader(ans, maxAnswer))
 	if err != nil {
 		if ctx.Err() != nil {
-			return attempt{outcome: dispatch.Left, err: err}
+			return attempt{outcome: dispatch.CallerLeft, err: err}
 		}
 		return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
 	}
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -254,24 +254,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*schema.EndpointUse
-	for _, u := range s.sched.Uses(s.now(), paces) {
+	for _, u := range s.sched.Loads(s.now(), paces) {
 		list = append(list, &schema.EndpointUse{
-			Endpoint: u.Name, Running: uint32(u.Running), Waiting: uint32(u.Waiting),
-			PromptTokens: uint32(u.PromptTokens), EventGapUs: uint32(u.Gap.Microseconds()), FreshGapUs: uint32(u.Fresh.Microseconds()), Doubted: u.Doubted, Gone: u.Gone, Ejected: u.Ejected,
+			Endpoint: u.EndpointHash, Running: uint32(u.Running), Waiting: uint32(u.Waiting),
+			PromptTokens: uint32(u.PromptTokens), EventGapUs: uint32(u.EventGap.Microseconds()), FreshGapUs: uint32(u.RecentGap.Microseconds()), Doubted: u.SuspectedDown, Gone: u.Replaced, Ejected: u.Ejected,
 		})
 	}
 	return list
 }
 
 func (s *scheduling) peerUses(n *schema.PeerNote) {
-	uses := make([]dispatch.NamedUse, 0, len(n.Uses))
+	uses := make([]dispatch.EndpointLoad, 0, len(n.Uses))
 	for _, u := range n.Uses {
-		uses = append(uses, dispatch.NamedUse{Name: u.Endpoint, Use: dispatch.Use{
+		uses = append(uses, dispatch.EndpointLoad{EndpointHash: u.Endpoint, Load: dispatch.Load{
 			Running: int(u.Running), Waiting: int(u.Waiting), PromptTokens: int(u.PromptTokens),
-			Gap: micros(uint64(u.EventGapUs)), Fresh: micros(uint64(u.FreshGapUs)), Doubted: u.Doubted, Gone: u.Gone, Ejected: u.Ejected,
+			EventGap: micros(uint64(u.EventGapUs)), RecentGap: micros(uint64(u.FreshGapUs)), SuspectedDown: u.Doubted, Replaced: u.Gone, Ejected: u.Ejected,
 		}})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.PeerUses(s.now(), n.Vm, n.FailureDomain, uses, n.Placer == "")
+	s.sched.ApplyPeerLoads(s.now(), n.Vm, n.FailureDomain, uses, n.Placer == "")
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -61,7 +61,7 @@
 	// An answer without an id may be none of the incarnation's own: it ends nothing.
 	said.LimitUnknown = said.LimitUnknown || reply.ID == "" && !said.HasLimit
 	n.count(said)
-	name := dispatch.NameOf(ep.Key())
+	name := dispatch.EndpointHash(ep.Key())
 	before := n.ledger.Holds(name)
 	if !n.ledger.Hear(n.d.now(), sent, name, said) {
 		return
--- a/entry/placing.go
+++ b/entry/placing.go
@@ -78,10 +78,10 @@
 			return dec, ok
 		}
 		p.d.log.Info().Str("request", request).Str("placer", to.addr.String()).Str("reason", alone).
-			Uint64("endpoint_hash", dec.Name).Dur("asked_for", p.d.now()-start).Msg("placer_passed_over")
-		if dec.Name != 0 && len(j.Avoided) < maxAvoided && alone != string(dispatch.HeldBack) {
+			Uint64("endpoint_hash", dec.EndpointHash).Dur("asked_for", p.d.now()-start).Msg("placer_passed_over")
+		if dec.EndpointHash != 0 && len(j.Avoided) < maxAvoided && alone != string(dispatch.CanaryOnly) {
 			// Asked anew, as another request: what is left of this one may be on its way.
-			j.Avoided = append(j.Avoided, dec.Name)
+			j.Avoided = append(j.Avoided, dec.EndpointHash)
 			j.Handle = p.d.lastHandle.Add(1)
 			continue
 		}
@@ -99,8 +99,8 @@
 		if wait == 0 {
 			return dec, false, false
 		}
-		if p.d.now()+wait >= j.Abandon {
-			return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonRest, RetryAfter: wait}, true, true
+		if p.d.now()+wait >= j.AbandonAt {
+			return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonBackoff, RetryAfter: wait}, true, true
 		}
 		if !pause(ctx, wait) {
 			return dec, false, true
@@ -160,11 +160,11 @@
 				return dec, false, aloneUnknown
 			}
 		case <-timer.C:
-			if a.queued && p.current() == to && p.d.now() < j.Abandon {
-				timer.Reset(min(placerSilence, max(time.Millisecond, j.Abandon-p.d.now())))
+			if a.queued && p.current() == to && p.d.now() < j.AbandonAt {
+				timer.Reset(min(placerSilence, max(time.Millisecond, j.AbandonAt-p.d.now())))
 				continue
 			}
-			if p.d.now() >= j.Abandon {
+			if p.d.now() >= j.AbandonAt {
 				// The placer should have refused it by now; its caller is about to leave.
 				p.leave(to, j.Handle)
 				return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonTooLate, RetryAfter: shortWait}, true, ""
@@ -203,18 +203,18 @@
 
 // adopt takes over what the placer decided, unless this VM knows that the endpoint
 // may not be used.
-func (p *placing) adopt(to *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.Unusable) {
+func (p *placing) adopt(to *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.UnusableReason) {
 	// While requests move, which go to the new version is the placer's to say: it may be some ms
 	// ahead of this VM, whose own list still holds the new endpoints back.
-	j.Trial = j.Trial || p.d.rollouts.moving(j.Service)
-	j.Counted = m.Counted
+	j.Canary = j.Canary || p.d.rollouts.moving(j.Service)
+	j.LimitCharged = m.Counted
 	dec, why := p.d.sched.adopt(j, m.Endpoint, micros(m.PredictedUs), int(m.PromptTokens))
 	if dec == nil {
 		p.leave(to, j.Handle)
-		return dispatch.Decision{Name: m.Endpoint}, why
+		return dispatch.Decision{EndpointHash: m.Endpoint}, why
 	}
-	dec.By, dec.Candidates, dec.Waiting = to.addr.String(), int(m.Candidates), int(m.Waiting)
-	dec.Load = dispatch.Use{Running: int(m.Running), PromptTokens: int(m.PromptTokens), Gap: micros(m.EventGapUs)}
+	dec.DecidedBy, dec.Candidates, dec.Waiting = to.addr.String(), int(m.Candidates), int(m.Waiting)
+	dec.Load = dispatch.Load{Running: int(m.Running), PromptTokens: int(m.PromptTokens), EventGap: micros(m.EventGapUs)}
 	p.mu.Lock()
 	p.runs[j.Handle] = &remoteRun{placer: to}
 	p.mu.Unlock()
@@ -310,13 +310,13 @@
 func (p *placing) askNote(j dispatch.Job) *schema.PeerNote {
 	now := p.d.now()
 	m := &schema.PlaceAsk{
-		Handle: j.Handle, Service: j.Service, Tier: int32(j.Tier), Prompt: uint32(j.Prompt), Events: uint32(j.Events),
-		ObjectiveUs: (j.Objective - now).Microseconds(), AbandonUs: (j.Abandon - now).Microseconds(),
+		Handle: j.Handle, Service: j.Service, Tier: int32(j.Tier), Prompt: uint32(j.PromptTokens), Events: uint32(j.ExpectedEvents),
+		ObjectiveUs: (j.Objective - now).Microseconds(), AbandonUs: (j.AbandonAt - now).Microseconds(),
 		MaxPauseUs: uint64(j.MaxPause.Microseconds()), Tried: j.Tried, Avoided: j.Avoided,
-		FailureDomain: p.d.set.Vm.FailureDomain, Digest: j.Request[:], Suspicion: uint32(j.Suspicion), Trial: j.Trial,
+		FailureDomain: p.d.set.Vm.FailureDomain, Digest: j.Request[:], Suspicion: uint32(j.Suspicion), Trial: j.Canary,
 	}
-	if j.Limit > 0 {
-		m.LimitUs = (j.Limit - now).Microseconds()
+	if j.Deadline > 0 {
+		m.LimitUs = (j.Deadline - now).Microseconds()
 	}
 	return &schema.PeerNote{PlaceAsks: []*schema.PlaceAsk{m}}
 }
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -151,10 +151,10 @@
 	m := &schema.PlaceDecision{
 		Handle: dec.Handle, Verdict: schema.PlaceDecision_REFUSED, Reason: dec.Reason, RetryAfterUs: uint64(dec.RetryAfter.Microseconds()),
 		PredictedUs: uint64(dec.Predicted.Microseconds()), Candidates: uint32(dec.Candidates), Waiting: uint32(dec.Waiting),
-		Running: uint32(dec.Load.Running), PromptTokens: uint32(dec.Load.PromptTokens), EventGapUs: uint64(dec.Load.Gap.Microseconds()),
+		Running: uint32(dec.Load.Running), PromptTokens: uint32(dec.Load.PromptTokens), EventGapUs: uint64(dec.Load.EventGap.Microseconds()),
 	}
 	if dec.Endpoint != nil {
-		m.Verdict, m.Endpoint, m.Counted = schema.PlaceDecision_PLACED, dispatch.NameOf(dec.Endpoint.Key()), dec.Counted
+		m.Verdict, m.Endpoint, m.Counted = schema.PlaceDecision_PLACED, dispatch.EndpointHash(dec.Endpoint.Key()), dec.LimitCharged
 	}
 	// A refusal is kept until the other VM no longer names the request, to be told again.
 	job.decision, job.since = m, r.d.now()
@@ -213,7 +213,7 @@
 		r.answer(h, from)
 	}
 	for _, h := range over {
-		r.drop(h, dispatch.Left)
+		r.drop(h, dispatch.CallerLeft)
 	}
 }
 
@@ -231,7 +231,7 @@
 	}
 	r.mu.Unlock()
 	for _, h := range over {
-		r.drop(h, dispatch.Left)
+		r.drop(h, dispatch.CallerLeft)
 	}
 }
 
@@ -250,13 +250,13 @@
 func (r *remoteJobs) job(m *schema.PlaceAsk) dispatch.Job {
 	now := r.d.now()
 	j := dispatch.Job{
-		Handle: m.Handle, Service: m.Service, Tier: int(m.Tier), Prompt: int(m.Prompt), Events: int(m.Events),
-		Objective: now + time.Duration(m.ObjectiveUs)*time.Microsecond, Abandon: now + time.Duration(m.AbandonUs)*time.Microsecond,
-		MaxPause: micros(m.MaxPauseUs), Tried: m.Tried, Avoided: m.Avoided, Remote: true, Domain: m.FailureDomain,
-		Request: digestOf(m.Digest), Suspicion: dispatch.Suspicion(min(m.Suspicion, uint32(dispatch.OnTrial))), Trial: m.Trial,
+		Handle: m.Handle, Service: m.Service, Tier: int(m.Tier), PromptTokens: int(m.Prompt), ExpectedEvents: int(m.Events),
+		Objective: now + time.Duration(m.ObjectiveUs)*time.Microsecond, AbandonAt: now + time.Duration(m.AbandonUs)*time.Microsecond,
+		MaxPause: micros(m.MaxPauseUs), Tried: m.Tried, Avoided: m.Avoided, Remote: true, SenderDomain: m.FailureDomain,
+		Request: digestOf(m.Digest), Suspicion: dispatch.Suspicion(min(m.Suspicion, uint32(dispatch.Quarantined))), Canary: m.Trial,
 	}
 	if m.LimitUs != 0 {
-		j.Limit = now + time.Duration(m.LimitUs)*time.Microsecond
+		j.Deadline = now + time.Duration(m.LimitUs)*time.Microsecond
 	}
 	return j
 }
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -22,7 +22,7 @@
 				c.Whole.Observe(took)
 			}
 		})
-	case dispatch.Left:
+	case dispatch.CallerLeft:
 		v.observeLeft(took)
 	case dispatch.Failed:
 		v.failed()
--- a/entry/scheduling.go
+++ b/entry/scheduling.go
@@ -42,7 +42,7 @@
 
 func newScheduling(vm, domain string, off mechanism.Off, now func() time.Duration) *scheduling {
 	s := &scheduling{now: now, sched: dispatch.New(vm, domain), members: members.New(), waiters: make(map[uint64]chan dispatch.Decision), attempts: make(map[uint64]context.CancelFunc)}
-	s.sched.SwitchOff(off)
+	s.sched.Disable(off)
 	return s
 }
 
@@ -61,12 +61,12 @@
 			s.mu.Lock()
 			s.members.Expire(s.now())
 			s.syncEndpoints()
-			if s.sched.Waiting() > 0 {
+			if s.sched.QueuedJobs() > 0 {
 				s.deliver(s.sched.Tick(s.now()))
 			}
-			probes := s.sched.Probes(s.now())
-			changes := s.sched.Ejections()
-			impossible := s.sched.Impossible()
+			probes := s.sched.DueProbes(s.now())
+			changes := s.sched.TakeEjectionChanges()
+			impossible := s.sched.TakeInvalidValues()
 			departures := s.members.Departures()
 			s.mu.Unlock()
 			s.departed(departures)
@@ -84,7 +84,7 @@
 func (s *scheduling) probeEnded(id string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.ProbeEnded(s.now(), id, ok)
+	s.sched.RecordProbe(s.now(), id, ok)
 }
 
 func (s *scheduling) deliver(decisions []dispatch.Decision) {
@@ -96,7 +96,7 @@
 		}
 		if !s.remote(d) && d.Endpoint != nil {
 			// Its VM gave it up meanwhile.
-			s.deliver(s.sched.End(s.now(), d.Handle, dispatch.Left))
+			s.deliver(s.sched.EndRun(s.now(), d.Handle, dispatch.CallerLeft))
 		}
 	}
 }
@@ -113,12 +113,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.Withdraw(s.now(), service, handle)
-	s.deliver(s.sched.End(s.now(), handle, o))
+	s.deliver(s.sched.EndRun(s.now(), handle, o))
 }
 
 // adopt notes that another VM placed a request; nil and why if its endpoint may not be
 // used.
-func (s *scheduling) adopt(j dispatch.Job, name uint64, first time.Duration, ahead int) (*dispatch.Decision, dispatch.Unusable) {
+func (s *scheduling) adopt(j dispatch.Job, name uint64, first time.Duration, ahead int) (*dispatch.Decision, dispatch.UnusableReason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.Adopt(s.now(), j, name, first, ahead)
@@ -128,28 +128,28 @@
 func (s *scheduling) own(handle uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.Own(handle)
+	s.sched.TakeOwnership(handle)
 }
 
 // barred are the endpoints of a service that cannot be reached from here, or want nothing from this VM.
 func (s *scheduling) barred(service string) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sched.Barred(s.now(), service)
+	return s.sched.Unavailable(s.now(), service)
 }
 
 // restWait is how long all endpoints of a service that were not tried want nothing from this VM.
 func (s *scheduling) restWait(service string, tried []uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sched.RestWait(s.now(), service, tried)
+	return s.sched.BackoffWait(s.now(), service, tried)
 }
 
 // setRest sets when an endpoint wants requests of this VM again, and of others that it asked for rest.
 func (s *scheduling) setRest(endpoint uint64, own, others time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.SetRest(endpoint, own, others)
+	s.sched.SetBackoff(endpoint, own, others)
 }
 
 // follow uses the endpoints that the VM chooses which places this one's requests; asks
@@ -157,7 +157,7 @@
 func (s *scheduling) follow(vm string, asks bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.Follow(vm, asks)
+	s.sched.SetPlacer(vm, asks)
 	s.version = 0
 	s.syncEndpoints()
 }
@@ -183,28 +183,28 @@
 		return dispatch.Decision{}, false
 	}
 	// It was placed meanwhile; the room is given back.
-	s.deliver(s.sched.End(s.now(), j.Handle, dispatch.Left))
+	s.deliver(s.sched.EndRun(s.now(), j.Handle, dispatch.CallerLeft))
 	return dispatch.Decision{}, false
 }
 
 func (s *scheduling) events(handle uint64, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.Events(s.now(), handle, n)
+	s.sched.RecordEvents(s.now(), handle, n)
 }
 
 // otherFit says whether another endpoint could serve a request.
 func (s *scheduling) otherFit(service string, tried []uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sched.OtherFit(s.now(), service, tried)
+	return s.sched.HasAlternative(s.now(), service, tried)
 }
 
 func (s *scheduling) end(handle uint64, o dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.attempts, handle)
-	s.deliver(s.sched.End(s.now(), handle, o))
+	s.deliver(s.sched.EndRun(s.now(), handle, o))
 }
 
 // onRestart ends an attempt when its endpoint has started anew.
@@ -244,7 +244,7 @@
 func (s *scheduling) controls(e *members.Endpoint) []dispatch.Probe {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sched.Controls(s.now(), e.Key(), e.FailureDomain)
+	return s.sched.ControlProbes(s.now(), e.Key(), e.FailureDomain)
 }
 
 // leave ends the use of an endpoint that has said that it leaves.
@@ -256,8 +256,8 @@
 func (s *scheduling) forget(endpoint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.LiftLimit(endpoint)
-	s.sched.SetRest(endpoint, 0, 0)
+	s.sched.RemoveLimit(endpoint)
+	s.sched.SetBackoff(endpoint, 0, 0)
 	s.members.ForgetLeft(endpoint)
 }
 
@@ -266,7 +266,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !n.HasLimit {
-		s.sched.LiftLimit(endpoint)
+		s.sched.RemoveLimit(endpoint)
 		return
 	}
 	s.sched.SetLimit(s.now(), endpoint, n.Limit)
@@ -276,7 +276,7 @@
 func (s *scheduling) setReach(heard, known int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.SetReach(s.now(), heard, known)
+	s.sched.SetCoverage(s.now(), heard, known)
 }
 
 // lists says whether the registry lists an incarnation, by its short name.
@@ -290,7 +290,7 @@
 func (s *scheduling) doubt(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.Doubt(s.now(), key)
+	s.sched.ReportUnreachable(s.now(), key)
 }
 
 // resync takes over a change of what endpoints may be used for.
@@ -316,12 +316,12 @@
 	s.version = s.members.Version()
 	for _, sv := range s.table.Document.Services {
 		if sv.Engine != nil {
-			s.sched.SetEventTokens(sv.Name, sv.Engine.TokensPerEvent)
+			s.sched.SetTokensPerEvent(sv.Name, sv.Engine.TokensPerEvent)
 		}
 		usable := s.usable(s.now(), sv.Name, s.members.Usable(sv.Name))
 		s.deliver(s.sched.SetEndpoints(s.now(), sv.Name, usable, sv.Engine != nil))
 	}
-	for _, h := range s.sched.Restarted() {
+	for _, h := range s.sched.TakeLostRuns() {
 		if cancel := s.attempts[h]; cancel != nil {
 			cancel()
 		}
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -41,7 +41,7 @@
 	if c.d.set.Off.Has(mechanism.StallRetry) || !c.route.Repeatable() || c.sent+1 >= c.route.MaxEndpoints {
 		return s
 	}
-	tried := append(slices.Clone(c.tried), dispatch.NameOf(dec.Endpoint.Key()))
+	tried := append(slices.Clone(c.tried), dispatch.EndpointHash(dec.Endpoint.Key()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timer = time.AfterFunc(max(stallFirst, stallFactor*dec.Predicted), func() {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -57,7 +57,7 @@
 				s.c.visit.event()
 				s.c.d.placing.events(handle, s.split.Count)
 				if werr := s.send(ans.Response, whole); werr != nil {
-					return attempt{outcome: dispatch.Left, err: werr, delivered: true}
+					return attempt{outcome: dispatch.CallerLeft, err: werr, delivered: true}
 				}
 			}
 		}
@@ -67,7 +67,7 @@
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				return attempt{outcome: dispatch.Left, err: err}
+				return attempt{outcome: dispatch.CallerLeft, err: err}
 			}
 			return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
 		}
@@ -78,7 +78,7 @@
 func (s *stream) finish(resp *http.Response) attempt {
 	if torn := s.split.Torn(); len(torn) > 0 {
 		if err := s.send(resp, torn); err != nil {
-			return attempt{outcome: dispatch.Left, err: err, delivered: true}
+			return attempt{outcome: dispatch.CallerLeft, err: err, delivered: true}
 		}
 	}
 	if !s.begun {
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -90,7 +90,7 @@
 func suspicionOf(v suspect.View) dispatch.Suspicion {
 	switch {
 	case v.OnTrial():
-		return dispatch.OnTrial
+		return dispatch.Quarantined
 	case v.Level > 0 && !v.Released:
 		return dispatch.Suspected
 	}
@@ -137,7 +137,7 @@
 	if !reply.NotRun {
 		s.forget(c)
 	}
-	s.ledger.Answered(s.d.now(), sent, dispatch.NameOf(ep.Key()))
+	s.ledger.Answered(s.d.now(), sent, dispatch.EndpointHash(ep.Key()))
 	s.note(learnedSeen)
 }
 
@@ -182,7 +182,7 @@
 		// It leaves, or left, as it was told to.
 		return
 	}
-	name := dispatch.NameOf(ep.Key())
+	name := dispatch.EndpointHash(ep.Key())
 	s.mu.Lock()
 	now := s.d.now()
 	s.ledger.Cut(now, sent, d, name, generation)
@@ -196,7 +196,7 @@
 
 // examine finds out whether an incarnation has ended under which something was cut off.
 func (s *suspects) examine(ep *members.Endpoint) {
-	name := dispatch.NameOf(ep.Key())
+	name := dispatch.EndpointHash(ep.Key())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ended := s.ended[name]; ended || s.probing[name] || !s.ledger.Watched(name) {
@@ -224,7 +224,7 @@
 		}
 	}
 	s.mu.Lock()
-	delete(s.probing, dispatch.NameOf(ep.Key()))
+	delete(s.probing, dispatch.EndpointHash(ep.Key()))
 	s.mu.Unlock()
 	if ended {
 		s.end(ep.Key(), howRefused)
@@ -240,7 +240,7 @@
 
 // end notes that an incarnation has ended.
 func (s *suspects) end(key, how string) {
-	name := dispatch.NameOf(key)
+	name := dispatch.EndpointHash(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.d.now()
@@ -262,7 +262,7 @@
 func (s *suspects) hasEnded(ep *members.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ended := s.ended[dispatch.NameOf(ep.Key())]
+	_, ended := s.ended[dispatch.EndpointHash(ep.Key())]
 	return ended
 }
 
@@ -274,7 +274,7 @@
 			continue
 		}
 		s.mu.Lock()
-		s.ledger.Leaving(s.d.now(), dispatch.NameOf(dep.Key))
+		s.ledger.Leaving(s.d.now(), dispatch.EndpointHash(dep.Key))
 		s.note(learnedSeen)
 		s.mu.Unlock()
 	}
