--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -17,9 +17,9 @@
 				const seeds = 8
 				earned := 0.0
 				for seed := range uint64(seeds) {
-					p := newPlay(seed, 8, 11, unlike, mixOf(load, late))
+					p := newSimulation(seed, 8, 11, mixedSlowness, workloadMix(load, late))
 					p.run(20 * time.Second)
-					earned += p.share()
+					earned += p.valueShare()
 				}
 				for b.Loop() {
 				}
@@ -34,16 +34,16 @@
 func BenchmarkLargePolicy(b *testing.B) {
 	var slow []float64
 	for i := range 60 {
-		slow = append(slow, unlike[i%len(unlike)])
+		slow = append(slow, mixedSlowness[i%len(mixedSlowness)])
 	}
 	for _, load := range []float64{0.5, 0.8, 1, 1.5, 2} {
 		b.Run(fmt.Sprintf("load=%v", load), func(b *testing.B) {
 			const seeds = 2
 			earned := 0.0
 			for seed := range uint64(seeds) {
-				p := newLargePlay(seed, 66, 10, 4, slow, mixOf(load*60/9*10/11, 0.3))
+				p := newMultiDomainSimulation(seed, 66, 10, 4, slow, workloadMix(load*60/9*10/11, 0.3))
 				p.run(12 * time.Second)
-				earned += p.share()
+				earned += p.valueShare()
 			}
 			for b.Loop() {
 			}
@@ -52,13 +52,13 @@
 	}
 }
 
-// officeMix is three kinds before engines whose events hold 15 tokens, as one failure domain
+// largeEventMix is three kinds before engines whose events hold 15 tokens, as one failure domain
 // of 40 engines meets them.
-func officeMix(load float64) []kind {
-	return []kind{
-		{name: "long", tier: 0, perSecond: 64 * load, prompt: 6670, output: 390, spread: 1.3, objective: 800 * time.Millisecond, limit: 12 * time.Second, worth: 7, late: 3.6},
-		{name: "middle", tier: 1, perSecond: 78 * load, prompt: 690, output: 290, spread: 1.2, objective: 400 * time.Millisecond, limit: 10 * time.Second, worth: 2.2, late: 1.1},
-		{name: "short", tier: 2, perSecond: 118 * load, prompt: 1860, output: 22, spread: 1.2, objective: 400 * time.Millisecond, limit: 2500 * time.Millisecond, worth: 0.29, late: 0.14},
+func largeEventMix(load float64) []requestKind {
+	return []requestKind{
+		{name: "long", tier: 0, perSecond: 64 * load, prompt: 6670, output: 390, spread: 1.3, objective: 800 * time.Millisecond, limit: 12 * time.Second, onTimeValue: 7, lateValue: 3.6},
+		{name: "middle", tier: 1, perSecond: 78 * load, prompt: 690, output: 290, spread: 1.2, objective: 400 * time.Millisecond, limit: 10 * time.Second, onTimeValue: 2.2, lateValue: 1.1},
+		{name: "short", tier: 2, perSecond: 118 * load, prompt: 1860, output: 22, spread: 1.2, objective: 400 * time.Millisecond, limit: 2500 * time.Millisecond, onTimeValue: 0.29, lateValue: 0.14},
 	}
 }
 
@@ -70,10 +70,10 @@
 				const seeds = 3
 				earned := 0.0
 				for seed := range uint64(seeds) {
-					p := newPlay(seed, placers, 6, manyUnlike(40), officeMix(load))
+					p := newSimulation(seed, placers, 6, mixedSlownessOf(40), largeEventMix(load))
 					p.tokens, p.maxPause = 15, 500*time.Millisecond
 					p.run(12 * time.Second)
-					earned += p.share()
+					earned += p.valueShare()
 					if seed == 0 {
 						b.Log(p)
 					}
@@ -94,18 +94,18 @@
 			s := New("self", "a")
 			var list []*members.Endpoint
 			for i := range n {
-				list = append(list, &members.Endpoint{ID: fmt.Sprintf("e%05d", i), Service: playService, Slots: 10, FailureDomain: "a"})
+				list = append(list, &members.Endpoint{ID: fmt.Sprintf("e%05d", i), Service: simService, Slots: 10, FailureDomain: "a"})
 			}
-			s.SetEndpoints(0, playService, list, true)
-			var uses []EndpointLoad
+			s.SetEndpoints(0, simService, list, true)
+			var loads []EndpointLoad
 			for _, e := range list {
-				uses = append(uses, EndpointLoad{EndpointHash(e.ID), Load{Running: 5, EventGap: 20 * time.Millisecond}})
+				loads = append(loads, EndpointLoad{EndpointHash(e.ID), Load{Running: 5, EventGap: 20 * time.Millisecond}})
 			}
-			s.ApplyPeerLoads(0, "other", "a", uses, true)
+			s.ApplyPeerLoads(0, "other", "a", loads, true)
 			h := uint64(0)
 			for b.Loop() {
 				h++
-				s.Submit(0, Job{Handle: h, Service: playService, PromptTokens: 1000, Objective: time.Second, AbandonAt: 2 * time.Second})
+				s.Submit(0, Job{Handle: h, Service: simService, PromptTokens: 1000, Objective: time.Second, AbandonAt: 2 * time.Second})
 				s.EndRun(0, h, Answered)
 			}
 		})
--- a/core/dispatch/bounds.go
+++ b/core/dispatch/bounds.go
@@ -7,71 +7,71 @@
 // but requests that are placed badly.
 
 const (
-	// mostTokens bounds the tokens of a prompt, and of all that an endpoint has not read.
+	// maxTokens bounds the tokens of a prompt, and of all that an endpoint has not read.
 	// No engine has memory for more.
-	mostTokens = 1 << 24
-	// mostEvents bounds the events of an answer.
-	mostEvents = 1 << 24
-	// mostRuns bounds the requests of one VM at an endpoint.
-	mostRuns = 1 << 16
-	// longestTime bounds predicted times; nobody waits for so long.
-	longestTime = time.Hour
+	maxTokens = 1 << 24
+	// maxEvents bounds the events of an answer.
+	maxEvents = 1 << 24
+	// maxRuns bounds the requests of one VM at an endpoint.
+	maxRuns = 1 << 16
+	// maxPrediction bounds predicted times; nobody waits for so long.
+	maxPrediction = time.Hour
 )
 
-// bounded is v within bounds. It counts values that are not.
-func (s *Scheduler) bounded(v, most int) int {
-	if v < 0 || v > most {
-		s.impossible++
+// clampCount is v within bounds. It counts values that are not.
+func (s *Scheduler) clampCount(v, limit int) int {
+	if v < 0 || v > limit {
+		s.invalidValues++
 	}
-	return min(max(v, 0), most)
+	return min(max(v, 0), limit)
 }
 
 // TakeInvalidValues returns how many quantities that cannot be were taken in since the last call.
 func (s *Scheduler) TakeInvalidValues() int {
-	n := s.impossible
-	s.impossible = 0
+	n := s.invalidValues
+	s.invalidValues = 0
 	return n
 }
 
-// checkJob bounds what a caller or another VM says of a job.
-func (s *Scheduler) checkJob(j *Job) {
-	j.PromptTokens = s.bounded(j.PromptTokens, mostTokens)
-	j.ExpectedEvents = s.bounded(j.ExpectedEvents, mostEvents)
+// clampJob bounds what a caller or another VM says of a job.
+func (s *Scheduler) clampJob(j *Job) {
+	j.PromptTokens = s.clampCount(j.PromptTokens, maxTokens)
+	j.ExpectedEvents = s.clampCount(j.ExpectedEvents, maxEvents)
 }
 
-// checkUse bounds what another VM says of its load.
-func (s *Scheduler) checkUse(u *Load) {
-	u.Running = s.bounded(u.Running, mostRuns)
-	u.Waiting = s.bounded(u.Waiting, mostRuns)
-	u.PromptTokens = s.bounded(u.PromptTokens, mostTokens)
-	u.EventGap = s.boundedTime(u.EventGap)
-	u.RecentGap = s.boundedTime(u.RecentGap)
+// clampLoad bounds what another VM says of its load.
+func (s *Scheduler) clampLoad(u *Load) {
+	u.Running = s.clampCount(u.Running, maxRuns)
+	u.Waiting = s.clampCount(u.Waiting, maxRuns)
+	u.PromptTokens = s.clampCount(u.PromptTokens, maxTokens)
+	u.EventGap = s.validDuration(u.EventGap)
+	u.RecentGap = s.validDuration(u.RecentGap)
 }
 
-// boundedTime is d, or nothing if it cannot be.
-func (s *Scheduler) boundedTime(d time.Duration) time.Duration {
-	if d >= 0 && d <= longestTime {
+// validDuration is d, or nothing if it cannot be.
+func (s *Scheduler) validDuration(d time.Duration) time.Duration {
+	if d >= 0 && d <= maxPrediction {
 		return d
 	}
-	s.impossible++
+	s.invalidValues++
 	return 0
 }
 
 // addTokens adds numbers of tokens within their bounds.
-func addTokens(a, b int) int { return min(mostTokens, a+b) }
+func addTokens(a, b int) int { return min(maxTokens, a+b) }
 
-// readIn is how many of a number of tokens are read within a time.
-func readIn(d time.Duration, read float64, tokens int) int {
-	done := d.Seconds() / read
+// tokensReadIn is how many of a number of tokens are read within a time.
+func tokensReadIn(d time.Duration, prefillTime float64, tokens int) int {
+	done := d.Seconds() / prefillTime
 	if done >= float64(tokens) {
 		return tokens
 	}
 	return max(0, int(done))
 }
 
-// seconds is a time of s seconds within the bounds of predictions.
-func seconds(s float64) time.Duration {
-	return time.Duration(clamp(s, 0, longestTime.Seconds()) * float64(time.Second))
+// toDuration is a time of s toDuration within the bounds of predictions.
+func toDuration(s float64) time.Duration {
+	return time.Duration(clamp(s, 0, maxPrediction.Seconds()) * float64(time.Second))
 }
 
-func clamp(v, least, most float64) float64 { return min(max(v, least), most) }
+func clamp(v, lo, hi float64) float64 { return min(max(v, lo), hi) }
--- a/core/dispatch/caution.go
+++ b/core/dispatch/caution.go
@@ -26,54 +26,54 @@
 // Costs, in seconds, among endpoints where an answer is on time; less than a late answer
 // costs, so that none of them makes an innocent request late.
 const (
-	// besideSuspect is what another suspect at an endpoint counts for a suspect.
-	besideSuspect = 1
-	// besideTrial is what a request on trial at an endpoint counts for any other: a few in a
+	// suspectCost is what another suspect at an endpoint counts for a suspect.
+	suspectCost = 1
+	// quarantineCost is what a request on trial at an endpoint counts for any other: a few in a
 	// hundred requests of other callers broke off beside it.
-	besideTrial = 2
-	// trialNeighbour is what each request at an endpoint counts for one on trial.
-	trialNeighbour = 0.5
+	quarantineCost = 2
+	// quarantineNeighbourCost is what each request at an endpoint counts for one on trial.
+	quarantineNeighbourCost = 0.5
 )
 
-// caution is what the suspects at an endpoint, and those that a suspect would endanger there,
+// suspicionCost is what the suspects at an endpoint, and those that a suspect would endanger there,
 // count for a job.
-func (s *Scheduler) caution(j *Job, e *endpoint, u Load) float64 {
+func (s *Scheduler) suspicionCost(j *Job, e *endpoint, u Load) float64 {
 	cost := 0.0
-	if e.trials > 0 {
-		cost += besideTrial
+	if e.quarantinedRuns > 0 {
+		cost += quarantineCost
 	}
-	if j.Suspicion >= Suspected && e.suspects > 0 {
-		cost += besideSuspect
+	if j.Suspicion >= Suspected && e.suspectRuns > 0 {
+		cost += suspectCost
 	}
 	if j.Suspicion == Quarantined {
-		cost += trialNeighbour * float64(u.Running+u.Waiting)
+		cost += quarantineNeighbourCost * float64(u.Running+u.Waiting)
 	}
 	return cost
 }
 
-// mayTry says whether a job may run at an endpoint as far as trials go. A job that may not
+// admitsQuarantined says whether a job may run at an endpoint as far as trials go. A job that may not
 // anywhere waits.
-func (s *Scheduler) mayTry(j *Job, e *endpoint) bool {
-	return j.Suspicion != Quarantined || s.onTrial[j.Request] == 0 && e.trials == 0
+func (s *Scheduler) admitsQuarantined(j *Job, e *endpoint) bool {
+	return j.Suspicion != Quarantined || s.quarantinedRuns[j.Request] == 0 && e.quarantinedRuns == 0
 }
 
-// suspicion is how carefully a job is placed here.
-func (s *Scheduler) suspicion(j *Job) Suspicion {
-	if s.off.Has(mechanism.Trials) {
+// effectiveSuspicion is how carefully a job is placed here.
+func (s *Scheduler) effectiveSuspicion(j *Job) Suspicion {
+	if s.disabled.Has(mechanism.Trials) {
 		return Unsuspected
 	}
 	return j.Suspicion
 }
 
-// watch counts the suspects at endpoints as a run begins (n = 1) or ends (n = -1).
-func (s *Scheduler) watch(r *run, n int) {
+// countSuspects counts the suspects at endpoints as a run begins (n = 1) or ends (n = -1).
+func (s *Scheduler) countSuspects(r *run, n int) {
 	if r.job.Suspicion >= Suspected {
-		r.ep.suspects += n
+		r.ep.suspectRuns += n
 	}
 	if r.job.Suspicion == Quarantined {
-		r.ep.trials += n
-		if s.onTrial[r.job.Request] += n; s.onTrial[r.job.Request] == 0 {
-			delete(s.onTrial, r.job.Request)
+		r.ep.quarantinedRuns += n
+		if s.quarantinedRuns[r.job.Request] += n; s.quarantinedRuns[r.job.Request] == 0 {
+			delete(s.quarantinedRuns, r.job.Request)
 		}
 	}
 }
--- a/core/dispatch/caution_test.go
+++ b/core/dispatch/caution_test.go
@@ -12,8 +12,8 @@
 	"github.com/chivefield/chivefield/core/suspect"
 )
 
-// engineSet is a scheduler with n engines of four slots.
-func engineSet(n int) *Scheduler {
+// newEngineScheduler is a scheduler with n engines of four slots.
+func newEngineScheduler(n int) *Scheduler {
 	s := New("vm", "a")
 	var list []*members.Endpoint
 	for i := range n {
@@ -23,15 +23,15 @@
 	return s
 }
 
-func cautious(handle uint64, request byte, c Suspicion) Job {
+func suspectJob(handle uint64, request byte, c Suspicion) Job {
 	return Job{
 		Handle: handle, Service: "engine", PromptTokens: 100, ExpectedEvents: 10, Objective: 10 * time.Second, AbandonAt: 20 * time.Second,
 		Request: suspect.Digest{request}, Suspicion: c,
 	}
 }
 
-// placed submits a job and returns the id of its endpoint; empty if it waits.
-func placed(s *Scheduler, j Job) string {
+// submitJob submits a job and returns the id of its endpoint; empty if it waits.
+func submitJob(s *Scheduler, j Job) string {
 	for _, d := range s.Submit(0, j) {
 		if d.Handle == j.Handle && d.Endpoint != nil {
 			return d.Endpoint.ID
@@ -45,37 +45,37 @@
 // together. Suspects run apart while there is room elsewhere.
 func TestSuspectsRunApart(t *testing.T) {
 	is := is.New(t)
-	s := engineSet(4)
+	s := newEngineScheduler(4)
 	got := make(map[string]int)
 	for i := range uint64(4) {
-		got[placed(s, cautious(i, byte(i), Suspected))]++
+		got[submitJob(s, suspectJob(i, byte(i), Suspected))]++
 	}
 	is.Equal(len(got), 4)
 	// There is no fifth engine: beside another is better than not at all.
-	is.True(placed(s, cautious(9, 9, Suspected)) != "")
+	is.True(submitJob(s, suspectJob(9, 9, Suspected)) != "")
 }
 
 // A request on trial runs one copy at a time, not where another is on trial, where few others
 // run, and others keep off. What waits for it is placed when it ends.
-func TestTrialsRunAlone(t *testing.T) {
+func TestQuarantinedRequestsRunAlone(t *testing.T) {
 	is := is.New(t)
-	s := engineSet(6)
+	s := newEngineScheduler(6)
 	for i := range uint64(4) {
-		is.True(placed(s, cautious(i, 0, Unsuspected)) != "")
+		is.True(submitJob(s, suspectJob(i, 0, Unsuspected)) != "")
 	}
 	busy := make(map[string]int)
 	for _, r := range s.running {
 		busy[r.ep.ID]++
 	}
-	first := placed(s, cautious(10, 1, Quarantined))
+	first := submitJob(s, suspectJob(10, 1, Quarantined))
 	for id, n := range busy {
 		is.True(busy[first] <= n || id == first)
 	}
-	is.Equal(placed(s, cautious(11, 1, Quarantined)), "")
-	second := placed(s, cautious(12, 2, Quarantined))
+	is.Equal(submitJob(s, suspectJob(11, 1, Quarantined)), "")
+	second := submitJob(s, suspectJob(12, 2, Quarantined))
 	is.True(second != "" && second != first)
 	for i := range uint64(4) {
-		is.True(placed(s, cautious(20+i, 0, Unsuspected)) != first)
+		is.True(submitJob(s, suspectJob(20+i, 0, Unsuspected)) != first)
 	}
 	var next string
 	for _, d := range s.EndRun(time.Second, 10, Broken) {
@@ -89,20 +89,20 @@
 		s.EndRun(2*time.Second, h, Answered)
 	}
 	for _, e := range s.service("engine").list {
-		is.Equal(e.suspects, 0)
-		is.Equal(e.trials, 0)
+		is.Equal(e.suspectRuns, 0)
+		is.Equal(e.quarantinedRuns, 0)
 	}
-	is.Equal(len(s.onTrial), 0)
+	is.Equal(len(s.quarantinedRuns), 0)
 }
 
 // Switched off, suspects are placed as all others.
-func TestTrialsSwitchedOff(t *testing.T) {
+func TestQuarantineDisabled(t *testing.T) {
 	is := is.New(t)
 	s := New("vm", "a")
 	off, err := mechanism.Parse([]string{"trials"})
 	is.NoErr(err)
 	s.Disable(off)
 	s.SetEndpoints(0, "engine", []*members.Endpoint{{ID: "e", Service: "engine", FailureDomain: "a", Slots: 4}}, true)
-	is.True(placed(s, cautious(1, 1, Quarantined)) != "")
-	is.True(placed(s, cautious(2, 1, Quarantined)) != "")
+	is.True(submitJob(s, suspectJob(1, 1, Quarantined)) != "")
+	is.True(submitJob(s, suspectJob(2, 1, Quarantined)) != "")
 }
--- a/core/dispatch/choice.go
+++ b/core/dispatch/choice.go
@@ -13,16 +13,16 @@
 // that every endpoint is known to as many VMs as any other.
 
 const (
-	// maxChoices is the number of endpoints of a service that a VM uses, which bounds
+	// maxUsedEndpoints is the number of endpoints of a service that a VM uses, which bounds
 	// the time of a decision.
-	maxChoices = 128
-	// farChoices of them are in other failure domains, for when the own one fails.
-	farChoices = maxChoices / 4
+	maxUsedEndpoints = 128
+	// minFarEndpoints of them are in other failure domains, for when the own one fails.
+	minFarEndpoints = maxUsedEndpoints / 4
 )
 
-// choose picks the endpoints that this VM uses.
-func (s *Scheduler) choose(list []*members.Endpoint) []*members.Endpoint {
-	if len(list) <= maxChoices {
+// chooseSubset picks the endpoints that this VM uses.
+func (s *Scheduler) chooseSubset(list []*members.Endpoint) []*members.Endpoint {
+	if len(list) <= maxUsedEndpoints {
 		return list
 	}
 	var near, far []*members.Endpoint
@@ -33,15 +33,15 @@
 			far = append(far, m)
 		}
 	}
-	near = s.first(near, max(maxChoices-farChoices, maxChoices-len(far)))
-	far = s.first(far, maxChoices-len(near))
+	near = s.highestWeighted(near, max(maxUsedEndpoints-minFarEndpoints, maxUsedEndpoints-len(far)))
+	far = s.highestWeighted(far, maxUsedEndpoints-len(near))
 	chosen := append(near, far...)
 	slices.SortFunc(chosen, func(a, b *members.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return chosen
 }
 
-// first picks the n endpoints with the highest weight for this VM.
-func (s *Scheduler) first(list []*members.Endpoint, n int) []*members.Endpoint {
+// highestWeighted picks the n endpoints with the highest weight for this VM.
+func (s *Scheduler) highestWeighted(list []*members.Endpoint, n int) []*members.Endpoint {
 	if len(list) <= n {
 		return list
 	}
@@ -51,7 +51,7 @@
 	}
 	ranked := make([]weighed, 0, len(list))
 	for _, m := range list {
-		ranked = append(ranked, weighed{m, weight(EndpointHash(m.Key()), s.chooser)})
+		ranked = append(ranked, weighed{m, weight(EndpointHash(m.Key()), s.placer)})
 	}
 	slices.SortFunc(ranked, func(a, b weighed) int { return cmp.Compare(b.w, a.w) })
 	picked := make([]*members.Endpoint, 0, n)
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -101,110 +101,110 @@
 // Scheduler is one VM's queues and its view of the endpoints. It is not safe
 // for concurrent use.
 type Scheduler struct {
-	// off are mechanisms that are switched off.
-	off      mechanism.Off
-	services map[string]*service
-	running  map[uint64]*run
-	out      []Decision
-	// restarted are runs whose endpoint has started anew.
-	restarted []uint64
-	// byName finds endpoints by the hash of their ids, as peers name them.
-	byName map[uint64]*endpoint
+	// disabled are mechanisms that are switched disabled.
+	disabled  mechanism.Off
+	services  map[string]*service
+	running   map[uint64]*run
+	decisions []Decision
+	// lostRuns are runs whose endpoint has started anew.
+	lostRuns []uint64
+	// byHash finds endpoints by the hash of their ids, as peers name them.
+	byHash map[uint64]*endpoint
 	// self is this VM's own short name, others are those heard.
 	self   uint64
 	domain string
-	// chooser is the short name of the VM by which endpoints are chosen.
-	chooser uint64
-	// asks says that another VM places the requests of this one.
-	asks   bool
-	others []otherVM
-	// vms numbers the VMs that were heard, lastNote is when each spoke last.
-	vms      map[string]int
-	lastNote []time.Duration
-	// near says which of them are of the own failure domain.
-	near []bool
-	// placers counts the changes of who places requests.
-	placers int
-	// impossible counts quantities that cannot be.
-	impossible int
-	// onTrial counts the runs of each request that is on trial.
-	onTrial map[suspect.Digest]int
-	// company is what is known of the VMs of the own failure domain, and of others.
-	company [2]company
+	// placer is the short name of the VM by which endpoints are chosen.
+	placer uint64
+	// delegates says that another VM places the requests of this one.
+	delegates bool
+	peers     []peerVM
+	// peerIndex numbers the VMs that were heard, lastNote is when each spoke last.
+	peerIndex map[string]int
+	lastNote  []time.Duration
+	// sameDomain says which of them are of the own failure domain.
+	sameDomain []bool
+	// placerChanges counts the changes of who places requests.
+	placerChanges int
+	// invalidValues counts quantities that cannot be.
+	invalidValues int
+	// quarantinedRuns counts the runs of each request that is on trial.
+	quarantinedRuns map[suspect.Digest]int
+	// contention is what is known of the VMs of the own failure domain, and of others.
+	contention [2]contention
 	// limits are of the endpoints that name one, by their short names; reach is the part of each that this
 	// VM may use where it is the one to send.
-	limits map[uint64]*limit.Bucket
-	reach  float64
-	// rests are when endpoints want requests again, by their short names.
-	rests map[uint64]rest
+	limits     map[uint64]*limit.Bucket
+	limitShare float64
+	// backoffs are when endpoints want requests again, by their short names.
+	backoffs map[uint64]backoff
 }
 
 type service struct {
-	name string
-	off  mechanism.Off
+	name     string
+	disabled mechanism.Off
 	// endpoints are by the keys of their incarnations.
 	endpoints map[string]*endpoint
 	list      []*endpoint
 	queue     []*Job
-	pace      pace
+	latency   latencyModel
 	// scarce says that few endpoints have room.
 	scarce bool
-	// placed is how fast jobs were placed lately, served how fast those of each class
+	// placements is how fast jobs were placements lately, served how fast those of each class
 	// were.
-	placed rate
-	served map[class]*rate
-	// effort is the usual work of a placed job, as work tells it.
-	effort float64
+	placements      decayingRate
+	classPlacements map[class]*decayingRate
+	// usualWork is the usual work of a placed job, as work tells it.
+	usualWork float64
 }
 
 // endpoint is the view of one endpoint.
 type endpoint struct {
 	members.Endpoint
 	engine bool
-	// name is what VMs call it among themselves.
-	name uint64
-	own  map[uint64]*run
-	// others are the loads of other VMs, by their index.
-	others []peerUse
-	// gap is the time between two events when nothing disturbs, plain the usual
+	// hash is what VMs call it among themselves.
+	hash uint64
+	runs map[uint64]*run
+	// peerLoads are the loads of other VMs, by their index.
+	peerLoads []peerLoad
+	// eventGap is the time between two events when nothing disturbs, plain the usual
 	// time of an answer without a prompt, in seconds.
-	gap   floor
-	plain float64
-	// recent are the last two times between events seen here, in seconds; fresh says
+	eventGap   lowEstimate
+	answerTime float64
+	// recentGaps are the last two times between events seen here, in seconds; fresh says
 	// that one came since others were told. observed is when the pace was last learned
 	// from events, not from other VMs' opinion.
-	recent   [2]float64
-	fresh    bool
-	observed time.Duration
-	turn     turn
-	// lastFirst is when a run of this VM here last got its first event.
-	lastFirst time.Duration
-	health    health
-	// suspects and trials count the runs here of requests that may end it.
-	suspects, trials int
+	recentGaps    [2]float64
+	gapUnreported bool
+	gapObserved   time.Duration
+	turn          slotTurns
+	// lastFirstEvent is when a run of this VM here last got its first event.
+	lastFirstEvent time.Duration
+	health         health
+	// suspectRuns and quarantinedRuns count the runs here of requests that may end it.
+	suspectRuns, quarantinedRuns int
 }
 
-type peerUse struct {
+type peerLoad struct {
 	Load
-	vm int
-	at time.Duration
+	vm       int
+	received time.Duration
 }
 
 // run is a job at an endpoint.
 type run struct {
-	job     *Job
-	ep      *endpoint
-	sent    time.Duration
-	started bool
-	last    time.Duration
-	// several says that more than one event came last, or the first, so that the
+	job       *Job
+	ep        *endpoint
+	sent      time.Duration
+	started   bool
+	lastEvent time.Duration
+	// batched says that more than one event came last, or the first, so that the
 	// time to the next one tells nothing of the pace.
-	several bool
-	// gap is the time between the last two events, if it tells.
-	gap   time.Duration
-	ahead int
-	// expected is the time to the first event that was expected.
-	expected time.Duration
+	batched bool
+	// pendingGap is the time between the last two events, if it tells.
+	pendingGap  time.Duration
+	tokensAhead int
+	// predicted is the time to the first event that was predicted.
+	predicted time.Duration
 	// adopted runs were placed by another VM, which counts them for all.
 	adopted bool
 	// trial says that the endpoint was ejected when the run began.
@@ -215,19 +215,19 @@
 // failure domain.
 func New(vm, domain string) *Scheduler {
 	return &Scheduler{
-		self: xxhash.Sum64String(vm), chooser: xxhash.Sum64String(vm), domain: domain,
+		self: xxhash.Sum64String(vm), placer: xxhash.Sum64String(vm), domain: domain,
 		services: make(map[string]*service), running: make(map[uint64]*run),
-		byName: make(map[uint64]*endpoint), vms: make(map[string]int), onTrial: make(map[suspect.Digest]int), limits: make(map[uint64]*limit.Bucket), rests: make(map[uint64]rest),
+		byHash: make(map[uint64]*endpoint), peerIndex: make(map[string]int), quarantinedRuns: make(map[suspect.Digest]int), limits: make(map[uint64]*limit.Bucket), backoffs: make(map[uint64]backoff),
 	}
 }
 
 // Disable runs without some mechanisms. It must be called before any other method.
-func (s *Scheduler) Disable(off mechanism.Off) { s.off = off }
+func (s *Scheduler) Disable(off mechanism.Off) { s.disabled = off }
 
 func (s *Scheduler) service(name string) *service {
 	sv := s.services[name]
 	if sv == nil {
-		sv = &service{name: name, off: s.off, pace: pace{eventTokens: usualEventTokens}, endpoints: make(map[string]*endpoint), served: make(map[class]*rate)}
+		sv = &service{name: name, disabled: s.disabled, latency: latencyModel{tokensPerEvent: defaultTokensPerEvent}, endpoints: make(map[string]*endpoint), classPlacements: make(map[class]*decayingRate)}
 		s.services[name] = sv
 	}
 	return sv
@@ -235,7 +235,7 @@
 
 // SetTokensPerEvent tells how many tokens an event of a service's streams holds.
 func (s *Scheduler) SetTokensPerEvent(name string, tokens int) {
-	s.service(name).pace.eventTokens = tokens
+	s.service(name).latency.tokensPerEvent = tokens
 }
 
 // SetEndpoints replaces the usable endpoints of a service. engine says that
@@ -244,35 +244,35 @@
 	sv := s.service(name)
 	old := sv.endpoints
 	for _, ep := range old {
-		delete(s.byName, ep.name)
+		delete(s.byHash, ep.hash)
 	}
 	sv.endpoints = make(map[string]*endpoint, len(list))
 	sv.list = sv.list[:0]
-	for _, m := range s.choose(list) {
+	for _, m := range s.chooseSubset(list) {
 		key := m.Key()
 		ep := old[key]
 		if ep == nil {
-			ep = &endpoint{own: make(map[uint64]*run), name: EndpointHash(key)}
-			s.restarted = append(s.restarted, runsOfEarlier(old, m)...)
+			ep = &endpoint{runs: make(map[uint64]*run), hash: EndpointHash(key)}
+			s.lostRuns = append(s.lostRuns, runsAtEarlierIncarnations(old, m)...)
 		}
 		ep.Endpoint, ep.engine = *m, engine
-		s.byName[ep.name] = ep
+		s.byHash[ep.hash] = ep
 		sv.endpoints[key] = ep
 		sv.list = append(sv.list, ep)
 	}
-	s.place(now, sv)
-	return s.take()
+	s.placeQueued(now, sv)
+	return s.takeDecisions()
 }
 
-// runsOfEarlier are the handles of runs at earlier incarnations of an endpoint.
-func runsOfEarlier(known map[string]*endpoint, m *members.Endpoint) []uint64 {
+// runsAtEarlierIncarnations are the handles of runs at earlier incarnations of an endpoint.
+func runsAtEarlierIncarnations(known map[string]*endpoint, m *members.Endpoint) []uint64 {
 	if m.Born == 0 {
 		return nil
 	}
 	var handles []uint64
 	for _, ep := range known {
 		if ep.ID == m.ID && ep.Born < m.Born {
-			handles = slices.AppendSeq(handles, maps.Keys(ep.own))
+			handles = slices.AppendSeq(handles, maps.Keys(ep.runs))
 		}
 	}
 	return handles
@@ -281,19 +281,19 @@
 // TakeLostRuns returns the runs whose endpoint has started anew since the last call. They
 // are lost, though a connection to an endpoint that lost power shows nothing.
 func (s *Scheduler) TakeLostRuns() []uint64 {
-	handles := s.restarted
-	s.restarted = nil
+	handles := s.lostRuns
+	s.lostRuns = nil
 	return handles
 }
 
 // Submit queues a job and places what can be placed.
 func (s *Scheduler) Submit(now time.Duration, j Job) []Decision {
 	sv := s.service(j.Service)
-	s.checkJob(&j)
-	j.arrived, j.Suspicion = now, s.suspicion(&j)
+	s.clampJob(&j)
+	j.arrived, j.Suspicion = now, s.effectiveSuspicion(&j)
 	sv.queue = append(sv.queue, &j)
-	s.place(now, sv)
-	return s.take()
+	s.placeQueued(now, sv)
+	return s.takeDecisions()
 }
 
 // Withdraw takes back a waiting job.
@@ -310,11 +310,11 @@
 		return
 	}
 	sv := s.service(r.job.Service)
-	r.ep.health.heard(now)
+	r.ep.health.recordContact(now)
 	switch {
 	case !r.started:
-		sv.pace.observeFirst(r, now-r.sent)
-		r.ep.lastFirst = now
+		sv.latency.observeFirstEvent(r, now-r.sent)
+		r.ep.lastFirstEvent = now
 		if r.job.Remote {
 			r.started = true
 			return
@@ -322,16 +322,16 @@
 	default:
 		// The last event of a stream may hold fewer tokens and come sooner, so a
 		// time between events counts only once another event has followed.
-		if r.gap > 0 {
-			sv.pace.observeEvents(now, r.ep, r.gap)
+		if r.pendingGap > 0 {
+			sv.latency.observeGap(now, r.ep, r.pendingGap)
 		}
-		r.gap = 0
-		if n == 1 && !r.several {
-			r.gap = now - r.last
+		r.pendingGap = 0
+		if n == 1 && !r.batched {
+			r.pendingGap = now - r.lastEvent
 		}
 	}
-	r.several = n > 1 || !r.started
-	r.started, r.last = true, now
+	r.batched = n > 1 || !r.started
+	r.started, r.lastEvent = true, now
 }
 
 // Outcome is how a run at an endpoint ended.
@@ -371,26 +371,26 @@
 		return nil
 	}
 	delete(s.running, handle)
-	delete(r.ep.own, handle)
-	s.watch(r, -1)
+	delete(r.ep.runs, handle)
+	s.countSuspects(r, -1)
 	if !r.adopted && (o == Answered || o == CallerLeft) {
 		// A slot that a failure gives back is no sign of room.
-		r.ep.turn.ended(now)
+		r.ep.turn.recordEnd(now)
 	}
 	sv := s.service(r.job.Service)
-	r.ep.note(now, r, o, sv)
-	s.place(now, sv)
-	return s.take()
+	r.ep.recordOutcome(now, r, o, sv)
+	s.placeQueued(now, sv)
+	return s.takeDecisions()
 }
 
 // Tick refuses jobs that wait in vain and places others as loads fade.
 func (s *Scheduler) Tick(now time.Duration) []Decision {
 	for _, sv := range s.services {
 		if len(sv.queue) > 0 {
-			s.place(now, sv)
+			s.placeQueued(now, sv)
 		}
 	}
-	return s.take()
+	return s.takeDecisions()
 }
 
 // QueuedJobs is the number of jobs that wait.
@@ -402,38 +402,38 @@
 	return n
 }
 
-func (s *Scheduler) take() []Decision {
-	out := s.out
-	s.out = nil
-	return out
+func (s *Scheduler) takeDecisions() []Decision {
+	decisions := s.decisions
+	s.decisions = nil
+	return decisions
 }
 
 func (s *Scheduler) assign(now time.Duration, sv *service, j *Job, c candidate) {
-	s.begin(now, j, c)
-	c.ep.turn.take()
-	sv.placed.count(now)
-	sv.classRate(class{j.Tier, j.late}).count(now)
-	sv.effort += (sv.work(j) - sv.effort) * effortWeight
+	s.startRun(now, j, c)
+	c.ep.turn.recordTake()
+	sv.placements.add(now)
+	sv.classRate(class{j.Tier, j.late}).add(now)
+	sv.usualWork += (sv.work(j) - sv.usualWork) * workWeight
 	ep := c.ep.Endpoint
-	s.out = append(s.out, Decision{
-		Handle: j.Handle, Endpoint: &ep, Predicted: c.first, Candidates: len(sv.list), Waiting: len(sv.queue), Load: c.load, LimitCharged: s.spend(c.ep),
+	s.decisions = append(s.decisions, Decision{
+		Handle: j.Handle, Endpoint: &ep, Predicted: c.firstEvent, Candidates: len(sv.list), Waiting: len(sv.queue), Load: c.load, LimitCharged: s.chargeLimit(c.ep),
 	})
 }
 
-// begin notes that a job is at an endpoint.
-func (s *Scheduler) begin(now time.Duration, j *Job, c candidate) *run {
-	r := &run{job: j, ep: c.ep, sent: now, last: now, ahead: c.ahead, expected: c.first, trial: c.ep.health.ejection.on}
+// startRun notes that a job is at an endpoint.
+func (s *Scheduler) startRun(now time.Duration, j *Job, c candidate) *run {
+	r := &run{job: j, ep: c.ep, sent: now, lastEvent: now, tokensAhead: c.tokensAhead, predicted: c.firstEvent, trial: c.ep.health.ejection.active}
 	if r.trial {
-		c.ep.health.ejection.running++
+		c.ep.health.ejection.trialsRunning++
 	}
-	c.ep.own[j.Handle] = r
-	s.watch(r, 1)
+	c.ep.runs[j.Handle] = r
+	s.countSuspects(r, 1)
 	s.running[j.Handle] = r
 	return r
 }
 
 func (s *Scheduler) refuse(now time.Duration, sv *service, j *Job, reason string) {
-	s.out = append(s.out, Decision{
-		Handle: j.Handle, Reason: reason, RetryAfter: max(comeBack(j), s.limitedWait(sv), s.restWait(now, sv, j)), Candidates: len(sv.list), Waiting: len(sv.queue),
+	s.decisions = append(s.decisions, Decision{
+		Handle: j.Handle, Reason: reason, RetryAfter: max(retryAfter(j), s.rateLimitWait(sv), s.backoffWait(now, sv, j)), Candidates: len(sv.list), Waiting: len(sv.queue),
 	})
 }
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -10,16 +10,16 @@
 	"github.com/chivefield/chivefield/core/members"
 )
 
-// unlike are engines of three generations, as slownesses.
-var unlike = []float64{0.55, 0.55, 0.55, 1, 1, 1, 2.8, 2.8, 2.8}
+// mixedSlowness are engines of three generations, as slownesses.
+var mixedSlowness = []float64{0.55, 0.55, 0.55, 1, 1, 1, 2.8, 2.8, 2.8}
 
-// mixOf is long, middle and short work of three tiers; late answers keep a share
+// workloadMix is long, middle and short work of three tiers; late answers keep a share
 // of their worth.
-func mixOf(load, late float64) []kind {
-	return []kind{
-		{name: "long", tier: 0, perSecond: 14 * load, prompt: 6600, output: 380, spread: 1.2, objective: 800 * time.Millisecond, limit: 15 * time.Second, worth: 10, late: 10 * late},
-		{name: "middle", tier: 1, perSecond: 38 * load, prompt: 630, output: 290, spread: 1.2, objective: 300 * time.Millisecond, limit: 12 * time.Second, worth: 1.7, late: 1.7 * late},
-		{name: "short", tier: 2, perSecond: 21 * load, prompt: 1800, output: 22, spread: 1.2, objective: 400 * time.Millisecond, limit: 3 * time.Second, worth: 0.5, late: 0.5 * late},
+func workloadMix(load, late float64) []requestKind {
+	return []requestKind{
+		{name: "long", tier: 0, perSecond: 14 * load, prompt: 6600, output: 380, spread: 1.2, objective: 800 * time.Millisecond, limit: 15 * time.Second, onTimeValue: 10, lateValue: 10 * late},
+		{name: "middle", tier: 1, perSecond: 38 * load, prompt: 630, output: 290, spread: 1.2, objective: 300 * time.Millisecond, limit: 12 * time.Second, onTimeValue: 1.7, lateValue: 1.7 * late},
+		{name: "short", tier: 2, perSecond: 21 * load, prompt: 1800, output: 22, spread: 1.2, objective: 400 * time.Millisecond, limit: 3 * time.Second, onTimeValue: 0.5, lateValue: 0.5 * late},
 	}
 }
 
@@ -29,7 +29,7 @@
 // alone. The load: twice what the engines do, for 20 s.
 func TestOverloadServesWhatCanBeOnTime(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(1, 8, 11, unlike, mixOf(2, 0.1))
+	p := newSimulation(1, 8, 11, mixedSlowness, workloadMix(2, 0.1))
 	p.run(20 * time.Second)
 	t.Log(p)
 	is.True(p.results[0].onTime > 5*p.results[0].late)
@@ -43,22 +43,22 @@
 // what the engines do; before turns 0.15 of the middle tier were late by surprise.
 func TestVMsDoNotTakeTheSameSlots(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(3, 8, 11, unlike, mixOf(1.5, 0.1))
+	p := newSimulation(3, 8, 11, mixedSlowness, workloadMix(1.5, 0.1))
 	p.run(20 * time.Second)
 	t.Log(p)
 	middle := p.results[1]
-	is.True(part(middle.surprised, middle.asked) < 0.05)
-	is.True(p.share() > 0.75)
+	is.True(fraction(middle.surprised, middle.submitted) < 0.05)
+	is.True(p.valueShare() > 0.75)
 }
 
 // At a load that the engines can carry nearly all is on time.
 func TestModerateLoadIsOnTime(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(1, 8, 11, unlike, mixOf(0.5, 0.1))
+	p := newSimulation(1, 8, 11, mixedSlowness, workloadMix(0.5, 0.1))
 	p.run(20 * time.Second)
 	t.Log(p)
 	for _, r := range p.results {
-		is.True(part(r.onTime, r.asked) > 0.9)
+		is.True(fraction(r.onTime, r.submitted) > 0.9)
 	}
 }
 
@@ -69,16 +69,16 @@
 // where there was room for all, and what is known badly counted as if known well. The
 // load: half of what the engines do; before, 0.96 of the worth was earned, and 0.87
 // where they are just full.
-func TestManyVMsNeedNoTurnsWhereThereIsRoom(t *testing.T) {
+func TestNoSlotTurnsWithSpareCapacity(t *testing.T) {
 	is := is.New(t)
 	var slow []float64
 	for i := range 60 {
-		slow = append(slow, unlike[i%len(unlike)])
+		slow = append(slow, mixedSlowness[i%len(mixedSlowness)])
 	}
-	p := newLargePlay(1, 66, 10, 4, slow, mixOf(0.5*60/9*10/11, 0.3))
+	p := newMultiDomainSimulation(1, 66, 10, 4, slow, workloadMix(0.5*60/9*10/11, 0.3))
 	p.run(6 * time.Second)
 	t.Log(p)
-	is.True(p.share() > 0.975)
+	is.True(p.valueShare() > 0.975)
 }
 
 // Symptom: with 66 VMs 58 of 100 requests of a heavy day met an engine that was full.
@@ -86,21 +86,21 @@
 // slot there seems free; it was taken long ago, by its neighbours. Cause: turns were
 // taken on stale loads too. The load: twice what the engines do; before, 0.54 of the
 // worth was earned.
-func TestStaleLoadsGiveNoTurns(t *testing.T) {
+func TestNoSlotTurnsOnStaleLoads(t *testing.T) {
 	is := is.New(t)
 	var slow []float64
 	for i := range 60 {
-		slow = append(slow, unlike[i%len(unlike)])
+		slow = append(slow, mixedSlowness[i%len(mixedSlowness)])
 	}
-	p := newLargePlay(1, 66, 10, 4, slow, mixOf(2*60/9*10/11, 0.3))
+	p := newMultiDomainSimulation(1, 66, 10, 4, slow, workloadMix(2*60/9*10/11, 0.3))
 	p.run(8 * time.Second)
 	t.Log(p)
-	is.True(p.share() > 0.64)
+	is.True(p.valueShare() > 0.64)
 }
 
 // Every endpoint of a large deployment is used by about as many VMs as any other,
 // and mostly by VMs of its own failure domain.
-func TestChoiceIsEven(t *testing.T) {
+func TestEndpointSubsetsAreBalanced(t *testing.T) {
 	is := is.New(t)
 	const vms, endpoints, domains = 200, 1300, 4
 	var list []*members.Endpoint
@@ -110,8 +110,8 @@
 	users, near := map[string]int{}, 0
 	for i := range vms {
 		s := New(fmt.Sprint(i), fmt.Sprint(i%domains))
-		chosen := s.choose(list)
-		is.Equal(len(chosen), maxChoices)
+		chosen := s.chooseSubset(list)
+		is.Equal(len(chosen), maxUsedEndpoints)
 		for _, m := range chosen {
 			users[m.ID]++
 			if m.FailureDomain == s.domain {
@@ -119,19 +119,19 @@
 			}
 		}
 	}
-	mean := float64(vms*maxChoices) / endpoints
+	mean := float64(vms*maxUsedEndpoints) / endpoints
 	for _, m := range list {
 		is.True(users[m.ID] > 0)
 		is.True(float64(users[m.ID]) < 2.5*mean)
 	}
-	is.Equal(near, vms*(maxChoices-farChoices))
+	is.Equal(near, vms*(maxUsedEndpoints-minFarEndpoints))
 }
 
 // Symptom: a third of the lookups of a plain service were late though its servers had
 // room. Sequence: its answers take 60 ms; 66 VMs know its load; each waited for its
 // turn at a slot, a tenth of a second or more. Cause: turns cost more than the short
 // queue they save there.
-func TestPlainServicesNeedNoTurns(t *testing.T) {
+func TestNoSlotTurnsForPlainServices(t *testing.T) {
 	is := is.New(t)
 	for i := range 66 {
 		s := New(fmt.Sprint(i), "a")
@@ -152,26 +152,26 @@
 // over, and few were served then. Cause: the time grew with the refusals for one
 // placement. It is the same under any load, and spread, so that those who are refused
 // together come one after the other.
-func TestRefusedCallersReturnSoonAndSpread(t *testing.T) {
+func TestRetryAfterIsShortAndJittered(t *testing.T) {
 	is := is.New(t)
 	for _, load := range []float64{0.5, 3} {
-		p := newPlay(1, 8, 11, unlike, mixOf(load, 0.1))
+		p := newSimulation(1, 8, 11, mixedSlowness, workloadMix(load, 0.1))
 		p.run(8 * time.Second)
 		const parts, n = 4, 400
 		var in [parts]int
 		for h := range uint64(n) {
-			back := comeBack(&Job{Handle: h})
-			is.True(back >= returnAfter/2)
-			is.True(back < returnAfter/2+returnAfter)
-			in[int(back-returnAfter/2)*parts/int(returnAfter)]++
+			back := retryAfter(&Job{Handle: h})
+			is.True(back >= meanRetryAfter/2)
+			is.True(back < meanRetryAfter/2+meanRetryAfter)
+			in[int(back-meanRetryAfter/2)*parts/int(meanRetryAfter)]++
 		}
 		for _, k := range in {
 			is.True(k > n/parts/2)
 		}
-		for _, s := range p.vms {
+		for _, s := range p.schedulers {
 			for _, d := range append(s.Submit(p.now, Job{Handle: 1 << 40, Service: "none", AbandonAt: p.now + time.Second}), s.Tick(p.now)...) {
 				is.Equal(d.Endpoint, nil)
-				is.Equal(d.RetryAfter, comeBack(&Job{Handle: d.Handle}))
+				is.Equal(d.RetryAfter, retryAfter(&Job{Handle: d.Handle}))
 			}
 		}
 	}
@@ -184,10 +184,10 @@
 func TestSilentVMTakesNoSlots(t *testing.T) {
 	is := is.New(t)
 	s := New("self", "a")
-	s.SetEndpoints(0, playService, []*members.Endpoint{{ID: "e", Service: playService, Slots: 4, FailureDomain: "a"}}, true)
+	s.SetEndpoints(0, simService, []*members.Endpoint{{ID: "e", Service: simService, Slots: 4, FailureDomain: "a"}}, true)
 	now := time.Duration(0)
 	submit := func(h uint64) bool {
-		out := s.Submit(now, Job{Handle: h, Service: playService, Objective: now + time.Second, AbandonAt: now + 2*time.Second})
+		out := s.Submit(now, Job{Handle: h, Service: simService, Objective: now + time.Second, AbandonAt: now + 2*time.Second})
 		return len(out) == 1 && out[0].Endpoint != nil
 	}
 	h := uint64(0)
@@ -210,29 +210,29 @@
 // earned stays the same (0.85), callers hear within a quarter of a second.
 func TestRefusalsComeEarly(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0, 1, 11, unlike, mixOf(1.5, 0.3))
+	p := newSimulation(0, 1, 11, mixedSlowness, workloadMix(1.5, 0.3))
 	p.run(20 * time.Second)
 	t.Log(p)
 	for _, r := range p.results[1:] {
 		is.True(r.refused > 50)
-		is.True(r.held.Seconds()/float64(r.refused) < 0.3)
+		is.True(r.queuedTime.Seconds()/float64(r.refused) < 0.3)
 	}
-	is.True(p.share() > 0.83)
+	is.True(p.valueShare() > 0.83)
 }
 
 // Symptom: a failure domain that was cut off lost more requests than before. Sequence:
 // a VM of another domain places for it; engines of that domain are preferred; the cut
 // comes. Cause: near was what is near to the placer, not to the sender.
-func TestNearIsNearTheSender(t *testing.T) {
+func TestProximityIsToTheSender(t *testing.T) {
 	is := is.New(t)
 	s := New("self", "a")
 	list := []*members.Endpoint{
-		{ID: "ea", Service: playService, Slots: 4, FailureDomain: "a"},
-		{ID: "eb", Service: playService, Slots: 4, FailureDomain: "b"},
+		{ID: "ea", Service: simService, Slots: 4, FailureDomain: "a"},
+		{ID: "eb", Service: simService, Slots: 4, FailureDomain: "b"},
 	}
-	s.SetEndpoints(0, playService, list, true)
+	s.SetEndpoints(0, simService, list, true)
 	for h, domain := range map[uint64]string{1: "a", 2: "b"} {
-		out := s.Submit(0, Job{Handle: h, Service: playService, Objective: time.Second, AbandonAt: time.Second, Remote: true, SenderDomain: domain})
+		out := s.Submit(0, Job{Handle: h, Service: simService, Objective: time.Second, AbandonAt: time.Second, Remote: true, SenderDomain: domain})
 		is.Equal(out[0].Endpoint.FailureDomain, domain)
 		s.EndRun(0, h, CallerLeft)
 	}
@@ -243,12 +243,12 @@
 // requests go there though near ones would be on time as well; the cut comes. Cause: only a
 // round trip was counted for another domain. Near engines go first while they are on time
 // and at most a tenth of a second slower.
-func TestNearEndpointsGoFirstWhileOnTime(t *testing.T) {
+func TestNearEndpointsArePreferredWhileOnTime(t *testing.T) {
 	is := is.New(t)
 	s := New("self", "a")
-	s.SetEndpoints(0, playService, []*members.Endpoint{
-		{ID: "near", Service: playService, Slots: 4, FailureDomain: "a"},
-		{ID: "far", Service: playService, Slots: 4, FailureDomain: "b"},
+	s.SetEndpoints(0, simService, []*members.Endpoint{
+		{ID: "near", Service: simService, Slots: 4, FailureDomain: "a"},
+		{ID: "far", Service: simService, Slots: 4, FailureDomain: "b"},
 	}, true)
 	paces := func(near, far time.Duration) {
 		for range 200 {
@@ -256,7 +256,7 @@
 		}
 	}
 	pick := func(h uint64, objective time.Duration) string {
-		out := s.Submit(0, Job{Handle: h, Service: playService, Objective: objective, AbandonAt: 2 * time.Second})
+		out := s.Submit(0, Job{Handle: h, Service: simService, Objective: objective, AbandonAt: 2 * time.Second})
 		s.EndRun(0, h, CallerLeft)
 		return out[0].Endpoint.ID
 	}
@@ -274,11 +274,11 @@
 // take longer than expected; the VM that sent there takes it for silent; the placer
 // sends more there, which the VM refuses to adopt, and places alone. Cause: a doubt
 // counted as knowledge. Now only a probe that failed does.
-func TestDoubtIsNoReasonToPlaceAlone(t *testing.T) {
+func TestSuspicionWithoutProbeAllowsAdoption(t *testing.T) {
 	is := is.New(t)
 	s := New("self", "a")
-	s.SetEndpoints(0, playService, []*members.Endpoint{{ID: "e", Service: playService, Slots: 4, FailureDomain: "a"}}, true)
-	job := Job{Service: playService, Objective: time.Second, AbandonAt: 2 * time.Second}
+	s.SetEndpoints(0, simService, []*members.Endpoint{{ID: "e", Service: simService, Slots: 4, FailureDomain: "a"}}, true)
+	job := Job{Service: simService, Objective: time.Second, AbandonAt: 2 * time.Second}
 	adopt := func(now time.Duration, h uint64) bool {
 		j := job
 		j.Handle = h
@@ -289,12 +289,12 @@
 	now := 2 * time.Second
 	is.Equal(len(s.DueProbes(now)), 1) // it looks silent
 	is.True(adopt(now, 2))
-	is.Equal(len(s.Unavailable(now, playService)), 0)
+	is.Equal(len(s.Unavailable(now, simService)), 0)
 	s.RecordProbe(now, "e", false)
 	now += time.Second
 	is.Equal(len(s.DueProbes(now)), 1)
 	is.True(!adopt(now, 3))
-	is.Equal(s.Unavailable(now, playService), []uint64{EndpointHash("e")})
+	is.Equal(s.Unavailable(now, simService), []uint64{EndpointHash("e")})
 }
 
 // Symptom: the lowest tier earned 0.26 to 0.285 of what it was owed on a day with bursts,
@@ -303,17 +303,17 @@
 // before all else, also where it keeps short work behind work that is late anyway. The
 // load: one and a half times what the engines do, one scheduler for all. Before, 0.18 of
 // the lowest tier were on time.
-func TestShortWorkGoesBeforeLateWork(t *testing.T) {
+func TestShortJobsPrecedeLateJobs(t *testing.T) {
 	is := is.New(t)
-	onTime, asked, long := 0, 0, 0.0
+	onTime, submitted, long := 0, 0, 0.0
 	for seed := range uint64(4) {
-		p := newPlay(seed, 1, 11, unlike, mixOf(1.5, 0.5))
+		p := newSimulation(seed, 1, 11, mixedSlowness, workloadMix(1.5, 0.5))
 		p.run(20 * time.Second)
-		onTime, asked = onTime+p.results[2].onTime, asked+p.results[2].asked
-		long += part(p.results[0].onTime, p.results[0].asked) / 4
+		onTime, submitted = onTime+p.results[2].onTime, submitted+p.results[2].submitted
+		long += fraction(p.results[0].onTime, p.results[0].submitted) / 4
 	}
-	t.Logf("%.3f of the lowest tier on time, %.3f of the highest", part(onTime, asked), long)
-	is.True(part(onTime, asked) > 0.2)
+	t.Logf("%.3f of the lowest tier on time, %.3f of the highest", fraction(onTime, submitted), long)
+	is.True(fraction(onTime, submitted) > 0.2)
 	is.True(long > 0.92)
 }
 
@@ -322,7 +322,7 @@
 // connections to all of them, once a second, to find out for itself. Cause: also VMs that
 // ask another one where to send requests did. Those that place find out, and each VM for an
 // endpoint that it could not reach itself.
-func TestOnlyPlacersProbeWhatOthersDoubt(t *testing.T) {
+func TestOnlyPlacersProbeOnPeerSuspicion(t *testing.T) {
 	is := is.New(t)
 	list := []*members.Endpoint{
 		{ID: "x", Service: "v", Slots: 6, FailureDomain: "a"},
@@ -350,7 +350,7 @@
 // others start at the same addresses, take connections, and are taken for the ones before; all
 // their slots are filled before the first answer comes. Cause: a connection counted as a
 // sign of life of that incarnation. One request is sent, and more once something is heard.
-func TestEndpointThatReturnsGetsOneRequestFirst(t *testing.T) {
+func TestReturningEndpointGetsOneRequestFirst(t *testing.T) {
 	is := is.New(t)
 	s := New("self", "a")
 	s.SetEndpoints(0, "v", []*members.Endpoint{{ID: "x", Service: "v", Slots: 6, FailureDomain: "a"}}, true)
--- a/core/dispatch/ejection.go
+++ b/core/dispatch/ejection.go
@@ -27,54 +27,54 @@
 // VMs.
 
 const (
-	// failuresInARow eject an endpoint. One that fails six in ten does so after one in
+	// ejectAfterFailures eject an endpoint. One that fails six in ten does so after one in
 	// thirteen requests, one that fails three in ten after one in four hundred.
-	failuresInARow = 5
-	// ejectedShare is the share of a service's endpoints up to which that is enough, but for
+	ejectAfterFailures = 5
+	// maxEjectedShare is the share of a service's endpoints up to which that is enough, but for
 	// two of a small service. Where all fail about half of their requests each of them has
 	// such a row within a second; beyond the share manyInARow are asked for, which those
 	// show once in a hundred thousand requests.
-	ejectedShare = 0.25
-	ejectedLeast = 2
-	manyInARow   = 15
-	// usualWeight is the weight of one outcome in an endpoint's share of failures: its last
+	maxEjectedShare        = 0.25
+	minEjectedLimit        = 2
+	ejectAfterManyFailures = 15
+	// failureShareWeight is the weight of one outcome in an endpoint's share of failures: its last
 	// five count most. Where all endpoints begin to fail, this must show before one of
 	// them has failed five in a row by chance; with the last thirty it showed after three
 	// seconds, when all were ejected.
-	usualWeight = 0.2
-	// usualMost is the lower quartile of shares from which requests are taken to fail by
+	failureShareWeight = 0.2
+	// maxBaselineFailures is the lower quartile of shares from which requests are taken to fail by
 	// themselves and nobody is ejected, usualSure that from which those that are ejected
 	// are taken back. Where one request in seven fails by itself it is about 0.07.
-	usualMost = 0.1
-	usualSure = 0.2
-	// trialPause is the first pause before a trial of a VM that is alone with it; others
+	maxBaselineFailures     = 0.1
+	readmitBaselineFailures = 0.2
+	// minTrialDelay is the first pause before a trial of a VM that is alone with it; others
 	// add as much each. trialMost bounds it as it doubles.
-	trialPause = time.Second
-	trialMost  = 4 * time.Second
+	minTrialDelay = time.Second
+	maxTrialDelay = 4 * time.Second
 	// trialsToPass is how many trials in a row must succeed. Each doubles the number that
 	// may run at the same time, so that an endpoint that is well again is back soon.
 	trialsToPass = 3
-	// trustFor is how long after it has passed its trials an endpoint is not ejected by
+	// readmissionGrace is how long after it has passed its trials an endpoint is not ejected by
 	// the word of other VMs, and how long the pause is remembered: some endpoints fail
 	// only for some VMs, and some fail again at once.
-	trustFor = 10 * time.Second
-	// ownWord is how long a VM's own last answer counts more than others' word.
-	ownWord = 800 * time.Millisecond
+	readmissionGrace = 10 * time.Second
+	// ownAnswerPrecedence is how long a VM's own last answer counts more than others' word.
+	ownAnswerPrecedence = 800 * time.Millisecond
 )
 
 // ejection is the state of one endpoint's trials.
 type ejection struct {
-	on bool
-	// told says that another VM's word ejected it, not what was seen here.
-	told bool
-	// pause is the last pause before a trial, next when the next trial may begin.
-	pause, next time.Duration
-	// passed is how many trials in a row succeeded, running how many are under way.
-	passed, running int
-	// returned is when the endpoint was last taken back.
-	returned time.Duration
-	// reported is the state that Ejections told last.
-	reported bool
+	active bool
+	// byPeer says that another VM's word ejected it, not what was seen here.
+	byPeer bool
+	// trialDelay is the last trialDelay before a trial, nextTrial when the nextTrial trial may begin.
+	trialDelay, nextTrial time.Duration
+	// trialsPassed is how many trials in a row succeeded, trialsRunning how many are under way.
+	trialsPassed, trialsRunning int
+	// readmittedAt is when the endpoint was last taken back.
+	readmittedAt time.Duration
+	// reportedActive is the state that Ejections told last.
+	reportedActive bool
 }
 
 // EjectionChange says that an endpoint was ejected or taken back.
@@ -96,151 +96,151 @@
 	for _, sv := range s.services {
 		for _, e := range sv.list {
 			x := &e.health.ejection
-			if x.on == x.reported {
+			if x.active == x.reportedActive {
 				continue
 			}
-			x.reported = x.on
-			changes = append(changes, EjectionChange{Endpoint: e.Key(), Ejected: x.on, ByPeer: x.told, Failures: e.health.inARow, TrialDelay: x.pause})
+			x.reportedActive = x.active
+			changes = append(changes, EjectionChange{Endpoint: e.Key(), Ejected: x.active, ByPeer: x.byPeer, Failures: e.health.consecutiveFailures, TrialDelay: x.trialDelay})
 		}
 	}
 	return changes
 }
 
-// begin ejects the endpoint. others is how many other VMs try it too.
-func (x *ejection) begin(now time.Duration, others int) {
-	x.on, x.told, x.passed = true, false, 0
-	if x.returned == 0 || now-x.returned > trustFor {
-		x.pause = 0
+// eject ejects the endpoint. others is how many other VMs try it too.
+func (x *ejection) eject(now time.Duration, peers int) {
+	x.active, x.byPeer, x.trialsPassed = true, false, 0
+	if x.readmittedAt == 0 || now-x.readmittedAt > readmissionGrace {
+		x.trialDelay = 0
 	}
-	x.wait(now, others)
+	x.scheduleTrial(now, peers)
 }
 
-// wait sets the pause before the next trial.
-func (x *ejection) wait(now time.Duration, others int) {
-	first := trialPause * time.Duration(1+others)
-	x.pause = min(max(first, 2*x.pause), max(first, trialMost))
-	x.next = now + x.pause
+// scheduleTrial sets the pause before the next trial.
+func (x *ejection) scheduleTrial(now time.Duration, peers int) {
+	first := minTrialDelay * time.Duration(1+peers)
+	x.trialDelay = min(max(first, 2*x.trialDelay), max(first, maxTrialDelay))
+	x.nextTrial = now + x.trialDelay
 }
 
-// allows says whether a request may go there now.
-func (x *ejection) allows(now time.Duration) bool {
-	return !x.on || now >= x.next && x.running < 1<<x.passed
+// allowsRequest says whether a request may go there now.
+func (x *ejection) allowsRequest(now time.Duration) bool {
+	return !x.active || now >= x.nextTrial && x.trialsRunning < 1<<x.trialsPassed
 }
 
 // admits says whether the endpoint may get a request as far as its failures go, and the
 // proof that it is what it was. The word of other VMs holds while one of them repeats it.
 func (e *endpoint) admits(now time.Duration) bool {
 	x := &e.health.ejection
-	if x.on && x.told && e.otherEjections(now) == 0 {
-		x.on = false
+	if x.active && x.byPeer && e.peerEjections(now) == 0 {
+		x.active = false
 	}
-	return x.allows(now) && !e.awaitsProof()
+	return x.allowsRequest(now) && !e.awaitsVerification()
 }
 
-// ended takes in the end of a trial.
-func (x *ejection) ended(now time.Duration, failed bool, others int) {
+// recordTrial takes in the end of a trial.
+func (x *ejection) recordTrial(now time.Duration, failed bool, peers int) {
 	if failed {
-		x.passed, x.told = 0, false
-		x.wait(now, others)
+		x.trialsPassed, x.byPeer = 0, false
+		x.scheduleTrial(now, peers)
 		return
 	}
-	if x.passed++; x.passed >= trialsToPass {
-		x.on, x.returned = false, now
+	if x.trialsPassed++; x.trialsPassed >= trialsToPass {
+		x.active, x.readmittedAt = false, now
 	}
 }
 
-// outcome takes in a run that the endpoint answered or failed.
-func (e *endpoint) outcome(now time.Duration, r *run, failed bool, sv *service) {
-	e.health.count(r.sent, failed)
+// recordResult takes in a run that the endpoint answered or failed.
+func (e *endpoint) recordResult(now time.Duration, r *run, failed bool, sv *service) {
+	e.health.recordResult(r.sent, failed)
 	x := &e.health.ejection
 	switch {
-	case x.on && r.trial:
-		x.ended(now, failed, e.otherEjections(now))
-	case x.on || sv.off.Has(mechanism.Ejection):
-	case e.health.inARow >= failuresInARow && e.health.inARow >= sv.rowToEject() && sv.usualFailing() < usualMost:
-		x.begin(now, e.otherEjections(now))
+	case x.active && r.trial:
+		x.recordTrial(now, failed, e.peerEjections(now))
+	case x.active || sv.disabled.Has(mechanism.Ejection):
+	case e.health.consecutiveFailures >= ejectAfterFailures && e.health.consecutiveFailures >= sv.failuresToEject() && sv.baselineFailureShare() < maxBaselineFailures:
+		x.eject(now, e.peerEjections(now))
 	}
-	if failed && sv.ejected() > 0 && sv.usualFailing() >= usualSure {
-		sv.takeBack(now)
+	if failed && sv.ejectedCount() > 0 && sv.baselineFailureShare() >= readmitBaselineFailures {
+		sv.readmitAll(now)
 	}
 }
 
-// count takes in whether a request that was sent at a time failed. What was sent before the
+// recordResult takes in whether a request that was sent at a time failed. What was sent before the
 // first failure in a row says nothing: streams that had begun go on to their end.
-func (h *health) count(sent time.Duration, failed bool) {
+func (h *health) recordResult(sent time.Duration, failed bool) {
 	if !failed {
-		if sent >= h.rowSince {
-			h.inARow = 0
+		if sent >= h.firstFailureSent {
+			h.consecutiveFailures = 0
 		}
-		h.failing -= h.failing * usualWeight
+		h.failureShare -= h.failureShare * failureShareWeight
 		return
 	}
-	if h.inARow == 0 {
-		h.rowSince = sent
+	if h.consecutiveFailures == 0 {
+		h.firstFailureSent = sent
 	}
-	h.inARow++
-	h.failing += (1 - h.failing) * usualWeight
+	h.consecutiveFailures++
+	h.failureShare += (1 - h.failureShare) * failureShareWeight
 }
 
-// rowToEject is how many failures in a row eject one endpoint more.
-func (sv *service) rowToEject() int {
-	if sv.ejected() < max(ejectedLeast, int(ejectedShare*float64(len(sv.list)))) {
-		return failuresInARow
+// failuresToEject is how many failures in a row eject one endpoint more.
+func (sv *service) failuresToEject() int {
+	if sv.ejectedCount() < max(minEjectedLimit, int(maxEjectedShare*float64(len(sv.list)))) {
+		return ejectAfterFailures
 	}
-	return manyInARow
+	return ejectAfterManyFailures
 }
 
-// takeBack returns ejected endpoints where the requests of most others fail too: the first
+// readmitAll returns ejected endpoints where the requests of most others fail too: the first
 // to show it were no worse than the rest.
-func (sv *service) takeBack(now time.Duration) {
+func (sv *service) readmitAll(now time.Duration) {
 	for _, e := range sv.list {
-		if x := &e.health.ejection; x.on {
-			x.on, x.returned = false, now
+		if x := &e.health.ejection; x.active {
+			x.active, x.readmittedAt = false, now
 		}
 	}
 }
 
-// usualFailing is the lower quartile of the endpoints' shares of failures.
-func (sv *service) usualFailing() float64 {
+// baselineFailureShare is the lower quartile of the endpoints' shares of failures.
+func (sv *service) baselineFailureShare() float64 {
 	shares := make([]float64, 0, len(sv.list))
 	for _, e := range sv.list {
-		shares = append(shares, e.health.failing)
+		shares = append(shares, e.health.failureShare)
 	}
 	slices.Sort(shares)
 	return shares[(len(shares)-1)/4]
 }
 
-// ejected is how many endpoints are on trial.
-func (sv *service) ejected() int {
+// ejectedCount is how many endpoints are on trial.
+func (sv *service) ejectedCount() int {
 	n := 0
 	for _, e := range sv.list {
-		if e.health.ejection.on {
+		if e.health.ejection.active {
 			n++
 		}
 	}
 	return n
 }
 
-// otherEjections is how many other VMs that place requests say that they have ejected
+// peerEjections is how many other VMs that place requests say that they have ejected
 // the endpoint.
-func (e *endpoint) otherEjections(now time.Duration) int {
+func (e *endpoint) peerEjections(now time.Duration) int {
 	n := 0
-	for _, o := range e.others {
-		if o.Ejected && now-o.at <= peerFresh {
+	for _, o := range e.peerLoads {
+		if o.Ejected && now-o.received <= peerLoadTTL {
 			n++
 		}
 	}
 	return n
 }
 
-// peerEjects takes in another VM's word that it has ejected the endpoint.
-func (e *endpoint) peerEjects(now time.Duration, sv *service) {
+// applyPeerEjection takes in another VM's word that it has ejected the endpoint.
+func (e *endpoint) applyPeerEjection(now time.Duration, sv *service) {
 	x := &e.health.ejection
-	trusted := x.returned > 0 && now-x.returned < trustFor
-	answered := e.health.answered > 0 && now-e.health.answered < ownWord
-	if sv.off.Has(mechanism.Ejection) || x.on || trusted || answered || 2*(sv.ejected()+1) > len(sv.list) {
+	readmitted := x.readmittedAt > 0 && now-x.readmittedAt < readmissionGrace
+	answered := e.health.lastAnswer > 0 && now-e.health.lastAnswer < ownAnswerPrecedence
+	if sv.disabled.Has(mechanism.Ejection) || x.active || readmitted || answered || 2*(sv.ejectedCount()+1) > len(sv.list) {
 		return
 	}
-	x.begin(now, e.otherEjections(now))
-	x.told = true
+	x.eject(now, e.peerEjections(now))
+	x.byPeer = true
 }
--- a/core/dispatch/ejection_test.go
+++ b/core/dispatch/ejection_test.go
@@ -9,11 +9,11 @@
 	"github.com/chivefield/chivefield/core/members"
 )
 
-// manyUnlike are n engines of three generations.
-func manyUnlike(n int) []float64 {
+// mixedSlownessOf are n engines of three generations.
+func mixedSlownessOf(n int) []float64 {
 	slow := make([]float64, 0, n)
 	for i := range n {
-		slow = append(slow, unlike[i%len(unlike)])
+		slow = append(slow, mixedSlowness[i%len(mixedSlowness)])
 	}
 	return slow
 }
@@ -26,24 +26,24 @@
 // engines do, each VM places by itself; one endpoint in ten fails for eight seconds.
 // Before, 1, 8 and 66 VMs lost 12, 37 and 490 requests, and 66 earned 0.82 of the worth
 // (now 0.95).
-func TestEndpointsThatFailAtOnceDrawNoRequests(t *testing.T) {
+func TestFastFailingEndpointsAreEjected(t *testing.T) {
 	for _, c := range []struct {
 		vms, engines, most int
 	}{{1, 9, 11}, {8, 9, 30}, {66, 60, 200}} {
 		is := is.New(t)
-		p := newLargePlay(1, c.vms, 10, 3, manyUnlike(c.engines), mixOf(0.5*float64(c.engines)/9*10/11, 0.3))
+		p := newMultiDomainSimulation(1, c.vms, 10, 3, mixedSlownessOf(c.engines), workloadMix(0.5*float64(c.engines)/9*10/11, 0.3))
 		for i := range max(1, c.engines/10) {
-			p.failing[p.ids[i]] = failure{from: time.Second, to: 9 * time.Second, share: 1}
+			p.failures[p.ids[i]] = failure{from: time.Second, to: 9 * time.Second, share: 1}
 		}
 		p.run(12 * time.Second)
-		t.Logf("%d VMs: %d broken; %s", c.vms, p.broken, p)
-		is.True(p.broken <= c.most)
+		t.Logf("%d VMs: %d broken; %s", c.vms, p.resets, p)
+		is.True(p.resets <= c.most)
 	}
 }
 
-// answer plays n requests, a hundred a second, each of which takes 50 ms, and returns how
+// runRequests plays n requests, a hundred a second, each of which takes 50 ms, and returns how
 // many each endpoint got. fails says which fail, and those end after 5 ms.
-func answer(s *Scheduler, now *time.Duration, n int, fails func(id string) bool) map[string]int {
+func runRequests(s *Scheduler, now *time.Duration, n int, fails func(id string) bool) map[string]int {
 	const step, failed, whole = 5 * time.Millisecond, 1, 10
 	got := map[string]int{}
 	type end struct {
@@ -51,7 +51,7 @@
 		o Outcome
 	}
 	ends := map[time.Duration][]end{}
-	note := func(out []Decision) {
+	apply := func(out []Decision) {
 		for _, d := range out {
 			if d.Endpoint == nil {
 				continue
@@ -67,22 +67,22 @@
 	for i := range 2 * n {
 		*now += step
 		for _, e := range ends[*now] {
-			note(s.EndRun(*now, e.h, e.o))
+			apply(s.EndRun(*now, e.h, e.o))
 		}
 		if i%2 == 0 {
-			note(s.Submit(*now, Job{Handle: uint64(*now), Service: "plain", Objective: *now + time.Second, AbandonAt: *now + time.Second}))
+			apply(s.Submit(*now, Job{Handle: uint64(*now), Service: "plain", Objective: *now + time.Second, AbandonAt: *now + time.Second}))
 		}
 	}
 	for range whole {
 		*now += step
 		for _, e := range ends[*now] {
-			note(s.EndRun(*now, e.h, e.o))
+			apply(s.EndRun(*now, e.h, e.o))
 		}
 	}
 	return got
 }
 
-func plainServers(ids ...string) *Scheduler {
+func newPlainScheduler(ids ...string) *Scheduler {
 	s := New("self", "a")
 	var list []*members.Endpoint
 	for _, id := range ids {
@@ -94,14 +94,14 @@
 
 // Of three endpoints one or two fail at once: what is left serves nearly all. With the
 // median as yardstick two of three could not be told from a service that fails by itself.
-func TestFewEndpoints(t *testing.T) {
+func TestEjectionWithThreeEndpoints(t *testing.T) {
 	is := is.New(t)
-	for _, sick := range []map[string]bool{{"a": true}, {"a": true, "b": true}} {
+	for _, failing := range []map[string]bool{{"a": true}, {"a": true, "b": true}} {
 		var now time.Duration
-		s := plainServers("a", "b", "c")
-		got := answer(s, &now, 1000, func(id string) bool { return sick[id] })
+		s := newPlainScheduler("a", "b", "c")
+		got := runRequests(s, &now, 1000, func(id string) bool { return failing[id] })
 		t.Log(got)
-		for id := range sick {
+		for id := range failing {
 			is.True(got[id] <= 11)
 		}
 	}
@@ -109,13 +109,13 @@
 
 // A service whose requests fail by themselves, one in seven or three in ten, has no
 // endpoint to leave out: each goes on to serve its part.
-func TestRequestsThatFailByThemselvesEjectNobody(t *testing.T) {
+func TestFailingRequestsDoNotEjectEndpoints(t *testing.T) {
 	is := is.New(t)
 	for _, every := range []int{7, 3} {
 		var now time.Duration
-		s := plainServers("a", "b", "c")
+		s := newPlainScheduler("a", "b", "c")
 		seed := uint32(1)
-		got := answer(s, &now, 6000, func(string) bool {
+		got := runRequests(s, &now, 6000, func(string) bool {
 			seed = seed*1664525 + 1013904223
 			return int(seed>>16)%every == 0
 		})
@@ -127,11 +127,11 @@
 }
 
 // All endpoints fail at once: there is nothing better, and all are used.
-func TestAllEndpointsFail(t *testing.T) {
+func TestAllFailingEndpointsStayInUse(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
-	s := plainServers("a", "b", "c", "d")
-	got := answer(s, &now, 1000, func(string) bool { return true })
+	s := newPlainScheduler("a", "b", "c", "d")
+	got := runRequests(s, &now, 1000, func(string) bool { return true })
 	t.Log(got)
 	placed := 0
 	for _, n := range got {
@@ -142,17 +142,17 @@
 
 // An endpoint that is well again serves its part within three seconds, though it was
 // tried only now and then.
-func TestEjectedEndpointReturns(t *testing.T) {
+func TestRecoveredEndpointIsReadmitted(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
-	s := plainServers("a", "b", "c", "d")
-	answer(s, &now, 200, func(id string) bool { return id == "a" })
+	s := newPlainScheduler("a", "b", "c", "d")
+	runRequests(s, &now, 200, func(id string) bool { return id == "a" })
 	changes := s.TakeEjectionChanges()
 	is.Equal(len(changes), 1)
 	is.True(changes[0].Ejected)
 	is.Equal(changes[0].Endpoint, "a")
-	answer(s, &now, 300, func(string) bool { return false })
-	got := answer(s, &now, 400, func(string) bool { return false })
+	runRequests(s, &now, 300, func(string) bool { return false })
+	got := runRequests(s, &now, 400, func(string) bool { return false })
 	is.True(got["a"] > 60)
 	changes = s.TakeEjectionChanges()
 	is.Equal(len(changes), 1)
@@ -162,15 +162,15 @@
 // Symptom: a placer that sees nothing wrong leaves out an endpoint for good on the word
 // of a VM for which alone it fails. The word ejects it once; trials pass, and for a time
 // the VM's own knowledge counts.
-func TestEndpointThatFailsForOtherVMsOnly(t *testing.T) {
+func TestEndpointFailingOnlyForPeersStaysInUse(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
-	s := plainServers("a", "b")
-	well := func(string) bool { return false }
+	s := newPlainScheduler("a", "b")
+	succeeds := func(string) bool { return false }
 	got := map[string]int{}
 	for range 100 {
 		s.ApplyPeerLoads(now, "other", "b", []EndpointLoad{{EndpointHash("a"), Load{Ejected: true}}}, true)
-		for id, n := range answer(s, &now, 10, well) {
+		for id, n := range runRequests(s, &now, 10, succeeds) {
 			got[id] += n
 		}
 	}
@@ -183,18 +183,18 @@
 func TestTrialsAreSharedAmongVMs(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
-	s := plainServers("a", "b")
-	say := func() {
+	s := newPlainScheduler("a", "b")
+	reportEjections := func() {
 		for _, vm := range []string{"1", "2", "3", "4"} {
 			s.ApplyPeerLoads(now, vm, "b", []EndpointLoad{{EndpointHash("a"), Load{Ejected: true}}}, true)
 		}
 	}
-	say()
+	reportEjections()
 	tries := 0
 	for range 100 {
-		say()
+		reportEjections()
 		// 150 ms pass in each round.
-		tries += answer(s, &now, 10, func(id string) bool { return id == "a" })["a"]
+		tries += runRequests(s, &now, 10, func(id string) bool { return id == "a" })["a"]
 	}
 	is.True(tries >= 1)
 	is.True(tries <= 3) // in fifteen seconds
@@ -203,7 +203,7 @@
 // An endpoint that starts again under its id is learned anew: what the one before failed,
 // ran or was slow at says nothing of it, nor does what another VM says of that one. Its
 // runs are told as lost.
-func TestNextIncarnationIsLearnedAnew(t *testing.T) {
+func TestNewIncarnationStartsWithoutHistory(t *testing.T) {
 	is := is.New(t)
 	s := New("self", "a")
 	first := &members.Endpoint{ID: "a", Born: 1000, Service: "plain", Slots: 6, FailureDomain: "a"}
@@ -211,14 +211,14 @@
 	other := &members.Endpoint{ID: "b", Service: "plain", Slots: 6, FailureDomain: "a"}
 	s.SetEndpoints(0, "plain", []*members.Endpoint{first, other}, false)
 	var now time.Duration
-	answer(s, &now, 100, func(id string) bool { return id == "a" })
+	runRequests(s, &now, 100, func(id string) bool { return id == "a" })
 	s.ApplyPeerLoads(now, "vm", "a", []EndpointLoad{{EndpointHash(first.Key()), Load{Waiting: 50, Replaced: true}}}, true)
 	_, why := s.Adopt(now, Job{Handle: 7, Service: "plain"}, EndpointHash(other.Key()), 0, 0)
 	is.Equal(why, UnusableReason(""))
 	s.SetEndpoints(now, "plain", []*members.Endpoint{next, other}, false)
 	is.Equal(len(s.TakeLostRuns()), 0) // nothing ran at the one before
 	s.ApplyPeerLoads(now, "vm", "a", []EndpointLoad{{EndpointHash(first.Key()), Load{Waiting: 50, Replaced: true, Ejected: true}}}, true)
-	got := answer(s, &now, 100, func(string) bool { return false })
+	got := runRequests(s, &now, 100, func(string) bool { return false })
 	t.Log(got)
 	is.True(got["a"] > 40)
 	_, why = s.Adopt(now, Job{Handle: 8, Service: "plain"}, EndpointHash(next.Key()), 0, 0)
@@ -233,19 +233,19 @@
 // others did later than that; within three seconds all nine were left out. Cause: five in
 // a row was enough for any number of endpoints. Over ten seeds up to nine of nine were
 // ejected at the same time before.
-func TestEndpointsThatAllFailSomeStay(t *testing.T) {
+func TestPartialFailureOfAllEndpointsEjectsFew(t *testing.T) {
 	is := is.New(t)
 	most := 0
 	for seed := range uint64(10) {
-		p := newPlay(seed, 1, 11, unlike, mixOf(0.8, 0.1))
+		p := newSimulation(seed, 1, 11, mixedSlowness, workloadMix(0.8, 0.1))
 		for _, id := range p.ids {
-			p.failing[id] = failure{from: 2 * time.Second, to: 6 * time.Second, share: 0.45}
+			p.failures[id] = failure{from: 2 * time.Second, to: 6 * time.Second, share: 0.45}
 		}
 		for end := 2 * time.Second; end <= 7*time.Second; end += 50 * time.Millisecond {
 			p.run(end)
-			most = max(most, p.vms[0].service(playService).ejected())
+			most = max(most, p.schedulers[0].service(simService).ejectedCount())
 		}
 	}
-	t.Logf("%d of %d ejected at the same time", most, len(unlike))
-	is.True(most <= len(unlike)/3)
+	t.Logf("%d of %d ejected at the same time", most, len(mixedSlowness))
+	is.True(most <= len(mixedSlowness)/3)
 }
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -2,24 +2,28 @@
 
 import "time"
 
-// peerFresh is how long a peer's word on its load counts. It guards against a
+// peerLoadTTL is how long a peer's word on its load counts. It guards against a
 // VM that died or was cut off and whose last word would keep endpoints full.
-const peerFresh = 1500 * time.Millisecond
+const peerLoadTTL = 1500 * time.Millisecond
 
-// ownUse is the load that this VM knows of itself. read is the time to read a token,
+// ownLoad is the load that this VM knows of itself. read is the time to read a token,
 // in seconds: the prompt that is being read counts only with what is left of it.
-func (e *endpoint) ownUse(now time.Duration, read float64) Load { return e.use(now, read, false) }
+func (e *endpoint) ownLoad(now time.Duration, prefillTime float64) Load {
+	return e.loadOfRuns(now, prefillTime, false)
+}
 
-// placedUse is the load that this VM has placed: others would count what it adopted
+// placedLoad is the load that this VM has placed: others would count what it adopted
 // twice.
-func (e *endpoint) placedUse(now time.Duration, read float64) Load { return e.use(now, read, true) }
+func (e *endpoint) placedLoad(now time.Duration, prefillTime float64) Load {
+	return e.loadOfRuns(now, prefillTime, true)
+}
 
-func (e *endpoint) use(now time.Duration, read float64, placed bool) Load {
+func (e *endpoint) loadOfRuns(now time.Duration, prefillTime float64, placedOnly bool) Load {
 	u := Load{}
 	oldest := -1 * time.Second
-	var first int
-	for _, r := range e.own {
-		if placed && r.adopted {
+	var oldestPrompt int
+	for _, r := range e.runs {
+		if placedOnly && r.adopted {
 			continue
 		}
 		if r.started {
@@ -29,44 +33,44 @@
 		u.Waiting++
 		u.PromptTokens = addTokens(u.PromptTokens, r.job.PromptTokens)
 		if oldest < 0 || r.sent < oldest {
-			oldest, first = r.sent, r.job.PromptTokens
+			oldest, oldestPrompt = r.sent, r.job.PromptTokens
 		}
 	}
 	if oldest >= 0 {
-		u.PromptTokens -= readIn(now-max(oldest, e.lastFirst), read, first)
+		u.PromptTokens -= tokensReadIn(now-max(oldest, e.lastFirstEvent), prefillTime, oldestPrompt)
 	}
-	if e.gap.seen >= tellAfter {
-		u.EventGap = seconds(e.gap.value)
+	if e.eventGap.samples >= minReportedSamples {
+		u.EventGap = toDuration(e.eventGap.value)
 	}
 	return u
 }
 
-// setOther replaces one VM's load.
-func (e *endpoint) setOther(u peerUse) {
-	for i := range e.others {
-		if e.others[i].vm == u.vm {
-			e.others[i] = u
+// setPeerLoad replaces one VM's load.
+func (e *endpoint) setPeerLoad(u peerLoad) {
+	for i := range e.peerLoads {
+		if e.peerLoads[i].vm == u.vm {
+			e.peerLoads[i] = u
 			return
 		}
 	}
-	e.others = append(e.others, u)
+	e.peerLoads = append(e.peerLoads, u)
 }
 
-// load is what all VMs together have at the endpoint, as far as known. lastNote
+// totalLoad is what all VMs together have at the endpoint, as far as known. lastNote
 // is when each VM spoke last: what it said before is over.
-func (e *endpoint) load(now time.Duration, read float64, lastNote []time.Duration) Load {
-	u := e.ownUse(now, read)
-	kept := e.others[:0]
-	for _, o := range e.others {
-		age := now - o.at
-		if age > peerFresh || o.at < lastNote[o.vm] {
+func (e *endpoint) totalLoad(now time.Duration, prefillTime float64, lastNote []time.Duration) Load {
+	u := e.ownLoad(now, prefillTime)
+	kept := e.peerLoads[:0]
+	for _, o := range e.peerLoads {
+		age := now - o.received
+		if age > peerLoadTTL || o.received < lastNote[o.vm] {
 			continue
 		}
 		kept = append(kept, o)
 		u.Running += o.Running
 		u.Waiting += o.Waiting
-		u.PromptTokens = addTokens(u.PromptTokens, o.PromptTokens-readIn(age, read, o.PromptTokens))
+		u.PromptTokens = addTokens(u.PromptTokens, o.PromptTokens-tokensReadIn(age, prefillTime, o.PromptTokens))
 	}
-	e.others = kept
+	e.peerLoads = kept
 	return u
 }
--- a/core/dispatch/limits.go
+++ b/core/dispatch/limits.go
@@ -11,78 +11,78 @@
 // placed does so only if that one counted it.
 
 // SetLimit sets how many requests a second an endpoint takes, by its short name.
-func (s *Scheduler) SetLimit(now time.Duration, endpoint uint64, perSecond float64) {
-	if b := s.limits[endpoint]; b != nil {
+func (s *Scheduler) SetLimit(now time.Duration, endpointHash uint64, perSecond float64) {
+	if b := s.limits[endpointHash]; b != nil {
 		b.SetLimit(perSecond)
 		return
 	}
-	s.limits[endpoint] = limit.New(now, perSecond)
+	s.limits[endpointHash] = limit.New(now, perSecond)
 }
 
 // RemoveLimit ends an endpoint's limit.
-func (s *Scheduler) RemoveLimit(endpoint uint64) { delete(s.limits, endpoint) }
+func (s *Scheduler) RemoveLimit(endpointHash uint64) { delete(s.limits, endpointHash) }
 
 // SetCoverage says how many VMs the placers that are heard serve, this one included, of those known. It must be
 // called several times a second.
-func (s *Scheduler) SetCoverage(now time.Duration, heard, known int) {
-	s.reach = limit.Part(heard, known)
-	s.endRests(now)
-	for name, b := range s.limits {
-		if e := s.byName[name]; e != nil {
-			b.Fill(now, s.part(now, e))
+func (s *Scheduler) SetCoverage(now time.Duration, reachable, known int) {
+	s.limitShare = limit.Part(reachable, known)
+	s.removeExpiredBackoffs(now)
+	for hash, b := range s.limits {
+		if e := s.byHash[hash]; e != nil {
+			b.Fill(now, s.limitShareAt(now, e))
 		}
 	}
 }
 
-// part is the part of an endpoint's limit that this VM may use.
-func (s *Scheduler) part(now time.Duration, e *endpoint) float64 {
-	if s.asks {
+// limitShareAt is the limitShareAt of an endpoint's limit that this VM may use.
+func (s *Scheduler) limitShareAt(now time.Duration, e *endpoint) float64 {
+	if s.delegates {
 		return 0
 	}
-	self := otherVM{name: s.self, domain: s.domain}
-	for i, o := range s.others {
-		if o.places && !o.gone(now-s.lastNote[i]) && before(e, o, self) {
+	self := peerVM{hash: s.self, domain: s.domain}
+	for i, o := range s.peers {
+		if o.isPlacer && !o.presumedDown(now-s.lastNote[i]) && precedes(e, o, self) {
 			return 0
 		}
 	}
-	return s.reach
+	return s.limitShare
 }
 
-// permits says whether an endpoint's limit lets a request be sent there now.
-func (s *Scheduler) permits(now time.Duration, e *endpoint) bool {
-	b := s.limits[e.name]
+// withinLimit says whether an endpoint's limit lets a request be sent there now.
+func (s *Scheduler) withinLimit(now time.Duration, e *endpoint) bool {
+	b := s.limits[e.hash]
 	if b == nil {
 		return true
 	}
-	b.Fill(now, s.part(now, e))
+	b.Fill(now, s.limitShareAt(now, e))
 	return b.Ready()
 }
 
-// spend counts a request against an endpoint's limit, and reports whether there is one.
-func (s *Scheduler) spend(e *endpoint) bool {
-	b := s.limits[e.name]
+// chargeLimit counts a request against an endpoint's limit, and reports whether there is one.
+func (s *Scheduler) chargeLimit(e *endpoint) bool {
+	b := s.limits[e.hash]
 	if b != nil {
 		b.Take()
 	}
 	return b != nil
 }
 
-// limitedWait is how long the waiting jobs of a service take if all of its endpoints have limits; 0 if
+// rateLimitWait is how long the waiting jobs of a service take if all of its endpoints have limits; 0 if
 // one has none.
-func (s *Scheduler) limitedWait(sv *service) time.Duration {
+func (s *Scheduler) rateLimitWait(sv *service) time.Duration {
 	if len(s.limits) == 0 || len(sv.list) == 0 {
 		return 0
 	}
-	sum := 0.0
+	perSecond := 0.0
 	for _, e := range sv.list {
-		b := s.limits[e.name]
+		b := s.limits[e.hash]
 		if b == nil {
 			return 0
 		}
-		sum += b.Limit()
+		perSecond += b.Limit()
 	}
-	if float64(len(sv.queue)+1) >= sum*maxWait.Seconds() {
+	if float64(len(sv.queue)+1) >= perSecond*maxWait.Seconds() {
 		return maxWait
 	}
-	return seconds(float64(len(sv.queue)+1) / sum)
+	return toDuration(float64(len(sv.queue)+1) / perSecond)
 }
--- a/core/dispatch/notices_test.go
+++ b/core/dispatch/notices_test.go
@@ -9,8 +9,8 @@
 	"github.com/chivefield/chivefield/core/members"
 )
 
-// plainEndpoints are a scheduler's endpoints of a plain service.
-func plainEndpoints(s *Scheduler, ids ...string) {
+// setPlainEndpoints are a scheduler's endpoints of a plain service.
+func setPlainEndpoints(s *Scheduler, ids ...string) {
 	var list []*members.Endpoint
 	for _, id := range ids {
 		list = append(list, &members.Endpoint{ID: id, Service: "plain", Slots: 2, FailureDomain: "a"})
@@ -18,9 +18,9 @@
 	s.SetEndpoints(0, "plain", list, false)
 }
 
-// placeOne places a job of a plain service, of this VM or another, and returns where; empty if it waits, the
+// submitOne places a job of a plain service, of this VM or another, and returns where; empty if it waits, the
 // reason if it is refused.
-func placeOne(s *Scheduler, now time.Duration, handle uint64, remote bool) string {
+func submitOne(s *Scheduler, now time.Duration, handle uint64, remote bool) string {
 	j := Job{Handle: handle, Service: "plain", Objective: now + time.Second, AbandonAt: now + 2*time.Second, Remote: remote, SenderDomain: "a"}
 	out := s.Submit(now, j)
 	switch {
@@ -33,12 +33,12 @@
 }
 
 // Guards against requests of this VM to an endpoint that asked it for rest, also where no other is left.
-func TestOwnRestIsKept(t *testing.T) {
+func TestOwnBackoffIsRespected(t *testing.T) {
 	is := is.New(t)
 	s := New("vm1", "a")
-	plainEndpoints(s, "e")
+	setPlainEndpoints(s, "e")
 	s.SetBackoff(EndpointHash("e"), time.Second, 0)
-	is.Equal(placeOne(s, 0, 1, false), "")
+	is.Equal(submitOne(s, 0, 1, false), "")
 	is.Equal(s.Unavailable(0, "plain"), []uint64{EndpointHash("e")})
 	_, why := s.Adopt(0, Job{Handle: 2, Service: "plain"}, EndpointHash("e"), 0, 0)
 	is.Equal(why, BackingOff)
@@ -48,10 +48,10 @@
 }
 
 // Guards against callers that wait in vain for a rest that is longer than their time.
-func TestRestBeyondACallersTimeRefuses(t *testing.T) {
+func TestBackoffBeyondCallerTimeoutIsRefused(t *testing.T) {
 	is := is.New(t)
 	s := New("vm1", "a")
-	plainEndpoints(s, "e", "f")
+	setPlainEndpoints(s, "e", "f")
 	s.SetBackoff(EndpointHash("e"), 5*time.Second, 0)
 	s.SetBackoff(EndpointHash("f"), 4*time.Second, 0)
 	out := s.Submit(0, Job{Handle: 1, Service: "plain", Objective: time.Second, AbandonAt: 2 * time.Second})
@@ -61,25 +61,25 @@
 
 // Guards against requests that each VM has turned away by an endpoint that already asked others for rest, and
 // against room that is left where nothing else is free.
-func TestEndpointThatAskedOthersForRestIsUsedLast(t *testing.T) {
+func TestEndpointBackingOffPeersIsUsedLast(t *testing.T) {
 	is := is.New(t)
 	s := New("vm1", "a")
-	plainEndpoints(s, "e", "f")
+	setPlainEndpoints(s, "e", "f")
 	s.SetBackoff(EndpointHash("e"), 0, time.Second)
-	for n := range uint64(plainFill * 2) {
-		is.Equal(placeOne(s, 0, n+1, n%2 == 0), "f")
+	for n := range uint64(plainFillFactor * 2) {
+		is.Equal(submitOne(s, 0, n+1, n%2 == 0), "f")
 	}
-	is.Equal(placeOne(s, 0, 10, false), "e")
+	is.Equal(submitOne(s, 0, 10, false), "e")
 }
 
 // Guards against a limit that a VM keeps which another VM is first to use, or that asks another.
-func TestOnlyTheFirstPlacerUsesALimit(t *testing.T) {
+func TestOnlyFirstRankedPlacerUsesLimit(t *testing.T) {
 	is := is.New(t)
 	s := New("vm1", "a")
-	plainEndpoints(s, "e")
+	setPlainEndpoints(s, "e")
 	use := func(now time.Duration) string {
 		s.SetCoverage(now, 2, 2)
-		return placeOne(s, now, uint64(now), false)
+		return submitOne(s, now, uint64(now), false)
 	}
 	s.SetLimit(0, EndpointHash("e"), 10)
 	is.Equal(use(0), "") // begins with nothing
@@ -87,23 +87,23 @@
 	// A VM of the endpoint's failure domain that places comes first, or this one does, but not both.
 	s.ApplyPeerLoads(300*time.Millisecond, "vm2", "a", nil, true)
 	other := New("vm2", "a")
-	plainEndpoints(other, "e")
+	setPlainEndpoints(other, "e")
 	other.SetLimit(0, EndpointHash("e"), 10)
 	other.ApplyPeerLoads(300*time.Millisecond, "vm1", "a", nil, true)
-	e := s.byName[EndpointHash("e")]
-	is.True((s.part(300*time.Millisecond, e) == 0) != (func() bool {
+	e := s.byHash[EndpointHash("e")]
+	is.True((s.limitShareAt(300*time.Millisecond, e) == 0) != (func() bool {
 		other.SetCoverage(300*time.Millisecond, 2, 2)
-		return other.part(300*time.Millisecond, other.byName[EndpointHash("e")]) == 0
+		return other.limitShareAt(300*time.Millisecond, other.byHash[EndpointHash("e")]) == 0
 	}()))
 	s.SetPlacer("vm3", true)
-	is.Equal(s.part(5*time.Second, e), 0.0)
+	is.Equal(s.limitShareAt(5*time.Second, e), 0.0)
 }
 
 // Guards against an endpoint whose limit is low that is never asked again, and cannot say that its need is over.
-func TestLimitOfZeroIsAskedNowAndThen(t *testing.T) {
+func TestZeroLimitIsTriedOccasionally(t *testing.T) {
 	is := is.New(t)
 	s := New("vm1", "a")
-	plainEndpoints(s, "e")
+	setPlainEndpoints(s, "e")
 	s.SetLimit(0, EndpointHash("e"), 0)
 	sent := 0
 	for now := time.Duration(0); now < 30*time.Second; now += 100 * time.Millisecond {
@@ -119,13 +119,13 @@
 }
 
 // Guards against an endpoint whose capacity is counted though its limit lets nothing through.
-func TestRequestsGoElsewhereAtOnceWhereAnEndpointNamesALimit(t *testing.T) {
+func TestRateLimitedEndpointIsBypassed(t *testing.T) {
 	is := is.New(t)
 	s := New("vm1", "a")
-	plainEndpoints(s, "e", "f")
+	setPlainEndpoints(s, "e", "f")
 	s.SetCoverage(0, 1, 1)
 	s.SetLimit(0, EndpointHash("e"), 0.1)
-	for n := range uint64(plainFill * 2) {
-		is.Equal(placeOne(s, 0, n+1, false), "f")
+	for n := range uint64(plainFillFactor * 2) {
+		is.Equal(submitOne(s, 0, n+1, false), "f")
 	}
 }
--- a/core/dispatch/pace_test.go
+++ b/core/dispatch/pace_test.go
@@ -24,19 +24,19 @@
 // event of a short prompt, which holds one, comes sooner than a usual time between events;
 // the time to read is what remains, nothing. Cause: the first event was taken to last as
 // long as any other, and a division by the time to read wrapped.
-func TestFirstEventsMayComeSoonerThanOthers(t *testing.T) {
+func TestShortFirstEventsGiveValidPredictions(t *testing.T) {
 	for _, tokens := range []int{3, 6, 15, 30} {
 		t.Run(strconv.Itoa(tokens), func(t *testing.T) {
 			is := is.New(t)
-			p := newPlay(1, 1, 11, unlike, mixOf(0.7, 0.3))
+			p := newSimulation(1, 1, 11, mixedSlowness, workloadMix(0.7, 0.3))
 			p.tokens = tokens
 			p.run(15 * time.Second)
 			t.Logf("seen over predicted %.2f at a tenth, %.2f at the median, %.2f at nine tenths; %v",
-				quantile(p.ratios, 0.1), quantile(p.ratios, 0.5), quantile(p.ratios, 0.9), p)
-			is.Equal(p.impossible, 0)
-			is.True(quantile(p.ratios, 0.5) > 0.75 && quantile(p.ratios, 0.5) < 1.25)
-			is.True(quantile(p.ratios, 0.9) < 2)
-			is.True(quantile(p.ratios, 0.1) > 0.5)
+				quantile(p.firstEventRatios, 0.1), quantile(p.firstEventRatios, 0.5), quantile(p.firstEventRatios, 0.9), p)
+			is.Equal(p.invalidDecisions, 0)
+			is.True(quantile(p.firstEventRatios, 0.5) > 0.75 && quantile(p.firstEventRatios, 0.5) < 1.25)
+			is.True(quantile(p.firstEventRatios, 0.9) < 2)
+			is.True(quantile(p.firstEventRatios, 0.1) > 0.5)
 		})
 	}
 }
@@ -44,7 +44,7 @@
 // Symptom: as above. Sequence: the first event of a prompt on a busy engine takes longer
 // than an event, those on idle engines less; what is learned tends to nothing without being
 // nothing; a prompt waits.
-func TestReadingIsNeverLearnedAsNothing(t *testing.T) {
+func TestPrefillEstimateStaysPositive(t *testing.T) {
 	is := is.New(t)
 	s := New("self", "a")
 	s.SetEndpoints(0, "v", []*members.Endpoint{{ID: "x", Service: "v", Slots: 6, FailureDomain: "a"}}, true)
@@ -76,7 +76,7 @@
 
 // Symptom: as above. Whatever engines and other VMs say, and in whatever order, predictions
 // are times that can be and loads are numbers of tokens that can be.
-func TestPredictionsCanBe(t *testing.T) {
+func TestPredictionsAreValid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := New("self", "a")
 		var list []*members.Endpoint
@@ -113,10 +113,10 @@
 					continue
 				}
 				running = append(running, d.Handle)
-				if d.Predicted <= 0 || d.Predicted > longestTime {
+				if d.Predicted <= 0 || d.Predicted > maxPrediction {
 					rt.Fatalf("predicted %v", d.Predicted)
 				}
-				if d.Load.PromptTokens < 0 || d.Load.PromptTokens > mostTokens {
+				if d.Load.PromptTokens < 0 || d.Load.PromptTokens > maxTokens {
 					rt.Fatalf("%d tokens unread", d.Load.PromptTokens)
 				}
 				if d.Load.EventGap <= 0 {
@@ -125,29 +125,29 @@
 			}
 		}
 		for _, u := range s.Loads(now, true) {
-			if u.PromptTokens < 0 || u.PromptTokens > mostTokens || u.EventGap < 0 || u.EventGap > longestTime {
+			if u.PromptTokens < 0 || u.PromptTokens > maxTokens || u.EventGap < 0 || u.EventGap > maxPrediction {
 				rt.Fatalf("told: %+v", u)
 			}
 		}
 	})
 }
 
-// cellOf is a VM that places for two others, which send their requests to one engine.
-type cellOf struct {
+// cellSim is a VM that places for two others, which send their requests to one engine.
+type cellSim struct {
 	is      *is.I
 	placer  *Scheduler
 	members []*Scheduler
 	now     time.Duration
 	handle  uint64
-	// runs are the handles of each member's streams, next when each has its next event.
-	runs [][]uint64
-	next map[uint64]time.Duration
-	// predicted is the pace that the placer assumed last.
-	predicted time.Duration
+	// streams are the handles of each member's streams, next when each has its next event.
+	streams   [][]uint64
+	nextEvent map[uint64]time.Duration
+	// predictedGap is the pace that the placer assumed last.
+	predictedGap time.Duration
 }
 
-func newCell(t *testing.T, vms int) *cellOf {
-	c := &cellOf{is: is.New(t), placer: New("placer", "a"), next: make(map[uint64]time.Duration), runs: make([][]uint64, vms)}
+func newCellSim(t *testing.T, vms int) *cellSim {
+	c := &cellSim{is: is.New(t), placer: New("placer", "a"), nextEvent: make(map[uint64]time.Duration), streams: make([][]uint64, vms)}
 	list := []*members.Endpoint{{ID: "x", Service: "v", Slots: 12, FailureDomain: "a"}}
 	c.placer.SetEndpoints(0, "v", list, true)
 	for i := range vms {
@@ -158,26 +158,26 @@
 	return c
 }
 
-// play lets two streams at a time run at each member for two seconds, with a time between
+// run lets two streams at a time run at each member for two seconds, with a time between
 // events, and notes go to the placer ten times a second.
-func (c *cellOf) play(length, gap time.Duration) {
+func (c *cellSim) run(length, gap time.Duration) {
 	for end := c.now + length; c.now < end; c.now += 5 * time.Millisecond {
 		for i, m := range c.members {
-			for len(c.runs[i]) < 2 {
-				c.begin(i, gap)
+			for len(c.streams[i]) < 2 {
+				c.startStream(i, gap)
 			}
-			for _, h := range c.runs[i] {
-				if c.now >= c.next[h] {
+			for _, h := range c.streams[i] {
+				if c.now >= c.nextEvent[h] {
 					m.RecordEvents(c.now, h, 1)
-					c.next[h] = c.now + gap
+					c.nextEvent[h] = c.now + gap
 				}
 			}
 			if c.now%(2*time.Second) == 0 {
-				for _, h := range c.runs[i] {
+				for _, h := range c.streams[i] {
 					m.EndRun(c.now, h, Answered)
 					c.placer.EndRun(c.now, h, Answered)
 				}
-				c.runs[i] = nil
+				c.streams[i] = nil
 			}
 			if c.now%(100*time.Millisecond) == 0 {
 				c.placer.ApplyPeerLoads(c.now, strconv.Itoa(i), "a", m.Loads(c.now, c.now%time.Second == 0), false)
@@ -186,18 +186,18 @@
 	}
 }
 
-func (c *cellOf) begin(i int, gap time.Duration) {
+func (c *cellSim) startStream(i int, gap time.Duration) {
 	c.handle++
 	j := Job{Handle: c.handle, Service: "v", PromptTokens: 700, ExpectedEvents: 10, Objective: c.now + 5*time.Second, AbandonAt: c.now + 9*time.Second, Remote: true}
 	out := c.placer.Submit(c.now, j)
 	c.is.Equal(len(out), 1)
-	c.predicted = out[0].Load.EventGap
+	c.predictedGap = out[0].Load.EventGap
 	j.Remote = false
 	d, why := c.members[i].Adopt(c.now, j, EndpointHash(out[0].Endpoint.Key()), out[0].Predicted, 0)
 	c.is.True(d != nil)
 	c.is.Equal(why, UnusableReason(""))
-	c.runs[i] = append(c.runs[i], c.handle)
-	c.next[c.handle] = c.now + gap
+	c.streams[i] = append(c.streams[i], c.handle)
+	c.nextEvent[c.handle] = c.now + gap
 }
 
 // Symptom: of the answers that were late at the usual load half had a pause over what their
@@ -206,25 +206,25 @@
 // hears their opinions once a second, made from what each saw seconds ago. Cause: the placer
 // learned paces by averaging opinions. The load: three VMs with two streams each, 50 ms
 // between events, then 250 ms, then 50 ms again.
-func TestPlacerLearnsSlowEnginesSoon(t *testing.T) {
-	c := newCell(t, 3)
-	c.play(4*time.Second, 50*time.Millisecond)
-	usual := c.predicted
-	c.play(3*time.Second, 250*time.Millisecond)
-	slow := c.predicted
-	c.play(3*time.Second, 50*time.Millisecond)
-	t.Logf("usual %v, slow %v, usual again %v", usual, slow, c.predicted)
+func TestPlacerDetectsSlowEngines(t *testing.T) {
+	c := newCellSim(t, 3)
+	c.run(4*time.Second, 50*time.Millisecond)
+	usual := c.predictedGap
+	c.run(3*time.Second, 250*time.Millisecond)
+	slow := c.predictedGap
+	c.run(3*time.Second, 50*time.Millisecond)
+	t.Logf("usual %v, slow %v, usual again %v", usual, slow, c.predictedGap)
 	c.is.True(usual < 60*time.Millisecond)
 	c.is.True(slow > 150*time.Millisecond)
-	c.is.True(c.predicted < 75*time.Millisecond)
+	c.is.True(c.predictedGap < 75*time.Millisecond)
 }
 
 // Symptom: one placer of six sent prompts of 5,000 tokens to engines where it expected them
 // read in 12 ms; it took 150 to 500. Sequence: a few prompts, of sessions that go on, are
 // kept whole by their engine, and their first event comes at once. Cause: the time to read
 // followed the lowest that was seen. The load: one prompt in seven is kept.
-func TestKeptPromptsDoNotTellTheTimeToRead(t *testing.T) {
-	learnsToRead(t, 2000, []int{300, 1500, 5000, 20000}, []int{1500, 5000, 20000}, func(i int, first, reading float64) float64 {
+func TestCachedPromptsDoNotSkewPrefillEstimate(t *testing.T) {
+	checkPrefillEstimate(t, 2000, []int{300, 1500, 5000, 20000}, []int{1500, 5000, 20000}, func(i int, first, reading float64) float64 {
 		if i%7 == 6 {
 			return first
 		}
@@ -232,25 +232,25 @@
 	})
 }
 
-// learnsToRead checks that the time to read prompts is learned from n first events of
+// checkPrefillEstimate checks that the time to read prompts is learned from n first events of
 // prompts in turns. took is how long the i-th takes, of what a first event and what reading
 // its prompt takes.
-func learnsToRead(t *testing.T, n int, prompts, checked []int, took func(i int, first, reading float64) float64) {
+func checkPrefillEstimate(t *testing.T, n int, prompts, checked []int, took func(i int, first, reading float64) float64) {
 	t.Helper()
 	is := is.New(t)
 	const gap, read = 0.05, 20e-6
-	e := &endpoint{gap: floor{value: gap, seen: 10}}
-	var p pace
+	e := &endpoint{eventGap: lowEstimate{value: gap, samples: 10}}
+	var p latencyModel
 	for i := range n {
 		prompt := prompts[i%len(prompts)]
-		p.observeFirst(&run{job: &Job{PromptTokens: prompt}, ep: e}, seconds(took(i, 0.3*gap, read*float64(prompt))))
+		p.observeFirstEvent(&run{job: &Job{PromptTokens: prompt}, ep: e}, toDuration(took(i, 0.3*gap, read*float64(prompt))))
 	}
 	for _, prompt := range checked {
-		got := p.readOf(e, prompt) / read
-		t.Logf("%d tokens: %.2f of the time to read, first events %.2f", prompt, got, p.firstShare())
+		got := p.prefillTime(e, prompt) / read
+		t.Logf("%d tokens: %.2f of the time to read, first events %.2f", prompt, got, p.firstEventFactor())
 		is.True(got > 0.8 && got < 1.2)
 	}
-	is.True(p.firstShare() > 0.2 && p.firstShare() < 0.4)
+	is.True(p.firstEventFactor() > 0.2 && p.firstEventFactor() < 0.4)
 }
 
 // Symptom: two placers of six predicted a tenth of the time to read a prompt for as long as
@@ -260,7 +260,7 @@
 // time, and tells nothing of reading. Cause: what an observation told followed from what had
 // been learned. The load: forty first events that seem too soon, then usual ones.
 func TestPredictionsRecoverFromABadStart(t *testing.T) {
-	learnsToRead(t, 600, []int{300, 800, 1500, 5000}, []int{800, 5000, 20000}, func(i int, first, reading float64) float64 {
+	checkPrefillEstimate(t, 600, []int{300, 800, 1500, 5000}, []int{800, 5000, 20000}, func(i int, first, reading float64) float64 {
 		if i < 40 {
 			return (first + reading) / 20
 		}
--- a/core/dispatch/rank.go
+++ b/core/dispatch/rank.go
@@ -9,28 +9,28 @@
 // slot time of the late ones that they delay; no job on time waits for it.
 
 const (
-	// ranksOfTier are: on time, short jobs of the tier below, late.
-	ranksOfTier = 3
-	rankBelow   = 1
-	rankLate    = 2
+	// ranksPerTier are: on time, short jobs of the tier below, late.
+	ranksPerTier   = 3
+	rankShortBelow = 1
+	rankLate       = 2
 	// shortShare is the share of the usual work up to which a job counts as short.
 	shortShare = 0.2
-	// effortWeight is the weight of one job in the usual work.
-	effortWeight = 0.02
+	// workWeight is the weight of one job in the usual work.
+	workWeight = 0.02
 )
 
 // rankOf is a job's place in the queue, the lowest first.
 func (sv *service) rankOf(j *Job) int {
 	switch {
 	case j.late:
-		return ranksOfTier*j.Tier + rankLate
-	case j.Tier > 0 && !sv.off.Has(mechanism.ShortFirst) && sv.work(j) < shortShare*sv.effort:
-		return ranksOfTier*(j.Tier-1) + rankBelow
+		return ranksPerTier*j.Tier + rankLate
+	case j.Tier > 0 && !sv.disabled.Has(mechanism.ShortFirst) && sv.work(j) < shortShare*sv.usualWork:
+		return ranksPerTier*(j.Tier-1) + rankShortBelow
 	}
-	return ranksOfTier * j.Tier
+	return ranksPerTier * j.Tier
 }
 
 // work is what a job takes of an engine, in times between two events of a stream.
 func (sv *service) work(j *Job) float64 {
-	return float64(j.PromptTokens)*sv.pace.startReadRatio() + float64(j.ExpectedEvents)
+	return float64(j.PromptTokens)*sv.latency.defaultPrefillRatio() + float64(j.ExpectedEvents)
 }
--- a/core/dispatch/rate.go
+++ b/core/dispatch/rate.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// rateTime is the time over which a rate fades: long against the time between two
+// rateTimeConstant is the time over which a rate fades: long against the time between two
 // placements of a busy VM, short against that of a burst.
-const rateTime = time.Second
+const rateTimeConstant = time.Second
 
-// rate counts events with a weight that fades.
-type rate struct {
+// decayingRate counts events with a weight that fades.
+type decayingRate struct {
 	sum float64
 	at  time.Duration
 }
 
-func (r *rate) fade(now time.Duration) {
-	r.sum *= math.Exp(-(now - r.at).Seconds() / rateTime.Seconds())
+func (r *decayingRate) decay(now time.Duration) {
+	r.sum *= math.Exp(-(now - r.at).Seconds() / rateTimeConstant.Seconds())
 	r.at = now
 }
 
-func (r *rate) count(now time.Duration) {
-	r.fade(now)
+func (r *decayingRate) add(now time.Duration) {
+	r.decay(now)
 	r.sum++
 }
 
-func (r *rate) perSecond(now time.Duration) float64 {
-	r.fade(now)
-	return r.sum / rateTime.Seconds()
+func (r *decayingRate) perSecond(now time.Duration) float64 {
+	r.decay(now)
+	return r.sum / rateTimeConstant.Seconds()
 }
--- a/core/dispatch/remote.go
+++ b/core/dispatch/remote.go
@@ -35,28 +35,28 @@
 // first event expected after a time, behind the prompt tokens ahead. It returns nil and
 // why if the endpoint may not be used as far as this VM knows, which may know better:
 // the endpoint may be leaving.
-func (s *Scheduler) Adopt(now time.Duration, j Job, name uint64, first time.Duration, ahead int) (*Decision, UnusableReason) {
-	e := s.byName[name]
+func (s *Scheduler) Adopt(now time.Duration, j Job, endpointHash uint64, predicted time.Duration, tokensAhead int) (*Decision, UnusableReason) {
+	e := s.byHash[endpointHash]
 	switch {
 	case e == nil || e.Service != j.Service:
 		return nil, NotListed
-	case e.health.gone:
+	case e.health.replaced:
 		return nil, IncarnationGone
 	case !admitsVersion(&j, e):
 		return nil, CanaryOnly
-	case e.health.unreachable():
+	case e.health.probeFailed():
 		return nil, ProbeFailed
-	case s.wantsRest(now, e):
+	case s.inBackoff(now, e):
 		return nil, BackingOff
-	case s.limits[name] != nil && !j.LimitCharged:
+	case s.limits[endpointHash] != nil && !j.LimitCharged:
 		return nil, OverLimit
 	}
-	s.checkJob(&j)
-	j.arrived, j.Suspicion = now, s.suspicion(&j)
-	r := s.begin(now, &j, candidate{ep: e, first: first, ahead: s.bounded(ahead, mostTokens)})
+	s.clampJob(&j)
+	j.arrived, j.Suspicion = now, s.effectiveSuspicion(&j)
+	r := s.startRun(now, &j, candidate{ep: e, firstEvent: predicted, tokensAhead: s.clampCount(tokensAhead, maxTokens)})
 	r.adopted = true
 	ep := e.Endpoint
-	return &Decision{Handle: j.Handle, Endpoint: &ep, Predicted: first}, ""
+	return &Decision{Handle: j.Handle, Endpoint: &ep, Predicted: predicted}, ""
 }
 
 // TakeOwnership makes an adopted run this VM's: the VM that placed it no longer counts it.
@@ -68,18 +68,18 @@
 
 // Unavailable returns the names of a service's endpoints that this VM cannot reach, or that want nothing from it.
 func (s *Scheduler) Unavailable(now time.Duration, service string) []uint64 {
-	var names []uint64
+	var hashes []uint64
 	for _, e := range s.service(service).list {
-		if e.health.unreachable() || s.wantsRest(now, e) {
-			names = append(names, e.name)
+		if e.health.probeFailed() || s.inBackoff(now, e) {
+			hashes = append(hashes, e.hash)
 		}
 	}
-	return names
+	return hashes
 }
 
 // SetPlacer makes the next SetEndpoints choose as the VM of that name does, which places this
 // one's requests: what it places must be known here. asks says that it is another VM.
-func (s *Scheduler) SetPlacer(vm string, asks bool) {
-	s.chooser = xxhash.Sum64String(vm)
-	s.asks = asks
+func (s *Scheduler) SetPlacer(vm string, delegates bool) {
+	s.placer = xxhash.Sum64String(vm)
+	s.delegates = delegates
 }
--- a/core/dispatch/score.go
+++ b/core/dispatch/score.go
@@ -9,16 +9,16 @@
 // candidate is an endpoint with what is expected of it for one job.
 type candidate struct {
 	ep *endpoint
-	// first is the expected time to the first event.
-	first time.Duration
+	// firstEvent is the expected time to the firstEvent event.
+	firstEvent time.Duration
 	// onTime says that the job's objective is expected to be met, and that no
 	// stream pauses for too long.
 	onTime bool
 	// score orders candidates: the least is picked.
 	score float64
-	// ahead are the prompt tokens that wait there.
-	ahead int
-	load  Load
+	// tokensAhead are the prompt tokens that wait there.
+	tokensAhead int
+	load        Load
 }
 
 const (
@@ -41,68 +41,68 @@
 	// lostCost is added where the answer is not expected to end in time at all, in
 	// seconds: such work is lost whole, with all that it took from others.
 	lostCost = 100
-	// wholeMargin is by how much an answer may take longer than expected. Guesses of
+	// answerMargin is by how much an answer may take longer than expected. Guesses of
 	// its length are right at the median and off by a factor of two either way one
 	// time in ten, and steps slow down while prompts are read.
-	wholeMargin = 1.5
+	answerMargin = 1.5
 )
 
-// rate predicts what a job meets at an endpoint.
-func (s *Scheduler) rate(now time.Duration, sv *service, j *Job, e *endpoint, u Load) candidate {
-	c := candidate{ep: e, ahead: u.PromptTokens, load: u}
+// score predicts what a job meets at an endpoint.
+func (s *Scheduler) score(now time.Duration, sv *service, j *Job, e *endpoint, u Load) candidate {
+	c := candidate{ep: e, tokensAhead: u.PromptTokens, load: u}
 	if e.engine {
-		sv.rateEngine(now, j, &c)
+		sv.scoreEngine(now, j, &c)
 	} else {
-		plain := orStart(e.plain, orStart(sv.pace.plain, startPlain))
-		first := plain * (1 + float64(u.Running+u.Waiting)/float64(max(1, e.Slots)))
-		c.first = seconds(first)
+		answerTime := orDefault(e.answerTime, orDefault(sv.latency.answerTime, defaultAnswerTime))
+		firstEvent := answerTime * (1 + float64(u.Running+u.Waiting)/float64(max(1, e.Slots)))
+		c.firstEvent = toDuration(firstEvent)
 		c.onTime = true
-		c.score = first
+		c.score = firstEvent
 	}
-	from := s.domain
+	senderDomain := s.domain
 	if j.Remote {
-		from = j.SenderDomain
+		senderDomain = j.SenderDomain
 	}
-	if e.FailureDomain != from && !s.off.Has(mechanism.NearFirst) {
+	if e.FailureDomain != senderDomain && !s.disabled.Has(mechanism.NearFirst) {
 		c.score += farCost
 	}
-	if e.FailureDomain != s.domain && !s.off.Has(mechanism.StaleCost) {
-		c.score += staleCost * s.company[1].age.Seconds()
+	if e.FailureDomain != s.domain && !s.disabled.Has(mechanism.StaleCost) {
+		c.score += staleCost * s.contention[1].loadAge.Seconds()
 	}
-	c.score += s.caution(j, e, u) + trialCost(j, e) + s.restingCost(now, e)
+	c.score += s.suspicionCost(j, e, u) + canaryCost(j, e) + s.backoffCostOf(now, e)
 	return c
 }
 
-func (sv *service) rateEngine(now time.Duration, j *Job, c *candidate) {
-	gap, read := sv.pace.gapOf(c.ep), sv.pace.readOf(c.ep, j.PromptTokens)
-	c.load.EventGap = seconds(gap)
-	first := sv.pace.readOf(c.ep, 0)*float64(c.load.PromptTokens) + sv.pace.firstOf(c.ep, j.PromptTokens)
+func (sv *service) scoreEngine(now time.Duration, j *Job, c *candidate) {
+	gap, prefillTime := sv.latency.expectedGap(c.ep), sv.latency.prefillTime(c.ep, j.PromptTokens)
+	c.load.EventGap = toDuration(gap)
+	firstEvent := sv.latency.prefillTime(c.ep, 0)*float64(c.load.PromptTokens) + sv.latency.firstEventTime(c.ep, j.PromptTokens)
 	if c.load.Running+c.load.Waiting >= c.ep.Slots {
-		first += slotEvents * gap
+		firstEvent += slotEvents * gap
 	}
-	c.first = seconds(first)
-	pause := gap + read*float64(min(c.load.PromptTokens+j.PromptTokens, sv.readBesideEvent()))
-	whole := first + gap*float64(j.ExpectedEvents)
-	ends := j.Deadline == 0 || wholeMargin*whole <= (j.Deadline-now).Seconds()
-	c.onTime = ends && first <= onTimeShare*(j.Objective-now).Seconds() && (j.MaxPause == 0 || pause <= j.MaxPause.Seconds())
-	busy := float64(c.load.Running+c.load.Waiting) / float64(max(1, c.ep.Slots))
-	c.score = first + busy*gap
+	c.firstEvent = toDuration(firstEvent)
+	pause := gap + prefillTime*float64(min(c.load.PromptTokens+j.PromptTokens, sv.maxPrefillPerEvent()))
+	answerTime := firstEvent + gap*float64(j.ExpectedEvents)
+	completes := j.Deadline == 0 || answerMargin*answerTime <= (j.Deadline-now).Seconds()
+	c.onTime = completes && firstEvent <= onTimeShare*(j.Objective-now).Seconds() && (j.MaxPause == 0 || pause <= j.MaxPause.Seconds())
+	occupancy := float64(c.load.Running+c.load.Waiting) / float64(max(1, c.ep.Slots))
+	c.score = firstEvent + occupancy*gap
 	if c.onTime && sv.scarce {
-		c.score = -gap + busy*0.001
+		c.score = -gap + occupancy*0.001
 	}
 	if !c.onTime {
 		c.score += lateCost
 	}
-	if !ends {
+	if !completes {
 		c.score += lostCost
 	}
 }
 
-// usualEventTokens is how many tokens an event holds where the configuration does not say.
-const usualEventTokens = 6
+// defaultTokensPerEvent is how many tokens an event holds where the configuration does not say.
+const defaultTokensPerEvent = 6
 
-// readBesideEvent is the most that an engine reads of prompts while it makes one event of
+// maxPrefillPerEvent is the most that an engine reads of prompts while it makes one event of
 // the streams that it runs: a chunk beside each token.
-func (sv *service) readBesideEvent() int {
-	return assumedChunk * sv.pace.perEvent()
+func (sv *service) maxPrefillPerEvent() int {
+	return assumedChunkTokens * sv.latency.tokensInEvent()
 }
--- a/core/dispatch/turns.go
+++ b/core/dispatch/turns.go
@@ -19,31 +19,31 @@
 // between two notes, after which it would have heard of their taking.
 const turnTime = 100 * time.Millisecond
 
-// freshAge is up to which age of others' loads turns are taken. Where loads are older
+// maxTurnLoadAge is up to which age of others' loads turns are taken. Where loads are older
 // a slot that seems free has been taken long ago, and most requests to other failure domains
 // would meet a full engine under overload.
-const freshAge = 3 * turnTime / 2
+const maxTurnLoadAge = 3 * turnTime / 2
 
 // refillTime is how long the slot of a request that ended stays this VM's own.
 const refillTime = turnTime
 
-// takeSpread is how many standard deviations of what others take are left to them.
-const takeSpread = 3
+// takeDeviations is how many standard deviations of what others take are left to them.
+const takeDeviations = 3
 
 // maxDoublings bounds the shift of unlocked ranks.
 const maxDoublings = 12
 
-// turn is a VM's claim to the slots of one endpoint.
-type turn struct {
-	// rank is how many VMs come first at this endpoint, of vms that place requests;
-	// known and placers are the VMs and the changes among them that were counted.
-	rank, vms, known, placers int
+// slotTurns is a VM's claim to the slots of one endpoint.
+type slotTurns struct {
+	// rank is how many VMs come first at this endpoint, of placers that place requests;
+	// knownPeers and placerChanges are the VMs and the changes among them that were counted.
+	rank, placers, knownPeers, placerChanges int
 	// freeSince is when slots were first seen free, -1 if none are.
 	freeSince time.Duration
-	// taken is how many slots were taken since the last turn began.
-	taken   int
-	began   time.Duration
-	refills []time.Duration
+	// takenInTurn is how many slots were takenInTurn since the last turn began.
+	takenInTurn int
+	turnStart   time.Duration
+	refills     []time.Duration
 }
 
 // weight orders VMs at an endpoint, alike on all of them.
@@ -54,47 +54,47 @@
 	return xxhash.Sum64(b[:])
 }
 
-// otherVM is another VM as ranks see it.
-type otherVM struct {
-	name   uint64
+// peerVM is another VM as ranks see it.
+type peerVM struct {
+	hash   uint64
 	domain string
-	// places says that it places requests by itself.
-	places bool
-	// every is the usual time between two of its notes.
-	every time.Duration
+	// isPlacer says that it isPlacer requests by itself.
+	isPlacer bool
+	// noteInterval is the usual time between two of its notes.
+	noteInterval time.Duration
 }
 
-// order ranks this VM among those known. VMs of the endpoint's own failure domain
+// updateRank ranks this VM among those known. VMs of the endpoint's own failure domain
 // come first: they hear of a free slot soonest.
-func (t *turn) order(e *endpoint, self otherVM, others []otherVM, placers int) {
-	if t.vms > 0 && t.known == len(others) && t.placers == placers {
+func (t *slotTurns) updateRank(e *endpoint, self peerVM, peers []peerVM, placerChanges int) {
+	if t.placers > 0 && t.knownPeers == len(peers) && t.placerChanges == placerChanges {
 		return
 	}
-	t.rank, t.vms, t.known, t.placers = 0, 1, len(others), placers
-	for _, o := range others {
-		if !o.places {
+	t.rank, t.placers, t.knownPeers, t.placerChanges = 0, 1, len(peers), placerChanges
+	for _, o := range peers {
+		if !o.isPlacer {
 			continue
 		}
-		t.vms++
-		if before(e, o, self) {
+		t.placers++
+		if precedes(e, o, self) {
 			t.rank++
 		}
 	}
 }
 
-// before says whether a VM comes before another at an endpoint.
-func before(e *endpoint, a, b otherVM) bool {
+// precedes says whether a VM comes precedes another at an endpoint.
+func precedes(e *endpoint, a, b peerVM) bool {
 	nearA, nearB := a.domain == e.FailureDomain, b.domain == e.FailureDomain
 	if nearA != nearB {
 		return nearA
 	}
-	return weight(e.name, a.name) > weight(e.name, b.name)
+	return weight(e.hash, a.hash) > weight(e.hash, b.hash)
 }
 
-// may says whether this VM may take one of free slots now. takes is how many of
+// mayTake says whether this VM mayTake take one of free slots now. takes is how many of
 // them others are expected to have taken already; where more are free, nobody has to
 // wait for a turn. Where others' loads are not fresh there are no turns.
-func (t *turn) may(now time.Duration, free int, takes float64, fresh bool) bool {
+func (t *slotTurns) mayTake(now time.Duration, free int, unseenTakes float64, fresh bool) bool {
 	if free <= 0 {
 		t.freeSince = -1
 		return false
@@ -108,33 +108,33 @@
 	if len(t.refills) > 0 {
 		return true
 	}
-	if float64(free) >= 1+takes+takeSpread*math.Sqrt(takes) {
+	if float64(free) >= 1+unseenTakes+takeDeviations*math.Sqrt(unseenTakes) {
 		return true
 	}
 	if !fresh {
 		return false
 	}
-	if now-t.began >= turnTime {
-		t.began, t.taken = now, 0
+	if now-t.turnStart >= turnTime {
+		t.turnStart, t.takenInTurn = now, 0
 	}
-	all := free + t.taken
+	available := free + t.takenInTurn
 	doublings := min(int((now-t.freeSince)/turnTime), maxDoublings)
-	unlocked := all << doublings
-	quota := unlocked / t.vms
-	if t.rank < unlocked%t.vms {
+	unlocked := available << doublings
+	quota := unlocked / t.placers
+	if t.rank < unlocked%t.placers {
 		quota++
 	}
-	return t.taken < quota
+	return t.takenInTurn < quota
 }
 
-// take notes that a slot was taken.
-func (t *turn) take() {
+// recordTake notes that a slot was taken.
+func (t *slotTurns) recordTake() {
 	if len(t.refills) > 0 {
 		t.refills = t.refills[1:]
 		return
 	}
-	t.taken++
+	t.takenInTurn++
 }
 
-// ended notes that a request of this VM ended, and left its slot.
-func (t *turn) ended(now time.Duration) { t.refills = append(t.refills, now) }
+// recordEnd notes that a request of this VM recordEnd, and left its slot.
+func (t *slotTurns) recordEnd(now time.Duration) { t.refills = append(t.refills, now) }
--- a/core/dispatch/uses.go
+++ b/core/dispatch/uses.go
@@ -11,20 +11,20 @@
 
 // Loads returns this VM's load at the endpoints it uses, with paces also at those
 // whose pace it knows.
-func (s *Scheduler) Loads(now time.Duration, paces bool) []EndpointLoad {
-	var uses []EndpointLoad
+func (s *Scheduler) Loads(now time.Duration, includeGaps bool) []EndpointLoad {
+	var loads []EndpointLoad
 	for _, sv := range s.services {
 		for _, ep := range sv.list {
-			u := ep.placedUse(now, sv.pace.readOf(ep, 0))
-			u.SuspectedDown, u.Replaced = ep.health.doubted && ep.health.probes > 0, ep.health.gone
-			u.Ejected = ep.health.ejection.on
-			u.RecentGap = ep.takeFresh()
-			if u.Running+u.Waiting > 0 || paces && u.EventGap > 0 || u.RecentGap > 0 || u.SuspectedDown || u.Replaced || u.Ejected {
-				uses = append(uses, EndpointLoad{ep.name, u})
+			u := ep.placedLoad(now, sv.latency.prefillTime(ep, 0))
+			u.SuspectedDown, u.Replaced = ep.health.suspectedDown && ep.health.probes > 0, ep.health.replaced
+			u.Ejected = ep.health.ejection.active
+			u.RecentGap = ep.takeUnreportedGap()
+			if u.Running+u.Waiting > 0 || includeGaps && u.EventGap > 0 || u.RecentGap > 0 || u.SuspectedDown || u.Replaced || u.Ejected {
+				loads = append(loads, EndpointLoad{ep.hash, u})
 			}
 		}
 	}
-	return uses
+	return loads
 }
 
 // EndpointHash is the short name by which VMs tell each other of an endpoint, from its key.
@@ -39,37 +39,37 @@
 // ApplyPeerLoads takes in the whole load that another VM has placed. Endpoints that it
 // does not name, it does not use. places says whether that VM places requests by
 // itself: one that asks another VM takes no slots of its own accord.
-func (s *Scheduler) ApplyPeerLoads(now time.Duration, vm, domain string, uses []EndpointLoad, places bool) {
-	i, ok := s.vms[vm]
+func (s *Scheduler) ApplyPeerLoads(now time.Duration, vm, domain string, loads []EndpointLoad, isPlacer bool) {
+	i, ok := s.peerIndex[vm]
 	if !ok {
 		i = len(s.lastNote)
-		s.vms[vm] = i
+		s.peerIndex[vm] = i
 		s.lastNote = append(s.lastNote, 0)
-		s.near = append(s.near, domain == s.domain)
-		s.others = append(s.others, otherVM{name: xxhash.Sum64String(vm), domain: domain})
+		s.sameDomain = append(s.sameDomain, domain == s.domain)
+		s.peers = append(s.peers, peerVM{hash: xxhash.Sum64String(vm), domain: domain})
 	}
-	if s.others[i].places != places {
-		s.others[i].places = places
-		s.placers++
+	if s.peers[i].isPlacer != isPlacer {
+		s.peers[i].isPlacer = isPlacer
+		s.placerChanges++
 	}
-	s.others[i].heard(now, s.lastNote[i])
+	s.peers[i].recordNote(now, s.lastNote[i])
 	s.lastNote[i] = now
-	for _, u := range uses {
-		ep := s.byName[u.EndpointHash]
+	for _, u := range loads {
+		ep := s.byHash[u.EndpointHash]
 		if ep == nil {
 			continue
 		}
-		s.checkUse(&u.Load)
+		s.clampLoad(&u.Load)
 		// A VM that asks another sends no requests on trial by itself.
-		u.Ejected = u.Ejected && places
-		ep.setOther(peerUse{u.Load, i, now})
-		ep.hearPace(now, u.Load, places)
-		if u.SuspectedDown && !s.asks && !s.off.Has(mechanism.PeerDoubts) {
-			ep.peerDoubts(now)
+		u.Ejected = u.Ejected && isPlacer
+		ep.setPeerLoad(peerLoad{u.Load, i, now})
+		ep.applyPeerGap(now, u.Load, isPlacer)
+		if u.SuspectedDown && !s.delegates && !s.disabled.Has(mechanism.PeerDoubts) {
+			ep.applyPeerSuspicion(now)
 		}
-		ep.health.gone = ep.health.gone || u.Replaced
+		ep.health.replaced = ep.health.replaced || u.Replaced
 		if u.Ejected {
-			ep.peerEjects(now, s.service(ep.Service))
+			ep.applyPeerEjection(now, s.service(ep.Service))
 		}
 	}
 }
