--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -8,17 +8,15 @@
 // An endpoint can be unfit for requests in four ways, each with its own symptoms.
 //
 //   - It is unreachable or silent: connections do not open in time, or requests that should
-//     have begun
-// have not, and nothing else is received from it. It gets no requests until something is
-// received or a connection opens. Probes are connections, so that no request is spent on them.
-// VMs report such endpoints to each other, and each VM checks for itself, since an endpoint may
-// be partitioned from only some of them.
-//   - Another incarnation responds at its address. The registry may list the earlier one
-//     for seconds; one
-// VM's report is enough for all.
+//     have begun have not, and nothing else is received from it. It gets no requests until
+//     something is received or a connection opens. Probes are connections, so that no request
+//     is spent on them. VMs report such endpoints to each other, and each VM checks for itself,
+//     since an endpoint may be partitioned from only some of them.
+//   - Another incarnation responds at its address. The registry may list the earlier one for
+//     seconds; one VM's report is enough for all.
 //   - It rejects requests because it is full: it gets none for a moment.
 //   - It fails one request after another, although it reports itself healthy: it is ejected
-// (ejection.go).
+//     (ejection.go).
 
 const (
 	// rejectedBackoff is the time for which an endpoint that reported itself full gets no
@@ -170,7 +168,8 @@
 	}
 }
 
-// HasAlternative reports whether a service has an eligible endpoint that was not tried.
+// HasAlternative reports whether a service has an untried endpoint to which a request may be
+// sent now.
 func (s *Scheduler) HasAlternative(now time.Duration, service string, tried []uint64) bool {
 	for _, e := range s.service(service).list {
 		if e.eligible(now) && s.withinLimit(now, e) && !s.inBackoff(now, e) && !slices.Contains(tried, e.hash) {
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -76,12 +76,12 @@
 }
 
 // A placer sees no streams of the VMs it places for, and each of those sees a given engine only
-// now and then. Their estimates are old by then, and the mean of these takes many seconds to
-// reveal a slow engine. VMs therefore report the gaps that they observe to their placer at
-// once, in the notes that they send anyway.
+// now and then. Their estimates are old by the time they are reported, and the mean of these
+// takes many seconds to reveal a slow engine. VMs therefore report the gaps that they observe
+// to their placer at once, in the notes that they send anyway.
 
-// takeUnreportedGap returns the gap observed since the last report to peers; 0 if there is
-// none.
+// takeUnreportedGap returns the lesser of the last two gaps if one was observed since the last
+// report to peers; 0 otherwise.
 func (e *endpoint) takeUnreportedGap() time.Duration {
 	if !e.gapUnreported || e.recentGaps[0] == 0 {
 		return 0
@@ -145,12 +145,13 @@
 	p.observePrompt(r.job.PromptTokens, prompt+float64(r.tokensAhead), seconds/p.expectedGap(r.ep))
 }
 
-// observePrompt records the first event of a prompt, after tokens were processed in all, with
-// its time as a multiple of the event gap. Long prompts measure the prefill time, short ones
-// what the first event takes beyond it. Each subtracts the other's part, and long prompts are
-// at least six times as long, so both converge from any start. An earlier version attributed
-// each observation to whichever part was estimated as the larger: two placers of six then kept
-// to a tenth of the real prefill time for long prompts for as long as they ran.
+// observePrompt records the first event of a prompt. tokens is the length of the prompt and of
+// those queued ahead of it, took the time to the event as a multiple of the event gap. Long
+// prompts measure the prefill time, short ones what the first event takes beyond it. Each
+// subtracts the other's part, and long prompts are at least six times as long, so both converge
+// from any start. An earlier version attributed each observation to whichever part was
+// estimated as the larger: two placers of six then kept to a tenth of the real prefill time for
+// long prompts for as long as they ran.
 func (p *latencyModel) observePrompt(prompt int, tokens, took float64) {
 	size := promptSize(prompt)
 	longPrompts := &p.prefillRatio[1]
--- a/core/dispatch/rests.go
+++ b/core/dispatch/rests.go
@@ -39,7 +39,7 @@
 	return now < s.backoffs[e.hash].own
 }
 
-// backoffCostOf returns the cost of an endpoint's current backoffs for a job.
+// backoffCostOf returns the cost of an endpoint's current backoffs.
 func (s *Scheduler) backoffCostOf(now time.Duration, e *endpoint) float64 {
 	if b, ok := s.backoffs[e.hash]; ok && now < max(b.own, b.peers) {
 		return backoffCost
