--- a/cmd/chivefield/explain.go
+++ b/cmd/chivefield/explain.go
@@ -30,7 +30,7 @@
 	}
 	defer closeLogs()
 	about := explain.Request
-	if _, err := suspect.Parse(c.Args.Request); err == nil {
+	if _, err := suspect.ParseDigest(c.Args.Request); err == nil {
 		about = explain.Digest
 	}
 	lines, err := about(in, c.Args.Request)
--- a/core/suspect/changes.go
+++ b/core/suspect/changes.go
@@ -6,14 +6,16 @@
 type Change struct {
 	Digest Digest
 	Kind   Kind
-	// Level is how many generations have ended endpoints now, Was how many had before.
-	Level, Was int
+	// Level is how many generations have ended endpoints now, PreviousLevel how many had before.
+	Level, PreviousLevel int
 	// Endpoints are the short names of the incarnations that ended.
 	Endpoints []uint64
 }
 
 // WasConvicted says that the request was convicted before and is not any more.
-func (c Change) WasConvicted() bool { return c.Was >= ConvictedAt && c.Level < ConvictedAt }
+func (c Change) WasConvicted() bool {
+	return c.PreviousLevel >= ConvictionLevel && c.Level < ConvictionLevel
+}
 
 // Kind says what kind of step a Change is.
 type Kind int
@@ -30,33 +32,33 @@
 	Forgotten
 )
 
-// tell notes a change of level for logs.
-func (l *Ledger) tell(d Digest, e *entry) {
-	v := e.view()
-	v.Level = min(v.Level, ConvictedAt)
-	if v.Level == e.told {
+// recordChange notes a change of level for logs.
+func (t *Tracker) recordChange(d Digest, e *entry) {
+	v := e.status()
+	v.Level = min(v.Level, ConvictionLevel)
+	if v.Level == e.reportedLevel {
 		return
 	}
-	c := Change{Digest: d, Kind: Suspected, Level: v.Level, Was: e.told}
+	c := Change{Digest: d, Kind: Suspected, Level: v.Level, PreviousLevel: e.reportedLevel}
 	switch {
-	case v.Level < e.told:
+	case v.Level < e.reportedLevel:
 		c.Kind = Cleared
-	case v.Level >= ConvictedAt:
+	case v.Level >= ConvictionLevel:
 		c.Kind = Convicted
 	}
 	for name, s := range e.sightings {
-		if s.ended() && s.counts(e.cleared) {
+		if s.ended() && s.relevant(e.cleared) {
 			c.Endpoints = append(c.Endpoints, name)
 		}
 	}
 	slices.Sort(c.Endpoints)
-	e.told = v.Level
-	l.changes = append(l.changes, c)
+	e.reportedLevel = v.Level
+	t.changes = append(t.changes, c)
 }
 
-// Changes returns what changed since the last call.
-func (l *Ledger) Changes() []Change {
-	list := l.changes
-	l.changes = nil
+// TakeChanges returns what changed since the last call.
+func (t *Tracker) TakeChanges() []Change {
+	list := t.changes
+	t.changes = nil
 	return list
 }
--- a/core/suspect/digest.go
+++ b/core/suspect/digest.go
@@ -58,8 +58,8 @@
 	return e.Text + " is no digest of a request; it has 32 hexadecimal digits"
 }
 
-// Parse reads a digest as String writes it. The error is a DigestError.
-func Parse(s string) (Digest, error) {
+// ParseDigest reads a digest as String writes it. The error is a DigestError.
+func ParseDigest(s string) (Digest, error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != digestBytes {
 		return Digest{}, &DigestError{Text: s}
--- a/core/suspect/digest_test.go
+++ b/core/suspect/digest_test.go
@@ -24,11 +24,11 @@
 	for _, o := range others {
 		is.True(o.Digest() != base.Digest())
 	}
-	got, err := Parse(base.Digest().String())
+	got, err := ParseDigest(base.Digest().String())
 	is.NoErr(err)
 	is.Equal(got, base.Digest())
 	for _, bad := range []string{"", "00", "zz", base.Digest().String() + "00"} {
-		_, err := Parse(bad)
+		_, err := ParseDigest(bad)
 		is.True(err != nil)
 	}
 }
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -9,12 +9,12 @@
 
 // fleet is VMs that tell each other what they know, in virtual time.
 type fleet struct {
-	rnd  *rand.Rand
-	vms  []*Ledger
-	now  time.Duration
-	next uint64
-	// cut keeps the first half of the VMs from the others.
-	cut bool
+	rnd          *rand.Rand
+	vms          []*Tracker
+	now          time.Duration
+	nextEndpoint uint64
+	// partitioned keeps the first half of the VMs from the others.
+	partitioned bool
 	// running are copies of the request at endpoints.
 	running []copyRun
 	runs    []time.Duration
@@ -30,17 +30,17 @@
 }
 
 const (
-	// noteEvery, noteTo and hotMost are how VMs tell each other: each tenth of a second
+	// gossipInterval, noteTo and hotMost are how VMs tell each other: each tenth of a second
 	// five others, of the eight that matter most.
-	noteEvery = 100 * time.Millisecond
-	noteTo    = 5
-	hotMost   = 8
-	// lost is the share of notes that are lost.
-	lost = 0.02
+	gossipInterval    = 100 * time.Millisecond
+	gossipFanout      = 5
+	recordsPerMessage = 8
+	// lossRate is the share of notes that are lossRate.
+	lossRate = 0.02
 	// neighbours are what else an endpoint runs.
 	neighbours = 11
-	// runsFor is how long an endpoint runs the request before it ends.
-	runsFor = 100 * time.Millisecond
+	// runTime is how long an endpoint runs the request before it ends.
+	runTime = 100 * time.Millisecond
 )
 
 func newFleet(seed uint64, n int) *fleet {
@@ -51,29 +51,31 @@
 	return f
 }
 
-func (f *fleet) apart(a, b int) bool { return f.cut && (a < len(f.vms)/2) != (b < len(f.vms)/2) }
+func (f *fleet) separated(a, b int) bool {
+	return f.partitioned && (a < len(f.vms)/2) != (b < len(f.vms)/2)
+}
 
-// round lets each VM send one note.
-func (f *fleet) round() {
-	type told struct {
-		to int
-		r  []Record
+// gossip lets each VM send one note.
+func (f *fleet) gossip() {
+	type message struct {
+		to      int
+		records []Record
 	}
-	var notes []told
+	var messages []message
 	for i, l := range f.vms {
-		hot := l.Hot(f.now, hotMost)
+		hot := l.Recent(f.now, recordsPerMessage)
 		if len(hot) == 0 {
 			continue
 		}
-		for range noteTo {
-			if to := f.rnd.IntN(len(f.vms)); f.rnd.Float64() >= lost && !f.apart(i, to) {
-				notes = append(notes, told{to, hot})
+		for range gossipFanout {
+			if to := f.rnd.IntN(len(f.vms)); f.rnd.Float64() >= lossRate && !f.separated(i, to) {
+				messages = append(messages, message{to, hot})
 			}
 		}
 	}
-	f.now += noteEvery
-	for _, n := range notes {
-		for _, r := range n.r {
+	f.now += gossipInterval
+	for _, n := range messages {
+		for _, r := range n.records {
 			f.vms[n.to].Merge(f.now, r)
 		}
 	}
@@ -81,9 +83,9 @@
 
 // send sends a copy of the request by way of a VM, if that one lets it pass.
 func (f *fleet) send(d Digest, vm int) {
-	if v := f.vms[vm].Look(d); !v.Convicted() {
+	if v := f.vms[vm].Status(d); !v.Convicted() {
 		f.runs = append(f.runs, f.now)
-		f.running = append(f.running, copyRun{vm, v.Generation, f.now + runsFor})
+		f.running = append(f.running, copyRun{vm, v.Generation, f.now + runTime})
 	}
 }
 
@@ -95,39 +97,39 @@
 			kept = append(kept, c)
 			continue
 		}
-		f.next++
+		f.nextEndpoint++
 		f.ends = append(f.ends, f.now)
-		f.vms[c.vm].Cut(f.now, f.now-runsFor, d, f.next, c.generation)
-		f.vms[c.vm].Ended(f.now, f.next)
+		f.vms[c.vm].RecordCut(f.now, f.now-runTime, d, f.nextEndpoint, c.generation)
+		f.vms[c.vm].RecordEnd(f.now, f.nextEndpoint)
 		for range neighbours {
 			f.innocents++
 			l := f.vms[f.rnd.IntN(len(f.vms))]
-			l.Cut(f.now, f.now-runsFor, digestOf(f.innocents), f.next, 0)
-			l.Ended(f.now, f.next)
+			l.RecordCut(f.now, f.now-runTime, digestOf(f.innocents), f.nextEndpoint, 0)
+			l.RecordEnd(f.now, f.nextEndpoint)
 		}
 	}
 	f.running = kept
 }
 
-// play sends the request some times each round for a time.
-func (f *fleet) play(d Digest, perRound int, rounds int) {
+// simulate sends the request some times each round for a time.
+func (f *fleet) simulate(d Digest, perRound int, rounds int) {
 	for range rounds {
 		for range perRound {
 			f.send(d, f.rnd.IntN(len(f.vms)))
 		}
-		f.round()
+		f.gossip()
 		f.end(d)
 	}
 }
 
-// late is how many runs came later than a time after the third endpoint had ended.
-func (f *fleet) late(window time.Duration) int {
-	if len(f.ends) < ConvictedAt {
+// lateRuns is how many runs came later than a time after the third endpoint had ended.
+func (f *fleet) lateRuns(window time.Duration) int {
+	if len(f.ends) < ConvictionLevel {
 		return 0
 	}
 	n := 0
 	for _, r := range f.runs {
-		if r > f.ends[ConvictedAt-1]+window {
+		if r > f.ends[ConvictionLevel-1]+window {
 			n++
 		}
 	}
@@ -137,55 +139,55 @@
 // Symptom: each VM let the request pass anew. Sequence: each sending arrives at another VM,
 // and endpoints end at one VM's sending each. Well inside the three seconds after the third
 // end no VM sends it any more, at any number of VMs and rates, though notes are lost.
-func TestAllVMsKnowInTime(t *testing.T) {
+func TestConvictionReachesAllVMsInTime(t *testing.T) {
 	for n, seeds := range map[int]uint64{3: 10, 8: 10, 66: 2, 300: 1, 1800: 1} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds {
 				for _, perRound := range []int{1, 4} {
-					knowInTime(t, n, perRound, seed)
+					checkConvictionSpreads(t, n, perRound, seed)
 				}
 			}
 		})
 	}
 }
 
-// knownWithin is the time after the third end within which all VMs must know, half of the
+// convergenceLimit is the time after the third end within which all VMs must know, half of the
 // shortest time after which those in touch have to.
-const knownWithin = 1500 * time.Millisecond
+const convergenceLimit = 1500 * time.Millisecond
 
-func knowInTime(t *testing.T, n, perRound int, seed uint64) {
+func checkConvictionSpreads(t *testing.T, n, perRound int, seed uint64) {
 	t.Helper()
 	f := newFleet(seed, n)
 	d := digestOf(0)
 	// With one sending a round the third end comes after 0.4 s.
-	f.play(d, perRound, 24)
-	if late := f.late(knownWithin); late != 0 || len(f.ends) < ConvictedAt {
+	f.simulate(d, perRound, 24)
+	if late := f.lateRuns(convergenceLimit); late != 0 || len(f.ends) < ConvictionLevel {
 		t.Errorf("%d VMs, %d sendings a round, seed %d: %d runs later than %v after the third end; %d ended in all",
-			n, perRound, seed, late, knownWithin, len(f.ends))
+			n, perRound, seed, late, convergenceLimit, len(f.ends))
 	}
 	for i := 1; i <= f.innocents; i++ {
-		if v := f.vms[i%n].Look(digestOf(i)); v.Level > 1 {
+		if v := f.vms[i%n].Status(digestOf(i)); v.Level > 1 {
 			t.Fatalf("%d VMs, seed %d: a neighbour counts %d", n, seed, v.Level)
 		}
 	}
 }
 
 // In a cut each side bounds itself by what it saw; what it learns afterwards lowers nothing.
-func TestEachSideOfACutBoundsItself(t *testing.T) {
+func TestEachPartitionSideConvicts(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 8)
-		f.cut = true
+		f.partitioned = true
 		d := digestOf(0)
-		f.play(d, 2, 40)
+		f.simulate(d, 2, 40)
 		for i, l := range f.vms {
-			if !l.Look(d).Convicted() {
+			if !l.Status(d).Convicted() {
 				t.Fatalf("seed %d: VM %d still lets it pass", seed, i)
 			}
 		}
-		f.cut = false
+		f.partitioned = false
 		before := len(f.runs)
-		f.play(d, 2, 40)
+		f.simulate(d, 2, 40)
 		if len(f.runs) != before {
 			t.Errorf("seed %d: %d runs after the cut", seed, len(f.runs)-before)
 		}
@@ -193,24 +195,24 @@
 }
 
 // A VM that starts after all that is told in turn.
-func TestStartedVMIsTold(t *testing.T) {
+func TestStartedVMReceivesConvictions(t *testing.T) {
 	f := newFleet(1, 8)
 	d := digestOf(0)
-	f.play(d, 2, 60)
+	f.simulate(d, 2, 60)
 	started := New()
-	for _, r := range f.vms[3].Worst(f.now, hotMost) {
+	for _, r := range f.vms[3].HighestLevel(f.now, recordsPerMessage) {
 		started.Merge(0, r)
 	}
-	if !started.Look(d).Convicted() {
+	if !started.Status(d).Convicted() {
 		t.Error("what matters most is not told first")
 	}
 	fresh := New()
 	for range 20 {
-		for _, r := range f.vms[3].Turn(f.now, hotMost) {
+		for _, r := range f.vms[3].NextInRotation(f.now, recordsPerMessage) {
 			fresh.Merge(0, r)
 		}
 	}
-	if !fresh.Look(d).Convicted() {
+	if !fresh.Status(d).Convicted() {
 		t.Error("it still lets the request pass")
 	}
 }
@@ -220,16 +222,16 @@
 func BenchmarkNotes(b *testing.B) {
 	l := New()
 	for i := range maxEntries {
-		ends(l, 0, digestOf(i), uint64(i/12))
+		cutAndEnd(l, 0, digestOf(i), uint64(i/12))
 	}
 	b.Run("hot", func(b *testing.B) {
 		for b.Loop() {
-			_ = l.Hot(0, hotMost)
+			_ = l.Recent(0, recordsPerMessage)
 		}
 	})
 	b.Run("turn", func(b *testing.B) {
 		for b.Loop() {
-			_ = l.Turn(0, hotMost)
+			_ = l.NextInRotation(0, recordsPerMessage)
 		}
 	})
 	for _, n := range []int{0, maxEntries} {
@@ -240,7 +242,7 @@
 			}
 			d := digestOf(5)
 			for b.Loop() {
-				_ = k.Look(d)
+				_ = k.Status(d)
 			}
 		})
 	}
--- a/core/suspect/merge_test.go
+++ b/core/suspect/merge_test.go
@@ -10,7 +10,7 @@
 // genRecord is what a VM may know of one request, at few incarnations.
 func genRecord(t *rapid.T) Record {
 	n := rapid.IntRange(0, 5).Draw(t, "sightings")
-	r := Record{Digest: digestOf(1), Cleared: rapid.IntRange(0, 3).Draw(t, "cleared"), Quiet: time.Duration(rapid.IntRange(0, 5).Draw(t, "quiet")) * time.Second}
+	r := Record{Digest: digestOf(1), Cleared: rapid.IntRange(0, 3).Draw(t, "cleared"), Age: time.Duration(rapid.IntRange(0, 5).Draw(t, "quiet")) * time.Second}
 	for range n {
 		g := rapid.IntRange(1, 5).Draw(t, "generation")
 		r.Sightings = append(r.Sightings, Sighting{
@@ -21,12 +21,12 @@
 	return r
 }
 
-func merged(list []Record) View {
+func merged(list []Record) Status {
 	l := New()
 	for _, r := range list {
 		l.Merge(10*time.Second, r)
 	}
-	return l.Look(digestOf(1))
+	return l.Status(digestOf(1))
 }
 
 // Order, repeats and detours of what VMs tell each other do not matter.
@@ -45,7 +45,7 @@
 			for _, r := range part {
 				l.Merge(10*time.Second, r)
 			}
-			if r, ok := l.Record(10*time.Second, digestOf(1)); ok {
+			if r, ok := l.RecordOf(10*time.Second, digestOf(1)); ok {
 				detour = append(detour, r)
 			}
 		}
@@ -57,20 +57,20 @@
 
 // Hearing more never lowers what is known against a request, but for an answer: of the
 // request itself, or of an incarnation that was taken for ended.
-func TestMergingLowersNothing(t *testing.T) {
+func TestMergeNeverLowersLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
 		for _, r := range rapid.SliceOfN(rapid.Custom(genRecord), 0, 4).Draw(t, "known") {
 			l.Merge(10*time.Second, r)
 		}
-		before := l.Look(digestOf(1))
+		before := l.Status(digestOf(1))
 		more := genRecord(t)
 		more.Cleared = 0
 		for i := range more.Sightings {
 			more.Sightings[i].AliveAt = 0
 		}
 		l.Merge(10*time.Second, more)
-		if after := l.Look(digestOf(1)); after.Level < before.Level || after.Possible < before.Possible {
+		if after := l.Status(digestOf(1)); after.Level < before.Level || after.PossibleLevel < before.PossibleLevel {
 			t.Fatalf("%+v after %+v", after, before)
 		}
 	})
--- a/core/suspect/record.go
+++ b/core/suspect/record.go
@@ -23,8 +23,8 @@
 	AliveAt int
 }
 
-// counts says whether the sighting may still speak against the request.
-func (s Sighting) counts(cleared int) bool { return s.Generation > max(cleared, s.AliveAt) }
+// relevant says whether the sighting may still speak against the request.
+func (s Sighting) relevant(cleared int) bool { return s.Generation > max(cleared, s.AliveAt) }
 
 // ended says whether the incarnation has ended.
 func (s Sighting) ended() bool { return s.EndedAt > s.AliveAt }
@@ -43,15 +43,15 @@
 	Sightings []Sighting
 	// Cleared is the generation up to which an answer has cleared the request.
 	Cleared int
-	// Quiet is how long ago the last sighting was.
-	Quiet time.Duration
+	// Age is how long ago the last sighting was.
+	Age time.Duration
 }
 
-// View is what is known against a request.
-type View struct {
-	// Level is how many generations have ended endpoints, Possible how many may have:
+// Status is what is known against a request.
+type Status struct {
+	// Level is how many generations have ended endpoints, PossibleLevel how many may have:
 	// with cuts at incarnations of which nothing is known yet.
-	Level, Possible int
+	Level, PossibleLevel int
 	// Generation is the last one known: a copy that is sent now and is cut belongs to the
 	// next.
 	Generation int
@@ -60,33 +60,33 @@
 }
 
 // Convicted says that the request is not sent to an endpoint any more.
-func (v View) Convicted() bool { return v.Level >= ConvictedAt && !v.Released }
+func (s Status) Convicted() bool { return s.Level >= ConvictionLevel && !s.Released }
 
 // OnTrial says that the request may run one copy at a time only, where few others do.
-func (v View) OnTrial() bool { return v.Level > 0 && v.Possible >= trialAt && !v.Released }
+func (s Status) OnTrial() bool { return s.Level > 0 && s.PossibleLevel >= trialLevel && !s.Released }
 
 // entry is a request that was cut off somewhere.
 type entry struct {
 	sightings map[uint64]*sighting
 	cleared   int
-	// touched is when the last sighting was; it may lie before the start of the process.
-	// changed is when this VM last learned something, for telling others.
-	touched, changed time.Duration
-	// told is the level of the last Change.
-	told int
+	// lastSighting is when the last sighting was; it may lie before the start of the process.
+	// changedAt is when this VM last learned something, for telling others.
+	lastSighting, changedAt time.Duration
+	// reportedLevel is the level of the last Change.
+	reportedLevel int
 }
 
 // sighting is a Sighting with the time at which its last cut was learned here.
 type sighting struct {
 	Sighting
-	at time.Duration
+	cutAt time.Duration
 }
 
-// view works out what is known against the request.
-func (e *entry) view() View {
+// status works out what is known against the request.
+func (e *entry) status() Status {
 	var ended, cut, top, topEnded int
 	for _, s := range e.sightings {
-		if !s.counts(e.cleared) {
+		if !s.relevant(e.cleared) {
 			continue
 		}
 		cut++
@@ -96,37 +96,37 @@
 			topEnded = max(topEnded, s.Generation)
 		}
 	}
-	return View{
-		Level: min(max(0, topEnded-e.cleared), ended), Possible: min(max(0, top-e.cleared), cut),
+	return Status{
+		Level: min(max(0, topEnded-e.cleared), ended), PossibleLevel: min(max(0, top-e.cleared), cut),
 		Generation: max(top, e.cleared),
 	}
 }
 
-// see takes in a sighting, and reports whether it says anything new.
-func (e *entry) see(now time.Duration, s Sighting) bool {
+// mergeSighting takes in a sighting, and reports whether it says anything new.
+func (e *entry) mergeSighting(now time.Duration, s Sighting) bool {
 	old := e.sightings[s.Endpoint]
 	if old == nil {
-		e.sightings[s.Endpoint] = &sighting{Sighting: s, at: now}
+		e.sightings[s.Endpoint] = &sighting{Sighting: s, cutAt: now}
 	} else {
-		both := old.merge(s)
-		if both == old.Sighting {
+		merged := old.merge(s)
+		if merged == old.Sighting {
 			return false
 		}
-		if both.Generation > old.Generation {
-			old.at = now
+		if merged.Generation > old.Generation {
+			old.cutAt = now
 		}
-		old.Sighting = both
+		old.Sighting = merged
 	}
 	for len(e.sightings) > maxSightings {
-		delete(e.sightings, e.least())
+		delete(e.sightings, e.weakestSighting())
 	}
 	return e.sightings[s.Endpoint] != nil
 }
 
-// least is the incarnation whose sighting says least.
-func (e *entry) least() uint64 {
+// weakestSighting is the incarnation whose sighting says weakestSighting.
+func (e *entry) weakestSighting() uint64 {
 	return slices.MinFunc(e.list(), func(a, b Sighting) int {
-		switch ca, cb := a.counts(e.cleared), b.counts(e.cleared); {
+		switch ca, cb := a.relevant(e.cleared), b.relevant(e.cleared); {
 		case ca && !cb:
 			return 1
 		case cb && !ca:
@@ -149,5 +149,5 @@
 func (e *entry) record(now time.Duration, d Digest) Record {
 	list := e.list()
 	slices.SortFunc(list, func(a, b Sighting) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
-	return Record{Digest: d, Sightings: list, Cleared: e.cleared, Quiet: now - e.touched}
+	return Record{Digest: d, Sightings: list, Cleared: e.cleared, Age: now - e.lastSighting}
 }
--- a/core/suspect/telling.go
+++ b/core/suspect/telling.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// hotFor is for how long what is new goes into each note. Notes leave ten times a second to
+// recentFor is for how long what is new goes into each note. Notes leave ten times a second to
 // five VMs and more, so each round multiplies those who know by about six: 1,800 VMs
 // know after five rounds, half a second; the rest of the time is for notes that are lost.
-const hotFor = 1500 * time.Millisecond
+const recentFor = 1500 * time.Millisecond
 
-// Hot returns up to n records of what was learned lately, those that matter most first: they
+// Recent returns up to n records of what was learned lately, those that matter most first: they
 // go into each note.
-func (l *Ledger) Hot(now time.Duration, n int) []Record {
-	type news struct {
+func (t *Tracker) Recent(now time.Duration, n int) []Record {
+	type candidate struct {
 		d       Digest
-		view    View
+		status  Status
 		changed time.Duration
 	}
-	var hot []news
-	for d, e := range l.entries {
-		if now-e.changed < hotFor {
-			hot = append(hot, news{d, e.view(), e.changed})
+	var recent []candidate
+	for d, e := range t.entries {
+		if now-e.changedAt < recentFor {
+			recent = append(recent, candidate{d, e.status(), e.changedAt})
 		}
 	}
-	slices.SortFunc(hot, func(a, b news) int {
-		return cmp.Or(cmp.Compare(b.view.Level, a.view.Level), cmp.Compare(b.view.Possible, a.view.Possible), cmp.Compare(b.changed, a.changed), bytes.Compare(a.d[:], b.d[:]))
+	slices.SortFunc(recent, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(b.status.Level, a.status.Level), cmp.Compare(b.status.PossibleLevel, a.status.PossibleLevel), cmp.Compare(b.changed, a.changed), bytes.Compare(a.d[:], b.d[:]))
 	})
 	records := make([]Record, 0, n)
-	for _, h := range hot[:min(n, len(hot))] {
-		records = append(records, l.entries[h.d].record(now, h.d))
+	for _, h := range recent[:min(n, len(recent))] {
+		records = append(records, t.entries[h.d].record(now, h.d))
 	}
 	return records
 }
 
-// Worst returns up to n records of the requests against which most is known.
-func (l *Ledger) Worst(now time.Duration, n int) []Record {
+// HighestLevel returns up to n records of the requests against which most is known.
+func (t *Tracker) HighestLevel(now time.Duration, n int) []Record {
 	list := make([]Record, 0, n)
-	for level := ConvictedAt; level > 0; level-- {
-		for d, e := range l.entries {
-			if len(list) < n && min(e.view().Level, ConvictedAt) == level {
+	for level := ConvictionLevel; level > 0; level-- {
+		for d, e := range t.entries {
+			if len(list) < n && min(e.status().Level, ConvictionLevel) == level {
 				list = append(list, e.record(now, d))
 			}
 		}
@@ -49,12 +49,12 @@
 	return list
 }
 
-// Turn returns up to n records, over many calls all of them in turn: VMs that missed a note or
+// NextInRotation returns up to n records, over many calls all of them in turn: VMs that missed a note or
 // have just started learn from it what the others know.
-func (l *Ledger) Turn(now time.Duration, n int) []Record {
-	all := make([]Digest, 0, len(l.entries))
-	for d, e := range l.entries {
-		if e.life() > cutLife {
+func (t *Tracker) NextInRotation(now time.Duration, n int) []Record {
+	all := make([]Digest, 0, len(t.entries))
+	for d, e := range t.entries {
+		if e.ttl() > cutTTL {
 			all = append(all, d)
 		}
 	}
@@ -62,31 +62,31 @@
 		return nil
 	}
 	slices.SortFunc(all, func(a, b Digest) int { return bytes.Compare(a[:], b[:]) })
-	from, _ := slices.BinarySearchFunc(all, l.turn, func(a, b Digest) int { return bytes.Compare(a[:], b[:]) })
+	from, _ := slices.BinarySearchFunc(all, t.cursor, func(a, b Digest) int { return bytes.Compare(a[:], b[:]) })
 	n = min(n, len(all))
 	records := make([]Record, 0, n)
 	for i := range n {
 		d := all[(from+i)%len(all)]
-		records = append(records, l.entries[d].record(now, d))
+		records = append(records, t.entries[d].record(now, d))
 	}
-	l.turn = all[(from+n)%len(all)]
+	t.cursor = all[(from+n)%len(all)]
 	return records
 }
 
-// Convicted returns the requests that are convicted, released ones included.
-func (l *Ledger) Convicted() []Digest {
+// ConvictedDigests returns the requests that are convicted, released ones included.
+func (t *Tracker) ConvictedDigests() []Digest {
 	var list []Digest
-	for d, e := range l.entries {
-		if e.told >= ConvictedAt {
+	for d, e := range t.entries {
+		if e.reportedLevel >= ConvictionLevel {
 			list = append(list, d)
 		}
 	}
 	return list
 }
 
-// Record returns what is known of a request; ok is false if nothing is.
-func (l *Ledger) Record(now time.Duration, d Digest) (r Record, ok bool) {
-	e := l.entries[d]
+// RecordOf returns what is known of a request; ok is false if nothing is.
+func (t *Tracker) RecordOf(now time.Duration, d Digest) (r Record, ok bool) {
+	e := t.entries[d]
 	if e == nil {
 		return Record{}, false
 	}
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -31,7 +31,7 @@
 )
 
 func suspectOf(r suspect.Record) *schema.Suspect {
-	m := &schema.Suspect{Digest: r.Digest[:], Cleared: uint32(r.Cleared), QuietMs: uint64(r.Quiet.Milliseconds())}
+	m := &schema.Suspect{Digest: r.Digest[:], Cleared: uint32(r.Cleared), QuietMs: uint64(r.Age.Milliseconds())}
 	for _, s := range r.Sightings {
 		m.Sightings = append(m.Sightings, &schema.Sighting{
 			Endpoint: s.Endpoint, Generation: uint32(s.Generation), EndedAt: uint32(s.EndedAt), AliveAt: uint32(s.AliveAt),
@@ -58,7 +58,7 @@
 }
 
 func recordOf(m *schema.Suspect) suspect.Record {
-	r := suspect.Record{Digest: digestOf(m.Digest), Cleared: int(m.Cleared), Quiet: toldTime(m.QuietMs)}
+	r := suspect.Record{Digest: digestOf(m.Digest), Cleared: int(m.Cleared), Age: toldTime(m.QuietMs)}
 	for _, s := range m.Sightings {
 		r.Sightings = append(r.Sightings, suspect.Sighting{
 			Endpoint: s.Endpoint, Generation: int(s.Generation), EndedAt: int(s.EndedAt), AliveAt: int(s.AliveAt),
@@ -79,9 +79,9 @@
 func (s *suspects) news(inTurn bool) []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.ledger.Hot(s.d.now(), hotSuspects)
+	list := s.ledger.Recent(s.d.now(), hotSuspects)
 	if inTurn {
-		list = append(list, s.ledger.Turn(s.d.now(), hotSuspects)...)
+		list = append(list, s.ledger.NextInRotation(s.d.now(), hotSuspects)...)
 	}
 	return suspectsOf(list)
 }
@@ -90,7 +90,7 @@
 func (s *suspects) worst() []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return suspectsOf(s.ledger.Worst(s.d.now(), startSuspects))
+	return suspectsOf(s.ledger.HighestLevel(s.d.now(), startSuspects))
 }
 
 // told takes in what another VM knows.
@@ -177,7 +177,7 @@
 // failure domain: the VM that saw one may be lost before the store takes it, and with it
 // the conviction, if all VMs are killed while the store is away. The lock is held.
 func (s *suspects) keepConvicted() {
-	convicted := s.ledger.Convicted()
+	convicted := s.ledger.ConvictedDigests()
 	if len(convicted) == 0 || !s.d.peers.reads() {
 		return
 	}
@@ -244,12 +244,12 @@
 // storeValue is the record in the store of a request; nothing if it is not convicted any more.
 func (s *suspects) storeValue(d suspect.Digest) ([]byte, error) {
 	s.mu.Lock()
-	r, ok := s.ledger.Record(s.d.now(), d)
-	convicted := ok && s.ledger.Look(d).Level >= suspect.ConvictedAt
+	r, ok := s.ledger.RecordOf(s.d.now(), d)
+	convicted := ok && s.ledger.Status(d).Level >= suspect.ConvictionLevel
 	s.mu.Unlock()
 	if !convicted {
 		return nil, nil
 	}
-	r.Quiet = 0
+	r.Age = 0
 	return proto.Marshal(suspectOf(r))
 }
--- a/entry/suspect_notes_test.go
+++ b/entry/suspect_notes_test.go
@@ -13,7 +13,7 @@
 
 // recordOfEnds is a request under which n endpoints ended.
 func recordOfEnds(n int) suspect.Record {
-	r := suspect.Record{Digest: suspect.Identity{Target: "/a"}.Digest(), Cleared: 1, Quiet: 90 * time.Second}
+	r := suspect.Record{Digest: suspect.Identity{Target: "/a"}.Digest(), Cleared: 1, Age: 90 * time.Second}
 	for i := range n {
 		r.Sightings = append(r.Sightings, suspect.Sighting{Endpoint: 1<<63 + uint64(i), Generation: 2 + i, EndedAt: 2 + i, AliveAt: 1})
 	}
@@ -31,7 +31,7 @@
 	is.Equal(recordOf(&m), want)
 	is.Equal(digestOf([]byte("short")), suspect.Digest{})
 	is.True(!suspect.New().Merge(0, recordOf(&schema.Suspect{Digest: []byte("short"), Sightings: m.Sightings})))
-	is.True(recordOf(&schema.Suspect{QuietMs: 1 << 63}).Quiet == longestQuiet)
+	is.True(recordOf(&schema.Suspect{QuietMs: 1 << 63}).Age == longestQuiet)
 }
 
 // The records that each note may carry fit beside its loads, and what a VM that has just
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -41,7 +41,7 @@
 	d *Daemon
 
 	mu     sync.Mutex
-	ledger *suspect.Ledger
+	ledger *suspect.Tracker
 	// waiting are the requests here that no endpoint has answered yet. When one is
 	// convicted the others of its digest are stopped: in an endpoint's queue they have not
 	// run yet, and closing their connections may spare it.
@@ -69,25 +69,25 @@
 		d: d, ledger: suspect.New(), waiting: make(map[suspect.Digest]map[*caller]context.CancelFunc),
 		kept: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), unkept: make(chan suspect.Digest, unkeptBuffer), fresh: make(chan struct{}, 1),
 	}
-	s.ledger.Release(d.set.Released)
+	s.ledger.SetReleased(d.set.Released)
 	return s
 }
 
 func (s *suspects) release(list []suspect.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Release(list)
+	s.ledger.SetReleased(list)
 }
 
 // look returns what is known against a request.
-func (s *suspects) look(d suspect.Digest) suspect.View {
+func (s *suspects) look(d suspect.Digest) suspect.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Look(d)
+	return s.ledger.Status(d)
 }
 
 // suspicionOf is how carefully a request is placed.
-func suspicionOf(v suspect.View) dispatch.Suspicion {
+func suspicionOf(v suspect.Status) dispatch.Suspicion {
 	switch {
 	case v.OnTrial():
 		return dispatch.OnTrial
@@ -102,7 +102,7 @@
 func (s *suspects) admit(c *caller, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ledger.Look(c.digest).Convicted() {
+	if s.ledger.Status(c.digest).Convicted() {
 		return false
 	}
 	if s.waiting[c.digest] == nil {
@@ -137,7 +137,7 @@
 	if !reply.NotRun {
 		s.forget(c)
 	}
-	s.ledger.Answered(s.d.now(), sent, dispatch.NameOf(ep.Key()))
+	s.ledger.RecordResponse(s.d.now(), sent, dispatch.NameOf(ep.Key()))
 	s.note(learnedSeen)
 }
 
@@ -149,7 +149,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Success(s.d.now(), d)
+	s.ledger.RecordSuccess(s.d.now(), d)
 	s.note(learnedSeen)
 }
 
@@ -185,9 +185,9 @@
 	name := dispatch.NameOf(ep.Key())
 	s.mu.Lock()
 	now := s.d.now()
-	s.ledger.Cut(now, sent, d, name, generation)
+	s.ledger.RecordCut(now, sent, d, name, generation)
 	if _, ok := s.ended[name]; ok {
-		s.ledger.Ended(now, name)
+		s.ledger.RecordEnd(now, name)
 	}
 	s.note(learnedSeen)
 	s.mu.Unlock()
@@ -254,7 +254,7 @@
 		s.d.count("endpoints_ended")
 		s.d.log.Info().Str("endpoint", key).Uint64("endpoint_hash", name).Str("how", how).Msg("endpoint_ended")
 	}
-	s.ledger.Ended(now, name)
+	s.ledger.RecordEnd(now, name)
 	s.note(learnedSeen)
 }
 
@@ -274,7 +274,7 @@
 			continue
 		}
 		s.mu.Lock()
-		s.ledger.Leaving(s.d.now(), dispatch.NameOf(dep.Key))
+		s.ledger.RecordLeaving(s.d.now(), dispatch.NameOf(dep.Key))
 		s.note(learnedSeen)
 		s.mu.Unlock()
 	}
@@ -307,8 +307,8 @@
 
 // note logs what the ledger's last step changed, and acts on it. The lock is held.
 func (s *suspects) note(learned string) {
-	for _, c := range s.ledger.Changes() {
-		if learned == learnedSeen && c.Level > c.Was {
+	for _, c := range s.ledger.TakeChanges() {
+		if learned == learnedSeen && c.Level > c.PreviousLevel {
 			select {
 			case s.fresh <- struct{}{}:
 			default:
@@ -327,14 +327,14 @@
 		for _, name := range c.Endpoints {
 			names = append(names, strconv.FormatUint(name, 10))
 		}
-		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.Was).Str("endpoint_hashes", strings.Join(names, ",")).
+		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.PreviousLevel).Str("endpoint_hashes", strings.Join(names, ",")).
 			Str("learned", learned).Msg(eventOf[c.Kind])
 	}
 }
 
 // stop ends the requests of a digest that no endpoint has answered. The lock is held.
 func (s *suspects) stop(d suspect.Digest) {
-	if s.ledger.Look(d).Released {
+	if s.ledger.Status(d).Released {
 		return
 	}
 	for c, stop := range s.waiting[d] {
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -96,7 +96,7 @@
 	}
 	e.Off = off
 	for i, text := range raw.Suspects.Released {
-		d, err := suspect.Parse(text)
+		d, err := suspect.ParseDigest(text)
 		if err != nil {
 			c.fault(fmt.Sprintf("suspects.released[%d]", i), err.Error())
 			continue
