--- a/core/dispatch/limits.go
+++ b/core/dispatch/limits.go
@@ -25,11 +25,11 @@
 // SetReach says how many VMs the placers that are heard serve, this one included, of those known. It must be
 // called several times a second.
 func (s *Scheduler) SetReach(now time.Duration, heard, known int) {
-	s.reach = limit.Part(heard, known)
+	s.reach = limit.Share(heard, known)
 	s.endRests(now)
 	for name, b := range s.limits {
 		if e := s.byName[name]; e != nil {
-			b.Fill(now, s.part(now, e))
+			b.Refill(now, s.part(now, e))
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	if b == nil {
 		return true
 	}
-	b.Fill(now, s.part(now, e))
+	b.Refill(now, s.part(now, e))
 	return b.Ready()
 }
 
--- a/core/limit/fleet_test.go
+++ b/core/limit/fleet_test.go
@@ -18,39 +18,39 @@
 	window = 4 * time.Second
 	factor = 1.5
 	slack  = 5
-	// settles is how long after it first named a limit the bound holds, told how long after a VM got an answer
+	// settleTime is how long after it first named a limit the bound holds, told how long after a VM got an answer
 	// that names it what that VM sends counts.
-	settles = 3 * time.Second
-	told    = 500 * time.Millisecond
+	settleTime    = 3 * time.Second
+	responseGrace = 500 * time.Millisecond
 
-	step       = 50 * time.Millisecond
-	noteEvery  = 100 * time.Millisecond
-	listEvery  = 5 * time.Second
-	heardFor   = time.Second
-	service    = "s"
-	domains    = 3
-	mostVMs    = 8
-	newcomers  = 2
-	endpointID = "e"
-	steps      = 500
+	step           = 50 * time.Millisecond
+	gossipInterval = 100 * time.Millisecond
+	listInterval   = 5 * time.Second
+	reachableFor   = time.Second
+	service        = "s"
+	domains        = 3
+	maxVMs         = 8
+	newcomers      = 2
+	endpointID     = "e"
+	steps          = 500
 )
 
 // vm is a VM of the model with its process, if sched is not nil. Every VM places its own requests.
 type vm struct {
 	name, domain string
 	listed       bool
-	side         int
+	partition    int
 
 	sched  *dispatch.Scheduler
-	ledger *notice.Ledger
+	ledger *notice.Tracker
 	// known are the VMs that it knows, heard when each spoke last.
-	known   map[int]bool
-	heard   map[int]time.Duration
-	started time.Duration
-	// toldAt is when it first got an answer that names a limit.
-	toldAt  time.Duration
-	isTold  bool
-	process int
+	known      map[int]bool
+	lastGossip map[int]time.Duration
+	started    time.Duration
+	// limitSeenAt is when it first got an answer that names a limit.
+	limitSeenAt  time.Duration
+	hasSeenLimit bool
+	process      int
 }
 
 // event is something that happens later.
@@ -61,20 +61,20 @@
 
 // fleet plays VMs before one endpoint and counts what reaches it.
 type fleet struct {
-	t      *rapid.T
-	rand   *rand.Rand
-	now    time.Duration
-	vms    [mostVMs]vm
-	later  []event
-	handle uint64
+	t       *rapid.T
+	rand    *rand.Rand
+	now     time.Duration
+	vms     [maxVMs]vm
+	pending []event
+	handle  uint64
 	// limit is what the endpoint names, since when, if it does.
-	limit    float64
-	names    bool
-	since    time.Duration
-	arrivals []time.Duration
-	counted  int
-	server   *members.Endpoint
-	storeUp  bool
+	limit      float64
+	hasLimit   bool
+	limitSince time.Duration
+	arrivals   []time.Duration
+	counted    int
+	server     *members.Endpoint
+	storeUp    bool
 }
 
 func newFleet(t *rapid.T) *fleet {
@@ -90,7 +90,7 @@
 	v := &f.vms[i]
 	v.listed = true
 	v.sched, v.ledger, v.started = dispatch.New(v.name, v.domain), notice.New(), f.now
-	v.known, v.heard, v.isTold, v.process = make(map[int]bool), make(map[int]time.Duration), false, v.process+1
+	v.known, v.lastGossip, v.hasSeenLimit, v.process = make(map[int]bool), make(map[int]time.Duration), false, v.process+1
 	v.sched.SetEndpoints(f.now, service, []*members.Endpoint{f.server}, false)
 	f.readList(v)
 }
@@ -103,32 +103,32 @@
 	}
 }
 
-// sometime draws a delay.
-func (f *fleet) sometime(most time.Duration) time.Duration {
-	return time.Duration(f.rand.Int64N(int64(most)))
+// randomDelay draws a delay.
+func (f *fleet) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(f.rand.Int64N(int64(limit)))
 }
 
-// in has something happen later, if the process of a VM still lives then.
-func (f *fleet) in(delay time.Duration, i int, do func(v *vm)) {
+// schedule has something happen later, if the process of a VM still lives then.
+func (f *fleet) schedule(delay time.Duration, i int, do func(v *vm)) {
 	process := f.vms[i].process
-	f.later = append(f.later, event{f.now + delay, func() {
+	f.pending = append(f.pending, event{f.now + delay, func() {
 		if v := &f.vms[i]; v.sched != nil && v.process == process {
 			do(v)
 		}
 	}})
 }
 
-// tell sends a VM's note to those on its side.
-func (f *fleet) tell(i int) {
+// gossip sends a VM's note to those on its side.
+func (f *fleet) gossip(i int) {
 	from := &f.vms[i]
-	records := from.ledger.Turn(f.now, 1)
+	records := from.ledger.NextInRotation(f.now, 1)
 	for k := range f.vms {
-		if k == i || f.vms[k].sched == nil || f.vms[k].side != from.side || !from.known[k] {
+		if k == i || f.vms[k].sched == nil || f.vms[k].partition != from.partition || !from.known[k] {
 			continue
 		}
-		f.in(f.sometime(300*time.Millisecond), k, func(v *vm) {
+		f.schedule(f.randomDelay(300*time.Millisecond), k, func(v *vm) {
 			v.known[i] = true
-			v.heard[i] = f.now
+			v.lastGossip[i] = f.now
 			v.sched.PeerUses(f.now, from.name, from.domain, nil, true)
 			for _, r := range records {
 				if v.ledger.Merge(f.now, r, true) {
@@ -141,18 +141,18 @@
 
 func (f *fleet) apply(v *vm) {
 	name := dispatch.NameOf(endpointID)
-	if n := v.ledger.Holds(name); n.HasLimit {
+	if n := v.ledger.Current(name); n.HasLimit {
 		v.sched.SetLimit(f.now, name, n.Limit)
 		return
 	}
 	v.sched.LiftLimit(name)
 }
 
-// reach is how many VMs one hears, with itself.
-func (f *fleet) reach(v *vm) int {
+// reachable is how many VMs one hears, with itself.
+func (f *fleet) reachable(v *vm) int {
 	n := 1
-	for _, at := range v.heard {
-		if f.now-at < heardFor {
+	for _, at := range v.lastGossip {
+		if f.now-at < reachableFor {
 			n++
 		}
 	}
@@ -169,36 +169,36 @@
 			continue
 		}
 		decided := f.now
-		f.in(f.sometime(200*time.Millisecond), i, func(v *vm) { f.arrive(i, v, handle, decided) })
+		f.schedule(f.randomDelay(200*time.Millisecond), i, func(v *vm) { f.arrive(i, v, handle, decided) })
 	}
 	v.sched.Withdraw(f.now, service, handle)
 }
 
 // arrive counts a request at the endpoint, which answers later.
 func (f *fleet) arrive(i int, v *vm, handle uint64, sent time.Duration) {
-	if f.names && v.isTold && f.now >= v.toldAt+told {
+	if f.hasLimit && v.hasSeenLimit && f.now >= v.limitSeenAt+responseGrace {
 		f.arrivals = append(f.arrivals, f.now)
 		f.counted++
 		f.check()
 	}
-	said := notice.Notice{HasLimit: f.names}
-	if f.names {
-		said.Limit = f.limit
+	response := notice.Notice{HasLimit: f.hasLimit}
+	if f.hasLimit {
+		response.Limit = f.limit
 	}
-	f.in(f.sometime(600*time.Millisecond), i, func(v *vm) {
+	f.schedule(f.randomDelay(600*time.Millisecond), i, func(v *vm) {
 		v.sched.Events(f.now, handle, 1)
 		v.sched.End(f.now, handle, dispatch.Answered)
-		if said.HasLimit && !v.isTold {
-			v.isTold, v.toldAt = true, f.now
+		if response.HasLimit && !v.hasSeenLimit {
+			v.hasSeenLimit, v.limitSeenAt = true, f.now
 		}
-		if v.ledger.Hear(f.now, sent, dispatch.NameOf(endpointID), said) {
+		if v.ledger.RecordResponse(f.now, sent, dispatch.NameOf(endpointID), response) {
 			f.apply(v)
 		}
 	})
 }
 
 func (f *fleet) check() {
-	if f.now < f.since+settles {
+	if f.now < f.limitSince+settleTime {
 		return
 	}
 	n := 0
@@ -212,26 +212,26 @@
 	}
 }
 
-// name has the endpoint name a limit, or none: what was counted before is of another need.
-func (f *fleet) name(limit float64, names bool) {
-	f.limit, f.names, f.since, f.arrivals = limit, names, f.now, nil
+// setLimit has the endpoint setLimit a limit, or none: what was counted before is of another need.
+func (f *fleet) setLimit(limit float64, hasLimit bool) {
+	f.limit, f.hasLimit, f.limitSince, f.arrivals = limit, hasLimit, f.now, nil
 	for i := range f.vms {
-		f.vms[i].isTold = false
+		f.vms[i].hasSeenLimit = false
 	}
 }
 
 func (f *fleet) advance() {
 	f.now += step
 	var due []event
-	kept := f.later[:0]
-	for _, e := range f.later {
+	kept := f.pending[:0]
+	for _, e := range f.pending {
 		if e.at <= f.now {
 			due = append(due, e)
 		} else {
 			kept = append(kept, e)
 		}
 	}
-	f.later = kept
+	f.pending = kept
 	for _, e := range due {
 		e.do()
 	}
@@ -240,11 +240,11 @@
 		if v.sched == nil {
 			continue
 		}
-		if f.now%noteEvery == 0 {
-			f.tell(i)
-			v.sched.SetReach(f.now, f.reach(v), len(v.known))
+		if f.now%gossipInterval == 0 {
+			f.gossip(i)
+			v.sched.SetReach(f.now, f.reachable(v), len(v.known))
 		}
-		if f.storeUp && (f.now-v.started)%listEvery == 0 {
+		if f.storeUp && (f.now-v.started)%listInterval == 0 {
 			f.readList(v)
 		}
 	}
@@ -252,11 +252,11 @@
 
 // Guards against VMs that together send more than an endpoint names, while they start, are cut off from each
 // other, die, learn late and send late.
-func TestSumOfAllVMsStaysWithinANamedLimit(t *testing.T) {
+func TestAllVMsTogetherStayWithinLimit(t *testing.T) {
 	counted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
-		first := 1 + f.rand.IntN(mostVMs-newcomers)
+		first := 1 + f.rand.IntN(maxVMs-newcomers)
 		for i := range first {
 			f.start(i)
 		}
@@ -289,12 +289,12 @@
 	i := f.rand.IntN(first)
 	switch f.rand.IntN(100) {
 	case 0:
-		f.name(limits[f.rand.IntN(len(limits))], !f.names)
+		f.setLimit(limits[f.rand.IntN(len(limits))], !f.hasLimit)
 	case 1, 2:
-		f.vms[i].side = f.rand.IntN(domains)
+		f.vms[i].partition = f.rand.IntN(domains)
 	case 3:
 		for k := range f.vms {
-			f.vms[k].side = 0
+			f.vms[k].partition = 0
 		}
 	case 4:
 		f.vms[i].sched = nil
@@ -305,7 +305,7 @@
 	case 8:
 		f.storeUp = !f.storeUp
 	case 9:
-		if next < min(mostVMs, first+newcomers) {
+		if next < min(maxVMs, first+newcomers) {
 			f.start(next)
 			next++
 		}
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -17,42 +17,42 @@
 import "time"
 
 const (
-	// fullPart is the part of a limit that is used where more than half of the VMs are heard.
-	fullPart = 0.7
-	// lesserPart is what all VMs that hear fewer may use together.
-	lesserPart = 0.2
-	// leastRate is how many requests a second are sent at least, by who uses fullPart: an endpoint that
+	// majorityShare is the part of a limit that is used where more than half of the VMs are heard.
+	majorityShare = 0.7
+	// minorityShare is what all VMs that hear fewer may use together.
+	minorityShare = 0.2
+	// minRate is how many requests a second are sent at least, by who uses fullPart: an endpoint that
 	// is never asked cannot say that its need is over.
-	leastRate = 0.1
-	// burstTime is how long what is earned is kept, beside one request.
-	burstTime = 100 * time.Millisecond
-	// longestStep is the longest time that is earned for at once: who was not asked for longer may not
+	minRate = 0.1
+	// burstWindow is how long what is earned is kept, beside one request.
+	burstWindow = 100 * time.Millisecond
+	// maxRefillInterval is the longest time that is earned for at once: who was not asked for longer may not
 	// have been the one to send.
-	longestStep = 250 * time.Millisecond
+	maxRefillInterval = 250 * time.Millisecond
 )
 
-// Part is the part of each limit that a VM may use which is first in the order for it, if the
+// Share is the part of each limit that a VM may use which is first in the order for it, if the
 // placers that it hears serve a number of the VMs that it knows; 0 if it does not know how many there are.
-func Part(heard, known int) float64 {
+func Share(reachable, known int) float64 {
 	switch {
-	case known <= 0 || heard <= 0:
+	case known <= 0 || reachable <= 0:
 		return 0
-	case 2*heard > known:
-		return fullPart
+	case 2*reachable > known:
+		return majorityShare
 	}
-	return lesserPart * float64(heard) / float64(known)
+	return minorityShare * float64(reachable) / float64(known)
 }
 
 // Bucket is what one VM may send to an endpoint. Times are by one clock that only advances. It is not safe for
 // concurrent use.
 type Bucket struct {
-	limit  float64
-	tokens float64
-	at     time.Duration
+	limit      float64
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // New returns an empty bucket for a limit in requests a second.
-func New(now time.Duration, limit float64) *Bucket { return &Bucket{limit: limit, at: now} }
+func New(now time.Duration, limit float64) *Bucket { return &Bucket{limit: limit, refilledAt: now} }
 
 // Limit is the limit in requests a second.
 func (b *Bucket) Limit() float64 { return b.limit }
@@ -60,31 +60,31 @@
 // SetLimit changes the limit.
 func (b *Bucket) SetLimit(limit float64) {
 	b.limit = limit
-	b.tokens = min(b.tokens, b.most(limit))
+	b.tokens = min(b.tokens, b.capacity(limit))
 }
 
-func (b *Bucket) most(rate float64) float64 { return 1 + rate*burstTime.Seconds() }
+func (b *Bucket) capacity(rate float64) float64 { return 1 + rate*burstWindow.Seconds() }
 
-// Fill earns for the time since the last call, if the VM may use a part of the limit now.
-func (b *Bucket) Fill(now time.Duration, part float64) {
-	step := min(now-b.at, longestStep)
-	b.at = now
-	if part == 0 {
+// Refill earns for the time since the last call, if the VM may use a part of the limit now.
+func (b *Bucket) Refill(now time.Duration, share float64) {
+	step := min(now-b.refilledAt, maxRefillInterval)
+	b.refilledAt = now
+	if share == 0 {
 		b.tokens = 0
 		return
 	}
-	rate := part * b.limit
-	if part == fullPart {
-		rate = max(rate, leastRate)
+	rate := share * b.limit
+	if share == majorityShare {
+		rate = max(rate, minRate)
 	}
-	b.tokens = min(b.tokens+rate*step.Seconds(), b.most(rate))
+	b.tokens = min(b.tokens+rate*step.Seconds(), b.capacity(rate))
 }
 
-// rounding is the error of sums that is let pass.
-const rounding = 1e-9
+// roundingTolerance is the error of sums that is let pass.
+const roundingTolerance = 1e-9
 
 // Ready says whether a request may be sent.
-func (b *Bucket) Ready() bool { return b.tokens >= 1-rounding }
+func (b *Bucket) Ready() bool { return b.tokens >= 1-roundingTolerance }
 
 // Take notes that a request is sent.
 func (b *Bucket) Take() { b.tokens = max(0, b.tokens-1) }
--- a/core/notice/fleet_test.go
+++ b/core/notice/fleet_test.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	noteEvery = 100 * time.Millisecond
-	// hot and turn are how many records a note tells, wholeEvery which notes tell those in turn.
-	hot, turn  = 16, 8
-	wholeEvery = 10
-	lossEvery  = 50
+	gossipInterval = 100 * time.Millisecond
+	// recentRecords and rotationRecords are how many records a note tells, wholeEvery which notes tell those in rotationRecords.
+	recentRecords, rotationRecords = 16, 8
+	rotationEvery                  = 10
+	lossEvery                      = 50
 )
 
-// spread plays how many notes it takes until all VMs of a number of failure domains know what one of them
+// timeToSpread plays how many notes it takes until all VMs of a number of failure domains know what one of them
 // was told by its endpoints; each failure domain has as many placers as it needs.
-func spread(t *testing.T, domains, perDomain, changes int) time.Duration {
+func timeToSpread(t *testing.T, domains, perDomain, changes int) time.Duration {
 	t.Helper()
 	type vm struct {
-		ledger *notice.Ledger
+		ledger *notice.Tracker
 		peers  []cell.Peer
 		asks   bool
 		offset uint64
@@ -46,15 +46,15 @@
 	}
 	source := &vms[len(vms)-1]
 	for name := range uint64(changes) {
-		source.ledger.Hear(0, 0, name, notice.Notice{Limit: 2.5, HasLimit: true})
+		source.ledger.RecordResponse(0, 0, name, notice.Notice{Limit: 2.5, HasLimit: true})
 	}
 	for n := uint64(1); n < 600; n++ {
-		now := time.Duration(n) * noteEvery
+		now := time.Duration(n) * gossipInterval
 		for i := range vms {
 			v := &vms[i]
-			records := v.ledger.Hot(now, hot)
-			if n%wholeEvery == 0 {
-				records = append(records, v.ledger.Turn(now, turn)...)
+			records := v.ledger.Recent(now, recentRecords)
+			if n%rotationEvery == 0 {
+				records = append(records, v.ledger.NextInRotation(now, rotationRecords)...)
 			}
 			if len(records) == 0 {
 				continue
@@ -77,7 +77,7 @@
 		all := true
 		for i := range vms {
 			for name := range uint64(changes) {
-				all = all && vms[i].ledger.Holds(name).HasLimit
+				all = all && vms[i].ledger.Current(name).HasLimit
 			}
 		}
 		if all {
@@ -88,17 +88,17 @@
 	return 0
 }
 
-// settles is how long after an endpoint first names a limit it holds.
-const settles = 3 * time.Second
+// convergenceLimit is how long after an endpoint first names a limit it holds.
+const convergenceLimit = 3 * time.Second
 
 // Guards against VMs that hear too late of a limit that an endpoint names.
-func TestAllVMsHearOfALimitInTime(t *testing.T) {
+func TestLimitReachesAllVMsInTime(t *testing.T) {
 	for _, c := range []struct{ domains, perDomain, changes int }{
 		{3, 3, 1}, {4, 17, 1}, {6, 50, 1}, {13, 138, 1}, {3, 3, 100}, {4, 17, 100}, {6, 50, 100},
 	} {
-		took := spread(t, c.domains, c.perDomain, c.changes)
+		took := timeToSpread(t, c.domains, c.perDomain, c.changes)
 		t.Logf("%d VMs, %d endpoints: %v", c.domains*c.perDomain, c.changes, took)
-		if took > settles {
+		if took > convergenceLimit {
 			t.Errorf("%v at %d VMs, %d endpoints", took, c.domains*c.perDomain, c.changes)
 		}
 	}
--- a/core/notice/ledger.go
+++ b/core/notice/ledger.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// settle is by how much what another VM saw counts as older: the word of it may have been under way for
+	// transitAllowance is by how much what another VM saw counts as older: the word of it may have been under way for
 	// as long, and must not pass for later than what was said since.
-	settle = 500 * time.Millisecond
-	// mostTells is how many notes tell of a change before it is told in turn alone: few datagrams are lost.
-	mostTells = 3
-	// mostRecords bounds the incarnations that are remembered.
-	mostRecords = 1 << 14
-	// toldFor is how long after an incarnation was last listed or heard here others are told of it. Else VMs would
+	transitAllowance = 500 * time.Millisecond
+	// maxSends is how many notes tell of a change before it is told in turn alone: few datagrams are lost.
+	maxSends = 3
+	// maxEntries bounds the incarnations that are remembered.
+	maxEntries = 1 << 14
+	// gossipFor is how long after an incarnation was last listed or heard here others are told of it. Else VMs would
 	// remind each other for ever of those that are gone.
-	toldFor = 20 * time.Second
-	// oldest bounds ages.
-	oldest = 365 * 24 * time.Hour
+	gossipFor = 20 * time.Second
+	// maxAge bounds ages.
+	maxAge = 365 * 24 * time.Hour
 )
 
 // Never is the age of what did not happen.
@@ -36,8 +36,8 @@
 	Asked, Named, Lifted time.Duration
 	// Leaving says that the incarnation said that it leaves, which holds for the rest of its life.
 	Leaving bool
-	// Rest is for how much longer it wants nothing from the VM that tells.
-	Rest time.Duration
+	// Backoff is for how much longer it wants nothing from the VM that tells.
+	Backoff time.Duration
 }
 
 // Valid says whether a record can be.
@@ -46,32 +46,32 @@
 // stamp is a moment of the VM's process, if it ever was.
 type stamp struct {
 	at  time.Duration
-	was bool
+	set bool
 }
 
 // after says whether it is the later one.
-func (s stamp) after(o stamp) bool { return s.was && (!o.was || s.at > o.at) }
+func (s stamp) after(o stamp) bool { return s.set && (!o.set || s.at > o.at) }
 
-// settled is the moment as others take it.
-func (s stamp) settled() stamp {
-	s.at -= settle
+// lessTransit is the moment as others take it.
+func (s stamp) lessTransit() stamp {
+	s.at -= transitAllowance
 	return s
 }
 
-// ago is its age.
-func (s stamp) ago(now time.Duration) time.Duration {
-	if !s.was {
+// age is its age.
+func (s stamp) age(now time.Duration) time.Duration {
+	if !s.set {
 		return Never
 	}
 	return max(0, now-s.at)
 }
 
-// stampOf is the moment of an age.
-func stampOf(now, ago time.Duration) stamp {
-	if ago < 0 {
+// stampFromAge is the moment of an age.
+func stampFromAge(now, age time.Duration) stamp {
+	if age < 0 {
 		return stamp{}
 	}
-	return stamp{at: now - min(ago, oldest), was: true}
+	return stamp{at: now - min(age, maxAge), set: true}
 }
 
 // entry is what is known of one incarnation.
@@ -79,55 +79,55 @@
 	limit                float64
 	asked, named, lifted stamp
 	leaving              bool
-	// rest is when the rest for which it asked this VM ends, others when that for which it asked
+	// backoffUntil is when the backoffUntil for which it asked this VM ends, othersBackoffUntil when that for which it asked
 	// another does.
-	rest, others time.Duration
-	// changed is when what holds changed last, tells how many notes told of that.
-	changed time.Duration
-	tells   int
-	// listed is when the registry was last seen to list it, heard when an answer of it last came here.
-	listed, heard stamp
+	backoffUntil, othersBackoffUntil time.Duration
+	// changedAt is when what holds changedAt last, tells how many notes told of that.
+	changedAt time.Duration
+	sends     int
+	// listed is when the registry was last seen to list it, responded when an answer of it last came here.
+	listed, responded stamp
 }
 
-func (e *entry) holds() Notice {
+func (e *entry) current() Notice {
 	n := Notice{Leaving: e.leaving}
-	if e.named.was && !e.lifted.after(e.named) {
+	if e.named.set && !e.lifted.after(e.named) {
 		n.Limit, n.HasLimit = e.limit, true
 	}
 	return n
 }
 
-// Ledger is what one VM knows. Times are those of its process; it is not safe for concurrent use. Records of
+// Tracker is what one VM knows. Times are those of its process; it is not safe for concurrent use. Records of
 // other VMs may come in any order and again.
-type Ledger struct {
+type Tracker struct {
 	entries map[uint64]*entry
-	// turn is the short name at which the next Turn begins.
-	turn uint64
+	// cursor is the short name at which the next Turn begins.
+	cursor uint64
 }
 
 // New returns an empty ledger.
-func New() *Ledger { return &Ledger{entries: make(map[uint64]*entry)} }
+func New() *Tracker { return &Tracker{entries: make(map[uint64]*entry)} }
 
-// Hear takes in an answer of an incarnation to a request that was sent at a time, and reports whether what
+// RecordResponse takes in an answer of an incarnation to a request that was sent at a time, and reports whether what
 // holds has changed. Answers on different connections overtake each other: a limit holds until an answer
 // names none whose request was sent after the last one that named it had come, and of two limits that of the
 // request that was sent later, or the lower one if its answer came later.
-func (l *Ledger) Hear(now, sent time.Duration, endpoint uint64, n Notice) bool {
-	e := l.entries[endpoint]
-	if e == nil && !n.HasLimit && !n.Leaving && n.Rest == 0 {
+func (t *Tracker) RecordResponse(now, sent time.Duration, endpoint uint64, n Notice) bool {
+	e := t.entries[endpoint]
+	if e == nil && !n.HasLimit && !n.Leaving && n.Backoff == 0 {
 		return false
 	}
-	return l.change(now, endpoint, func(e *entry) {
-		e.heard = stamp{now, true}
+	return t.update(now, endpoint, func(e *entry) {
+		e.responded = stamp{now, true}
 		e.leaving = e.leaving || n.Leaving
-		if n.Rest > 0 {
-			e.rest = max(e.rest, now+n.Rest)
+		if n.Backoff > 0 {
+			e.backoffUntil = max(e.backoffUntil, now+n.Backoff)
 		}
 		switch {
 		case n.LimitUnknown:
 			return
 		case !n.HasLimit:
-			e.lift(stamp{sent, true})
+			e.setLifted(stamp{sent, true})
 			return
 		}
 		asked := stamp{sent, true}
@@ -136,172 +136,172 @@
 		} else {
 			e.asked, e.limit = asked, n.Limit
 		}
-		e.name(stamp{now, true})
+		e.setNamed(stamp{now, true})
 	})
 }
 
-func (e *entry) name(at stamp) {
+func (e *entry) setNamed(at stamp) {
 	if at.after(e.named) {
 		e.named = at
 	}
 }
 
-func (e *entry) lift(at stamp) {
+func (e *entry) setLifted(at stamp) {
 	if at.after(e.lifted) {
 		e.lifted = at
 	}
 }
 
-// change changes an entry and reports whether what holds has changed.
-func (l *Ledger) change(now time.Duration, endpoint uint64, do func(*entry)) bool {
-	e := l.entries[endpoint]
+// update changes an entry and reports whether what holds has changed.
+func (t *Tracker) update(now time.Duration, endpoint uint64, apply func(*entry)) bool {
+	e := t.entries[endpoint]
 	if e == nil {
-		if len(l.entries) >= mostRecords {
+		if len(t.entries) >= maxEntries {
 			return false
 		}
-		e = &entry{changed: now}
-		l.entries[endpoint] = e
+		e = &entry{changedAt: now}
+		t.entries[endpoint] = e
 	}
-	before, rest, others := e.holds(), e.rest, e.others
-	do(e)
-	if e.holds() == before && e.rest == rest && e.others == others {
+	before, own, others := e.current(), e.backoffUntil, e.othersBackoffUntil
+	apply(e)
+	if e.current() == before && e.backoffUntil == own && e.othersBackoffUntil == others {
 		return false
 	}
-	e.changed, e.tells = now, 0
+	e.changedAt, e.sends = now, 0
 	return true
 }
 
-// holds says whether something does by a record.
-func (r Record) holds() bool {
+// active says whether something does by a record.
+func (r Record) active() bool {
 	limited := r.Named >= 0 && (r.Lifted < 0 || r.Lifted >= r.Named)
-	return limited || r.Leaving || r.Rest > 0
+	return limited || r.Leaving || r.Backoff > 0
 }
 
 // Merge takes in what another VM knows, and reports whether what holds has changed. listed says that the
 // registry lists the incarnation, as far as this VM knows.
-func (l *Ledger) Merge(now time.Duration, r Record, listed bool) bool {
-	if l.entries[r.Endpoint] == nil && !listed && !r.holds() {
+func (t *Tracker) Merge(now time.Duration, r Record, listed bool) bool {
+	if t.entries[r.Endpoint] == nil && !listed && !r.active() {
 		return false
 	}
-	return l.change(now, r.Endpoint, func(e *entry) {
+	return t.update(now, r.Endpoint, func(e *entry) {
 		if listed {
 			e.listed = stamp{now, true}
 		}
-		if asked := stampOf(now, r.Asked).settled(); asked.after(e.asked) {
+		if asked := stampFromAge(now, r.Asked).lessTransit(); asked.after(e.asked) {
 			e.asked, e.limit = asked, r.Limit
 		}
 		e.leaving = e.leaving || r.Leaving
-		if r.Rest > 0 {
-			e.others = max(e.others, now+min(r.Rest, oldest))
+		if r.Backoff > 0 {
+			e.othersBackoffUntil = max(e.othersBackoffUntil, now+min(r.Backoff, maxAge))
 		}
-		e.name(stampOf(now, r.Named))
-		e.lift(stampOf(now, r.Lifted).settled())
+		e.setNamed(stampFromAge(now, r.Named))
+		e.setLifted(stampFromAge(now, r.Lifted).lessTransit())
 	})
 }
 
-// Holds is what an incarnation says of itself now.
-func (l *Ledger) Holds(endpoint uint64) Notice {
-	if e := l.entries[endpoint]; e != nil {
-		return e.holds()
+// Current is what an incarnation says of itself now.
+func (t *Tracker) Current(endpoint uint64) Notice {
+	if e := t.entries[endpoint]; e != nil {
+		return e.current()
 	}
 	return Notice{}
 }
 
-// Rests are when the rest ends for which an incarnation asked this VM, and that for which it asked another.
+// BackoffEnds are when the rest ends for which an incarnation asked this VM, and that for which it asked another.
 // Each is the latest that was named: an answer that comes later ends none.
-func (l *Ledger) Rests(endpoint uint64) (own, others time.Duration) {
-	if e := l.entries[endpoint]; e != nil {
-		return e.rest, e.others
+func (t *Tracker) BackoffEnds(endpoint uint64) (own, others time.Duration) {
+	if e := t.entries[endpoint]; e != nil {
+		return e.backoffUntil, e.othersBackoffUntil
 	}
 	return 0, 0
 }
 
-// Forget drops incarnations that were not listed for a time, or of which nothing holds since then: the registry
+// Expire drops incarnations that were not listed for a time, or of which nothing holds since then: the registry
 // may list them later here than elsewhere, or again. It returns those by which something held.
-func (l *Ledger) Forget(now, within time.Duration, listed func(endpoint uint64) bool) (held []uint64) {
-	for name, e := range l.entries {
-		holds := e.holds() != Notice{} || e.rest > now
+func (t *Tracker) Expire(now, within time.Duration, listed func(endpoint uint64) bool) (expired []uint64) {
+	for name, e := range t.entries {
+		active := e.current() != Notice{} || e.backoffUntil > now
 		if listed(name) {
 			e.listed = stamp{now, true}
 		}
-		if now-e.changed <= within || holds && e.listed.was && now-e.listed.at <= within {
+		if now-e.changedAt <= within || active && e.listed.set && now-e.listed.at <= within {
 			continue
 		}
-		if holds {
-			held = append(held, name)
+		if active {
+			expired = append(expired, name)
 		}
-		delete(l.entries, name)
+		delete(t.entries, name)
 	}
-	return held
+	return expired
 }
 
-func (l *Ledger) record(now time.Duration, endpoint uint64) Record {
-	e := l.entries[endpoint]
-	return Record{Endpoint: endpoint, Limit: e.limit, Asked: e.asked.ago(now), Named: e.named.ago(now), Lifted: e.lifted.ago(now), Leaving: e.leaving, Rest: max(0, e.rest-now)}
+func (t *Tracker) record(now time.Duration, endpoint uint64) Record {
+	e := t.entries[endpoint]
+	return Record{Endpoint: endpoint, Limit: e.limit, Asked: e.asked.age(now), Named: e.named.age(now), Lifted: e.lifted.age(now), Leaving: e.leaving, Backoff: max(0, e.backoffUntil-now)}
 }
 
-// Hot are at most n records that changed lately, for one note: those by which something holds for all VMs
+// Recent are at most n records that changed lately, for one note: those by which something holds for all VMs
 // first, then those that fewer notes told.
-func (l *Ledger) Hot(now time.Duration, n int) []Record {
-	list := l.first(now, n, func(e *entry) bool { return e.tells < mostTells && e.told(now) })
+func (t *Tracker) Recent(now time.Duration, n int) []Record {
+	list := t.selectRecords(now, n, func(e *entry) bool { return e.sends < maxSends && e.gossiped(now) })
 	for _, r := range list {
-		l.entries[r.Endpoint].tells++
+		t.entries[r.Endpoint].sends++
 	}
 	return list
 }
 
-// Holding are at most n records by which something holds.
-func (l *Ledger) Holding(now time.Duration, n int) []Record {
-	return l.first(now, n, func(e *entry) bool { return (e.holds() != Notice{} || e.rest > now) && e.told(now) })
+// Active are at most n records by which something holds.
+func (t *Tracker) Active(now time.Duration, n int) []Record {
+	return t.selectRecords(now, n, func(e *entry) bool { return (e.current() != Notice{} || e.backoffUntil > now) && e.gossiped(now) })
 }
 
-// told says whether others are told of it.
-func (e *entry) told(now time.Duration) bool {
-	return e.listed.was && now-e.listed.at <= toldFor || e.heard.was && now-e.heard.at <= toldFor
+// gossiped says whether others are gossiped of it.
+func (e *entry) gossiped(now time.Duration) bool {
+	return e.listed.set && now-e.listed.at <= gossipFor || e.responded.set && now-e.responded.at <= gossipFor
 }
 
-// weight is 1 where something holds for all VMs, 0 for a rest.
-func (e *entry) weight() int {
-	if e.holds() == (Notice{}) {
+// priority is 1 where something holds for all VMs, 0 for a rest.
+func (e *entry) priority() int {
+	if e.current() == (Notice{}) {
 		return 0
 	}
 	return 1
 }
 
-func (l *Ledger) first(now time.Duration, n int, which func(*entry) bool) []Record {
+func (t *Tracker) selectRecords(now time.Duration, n int, include func(*entry) bool) []Record {
 	var names []uint64
-	for name, e := range l.entries {
-		if which(e) {
+	for name, e := range t.entries {
+		if include(e) {
 			names = append(names, name)
 		}
 	}
 	slices.SortFunc(names, func(a, b uint64) int {
-		ea, eb := l.entries[a], l.entries[b]
-		return cmp.Or(cmp.Compare(eb.weight(), ea.weight()), cmp.Compare(ea.tells, eb.tells), cmp.Compare(eb.changed, ea.changed), cmp.Compare(a, b))
+		ea, eb := t.entries[a], t.entries[b]
+		return cmp.Or(cmp.Compare(eb.priority(), ea.priority()), cmp.Compare(ea.sends, eb.sends), cmp.Compare(eb.changedAt, ea.changedAt), cmp.Compare(a, b))
 	})
 	var list []Record
 	for _, name := range names[:min(n, len(names))] {
-		list = append(list, l.record(now, name))
+		list = append(list, t.record(now, name))
 	}
 	return list
 }
 
-// Turn are the next n records, so that all come up equally often.
-func (l *Ledger) Turn(now time.Duration, n int) []Record {
-	names := make([]uint64, 0, len(l.entries))
-	for name, e := range l.entries {
-		if e.told(now) {
+// NextInRotation are the next n records, so that all come up equally often.
+func (t *Tracker) NextInRotation(now time.Duration, n int) []Record {
+	names := make([]uint64, 0, len(t.entries))
+	for name, e := range t.entries {
+		if e.gossiped(now) {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	from, _ := slices.BinarySearch(names, l.turn)
+	from, _ := slices.BinarySearch(names, t.cursor)
 	var list []Record
 	for k := range min(n, len(names)) {
-		list = append(list, l.record(now, names[(from+k)%len(names)]))
+		list = append(list, t.record(now, names[(from+k)%len(names)]))
 	}
 	if len(list) > 0 {
-		l.turn = list[len(list)-1].Endpoint + 1
+		t.cursor = list[len(list)-1].Endpoint + 1
 	}
 	return list
 }
--- a/core/notice/ledger_test.go
+++ b/core/notice/ledger_test.go
@@ -17,60 +17,60 @@
 
 func limited(perSecond float64) Notice { return Notice{Limit: perSecond, HasLimit: true} }
 
-func TestLimitHoldsForAsLongAsItIsSaid(t *testing.T) {
+func TestLimitHoldsWhileResponsesNameIt(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	is.True(!l.Hear(10*ms, 0, endpoint, Notice{}))
-	is.Equal(l.Holds(endpoint), Notice{})
-	is.True(l.Hear(20*ms, 10*ms, endpoint, limited(2.5)))
-	is.True(!l.Hear(30*ms, 25*ms, endpoint, limited(2.5)))
-	is.Equal(l.Holds(endpoint), limited(2.5))
-	is.True(l.Hear(50*ms, 40*ms, endpoint, Notice{}))
-	is.Equal(l.Holds(endpoint), Notice{})
-	is.True(l.Hear(70*ms, 60*ms, endpoint, limited(0)))
-	is.Equal(l.Holds(endpoint), limited(0))
+	is.True(!l.RecordResponse(10*ms, 0, endpoint, Notice{}))
+	is.Equal(l.Current(endpoint), Notice{})
+	is.True(l.RecordResponse(20*ms, 10*ms, endpoint, limited(2.5)))
+	is.True(!l.RecordResponse(30*ms, 25*ms, endpoint, limited(2.5)))
+	is.Equal(l.Current(endpoint), limited(2.5))
+	is.True(l.RecordResponse(50*ms, 40*ms, endpoint, Notice{}))
+	is.Equal(l.Current(endpoint), Notice{})
+	is.True(l.RecordResponse(70*ms, 60*ms, endpoint, limited(0)))
+	is.Equal(l.Current(endpoint), limited(0))
 }
 
 // Guards against an older answer without a limit that comes later and ends one.
-func TestOlderAnswerEndsNoLimit(t *testing.T) {
+func TestOlderResponseDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Hear(100*ms, 50*ms, endpoint, limited(2.5))
-	is.True(!l.Hear(110*ms, 40*ms, endpoint, Notice{}))
-	is.True(!l.Hear(120*ms, 90*ms, endpoint, Notice{}))
-	is.Equal(l.Holds(endpoint), limited(2.5))
+	l.RecordResponse(100*ms, 50*ms, endpoint, limited(2.5))
+	is.True(!l.RecordResponse(110*ms, 40*ms, endpoint, Notice{}))
+	is.True(!l.RecordResponse(120*ms, 90*ms, endpoint, Notice{}))
+	is.Equal(l.Current(endpoint), limited(2.5))
 }
 
 // Guards against a limit that stays at what was once named, where answers always overlap.
-func TestLimitThatChangesIsFollowed(t *testing.T) {
+func TestLimitFollowsChanges(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	for at := time.Duration(0); at < time.Second; at += 10 * ms {
-		l.Hear(at+300*ms, at, endpoint, limited(2.5))
+		l.RecordResponse(at+300*ms, at, endpoint, limited(2.5))
 	}
 	for at := time.Second; at < 2*time.Second; at += 10 * ms {
-		l.Hear(at+300*ms, at, endpoint, limited(4))
+		l.RecordResponse(at+300*ms, at, endpoint, limited(4))
 	}
-	is.Equal(l.Holds(endpoint), limited(4))
+	is.Equal(l.Current(endpoint), limited(4))
 	// The lower of two whose order is not known.
-	l.Hear(2400*ms, 1900*ms, endpoint, limited(1))
-	is.Equal(l.Holds(endpoint), limited(1))
-	l.Hear(2500*ms, 2450*ms, endpoint, limited(4))
-	is.Equal(l.Holds(endpoint), limited(4))
+	l.RecordResponse(2400*ms, 1900*ms, endpoint, limited(1))
+	is.Equal(l.Current(endpoint), limited(1))
+	l.RecordResponse(2500*ms, 2450*ms, endpoint, limited(4))
+	is.Equal(l.Current(endpoint), limited(4))
 }
 
 // Guards against another VM's older word that ends a limit, or changes it.
-func TestOlderWordOfAnotherVMChangesNothing(t *testing.T) {
+func TestStaleRecordChangesNothing(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Hear(10*time.Second, 9900*ms, endpoint, limited(2.5))
+	l.RecordResponse(10*time.Second, 9900*ms, endpoint, limited(2.5))
 	is.True(!l.Merge(11*time.Second, Record{Endpoint: endpoint, Limit: 5, Asked: 3 * time.Second, Named: 3 * time.Second, Lifted: 2 * time.Second}, true))
-	is.Equal(l.Holds(endpoint), limited(2.5))
+	is.Equal(l.Current(endpoint), limited(2.5))
 	is.True(l.Merge(12*time.Second, Record{Endpoint: endpoint, Limit: 5, Asked: 5 * time.Second, Named: 5 * time.Second, Lifted: 100 * ms}, true))
-	is.Equal(l.Holds(endpoint), Notice{})
+	is.Equal(l.Current(endpoint), Notice{})
 }
 
-func TestRecordsThatCannotBe(t *testing.T) {
+func TestInvalidRecords(t *testing.T) {
 	is := is.New(t)
 	for _, limit := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1} {
 		is.True(!Record{Limit: limit}.Valid())
@@ -90,8 +90,8 @@
 			if r.IntN(2) == 0 {
 				n = limited(float64(r.IntN(4)))
 			}
-			source.Hear(at, at-time.Duration(r.IntN(1000))*ms, endpoint, n)
-			records = append(records, source.Turn(now, 1)...)
+			source.RecordResponse(at, at-time.Duration(r.IntN(1000))*ms, endpoint, n)
+			records = append(records, source.NextInRotation(now, 1)...)
 		}
 		if len(records) == 0 {
 			return
@@ -104,76 +104,76 @@
 			b.Merge(now, records[i], true)
 			b.Merge(now, records[i], true)
 		}
-		if a.Holds(endpoint).HasLimit != b.Holds(endpoint).HasLimit {
-			t.Fatalf("%v and %v", a.Holds(endpoint), b.Holds(endpoint))
+		if a.Current(endpoint).HasLimit != b.Current(endpoint).HasLimit {
+			t.Fatalf("%v and %v", a.Current(endpoint), b.Current(endpoint))
 		}
 	})
 }
 
-func TestForget(t *testing.T) {
+func TestExpire(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Hear(0, 0, 1, limited(1))
-	l.Hear(0, 0, 2, limited(1))
-	l.Hear(0, 0, 3, limited(1))
-	l.Hear(20*ms, 10*ms, 3, Notice{})
-	is.Equal(len(l.Forget(time.Second, time.Minute, func(uint64) bool { return false })), 0)
-	is.Equal(l.Forget(2*time.Minute, time.Minute, func(name uint64) bool { return name != 2 }), []uint64{2})
-	is.Equal(l.Holds(1), limited(1))
-	is.Equal(len(l.Turn(0, 8)), 1)
+	l.RecordResponse(0, 0, 1, limited(1))
+	l.RecordResponse(0, 0, 2, limited(1))
+	l.RecordResponse(0, 0, 3, limited(1))
+	l.RecordResponse(20*ms, 10*ms, 3, Notice{})
+	is.Equal(len(l.Expire(time.Second, time.Minute, func(uint64) bool { return false })), 0)
+	is.Equal(l.Expire(2*time.Minute, time.Minute, func(name uint64) bool { return name != 2 }), []uint64{2})
+	is.Equal(l.Current(1), limited(1))
+	is.Equal(len(l.NextInRotation(0, 8)), 1)
 }
 
 // Guards against records that are never told where there are many.
-func TestTurnTellsAll(t *testing.T) {
+func TestNextInRotationCoversAll(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	for name := range uint64(20) {
-		l.Hear(0, 0, name, limited(1))
+		l.RecordResponse(0, 0, name, limited(1))
 	}
-	told := make(map[uint64]int)
+	seen := make(map[uint64]int)
 	for range 5 {
-		for _, r := range l.Turn(0, 8) {
-			told[r.Endpoint]++
+		for _, r := range l.NextInRotation(0, 8) {
+			seen[r.Endpoint]++
 		}
 	}
-	is.Equal(len(told), 20)
-	for _, n := range told {
+	is.Equal(len(seen), 20)
+	for _, n := range seen {
 		is.Equal(n, 2)
 	}
 }
 
 // Guards against an incarnation that has said that it leaves and says later, or elsewhere, that it does not.
-func TestLeavingHoldsForLife(t *testing.T) {
+func TestLeavingIsPermanent(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	is.True(l.Hear(20*ms, 10*ms, endpoint, Notice{Leaving: true}))
-	is.True(!l.Hear(40*ms, 30*ms, endpoint, Notice{}))
+	is.True(l.RecordResponse(20*ms, 10*ms, endpoint, Notice{Leaving: true}))
+	is.True(!l.RecordResponse(40*ms, 30*ms, endpoint, Notice{}))
 	is.True(!l.Merge(50*ms, Record{Endpoint: endpoint, Asked: Never, Named: Never, Lifted: 0}, true))
-	is.Equal(l.Holds(endpoint), Notice{Leaving: true})
+	is.Equal(l.Current(endpoint), Notice{Leaving: true})
 	other := New()
-	is.True(other.Merge(0, l.Turn(50*ms, 1)[0], true))
-	is.Equal(other.Holds(endpoint), Notice{Leaving: true})
+	is.True(other.Merge(0, l.NextInRotation(50*ms, 1)[0], true))
+	is.Equal(other.Current(endpoint), Notice{Leaving: true})
 }
 
 // Guards against a rest that an answer that comes later, or another VM's word, ends sooner than any named.
-func TestRestLastsToTheLatestEnd(t *testing.T) {
+func TestBackoffLastsToLatestEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		l := New()
 		var now, end time.Duration
 		for range 100 {
 			now += time.Duration(r.IntN(500)) * ms
-			n := Notice{Rest: time.Duration(max(0, r.IntN(8000)-4000)) * ms, HasLimit: r.IntN(3) == 0}
+			n := Notice{Backoff: time.Duration(max(0, r.IntN(8000)-4000)) * ms, HasLimit: r.IntN(3) == 0}
 			if r.IntN(2) == 0 {
-				l.Hear(now, now-time.Duration(r.IntN(1000))*ms, endpoint, n)
-				if n.Rest > 0 {
-					end = max(end, now+n.Rest)
+				l.RecordResponse(now, now-time.Duration(r.IntN(1000))*ms, endpoint, n)
+				if n.Backoff > 0 {
+					end = max(end, now+n.Backoff)
 				}
 			} else {
-				l.Merge(now, Record{Endpoint: endpoint, Asked: Never, Named: Never, Lifted: 0, Rest: n.Rest}, true)
+				l.Merge(now, Record{Endpoint: endpoint, Asked: Never, Named: Never, Lifted: 0, Backoff: n.Backoff}, true)
 			}
-			l.Forget(now, time.Second, func(uint64) bool { return true })
-			if own, _ := l.Rests(endpoint); own < end && end > now {
+			l.Expire(now, time.Second, func(uint64) bool { return true })
+			if own, _ := l.BackoffEnds(endpoint); own < end && end > now {
 				t.Fatalf("ends at %v in place of %v", own, end)
 			}
 		}
@@ -181,42 +181,42 @@
 }
 
 // Guards against a rest that grows as VMs tell each other of it again and again.
-func TestRestIsToldByWhomItWasAskedAlone(t *testing.T) {
+func TestBackoffIsNotRelayed(t *testing.T) {
 	is := is.New(t)
 	a, b := New(), New()
-	a.Hear(0, 0, endpoint, Notice{Rest: time.Second})
-	b.Merge(0, a.Turn(0, 1)[0], true)
-	own, others := b.Rests(endpoint)
+	a.RecordResponse(0, 0, endpoint, Notice{Backoff: time.Second})
+	b.Merge(0, a.NextInRotation(0, 1)[0], true)
+	own, others := b.BackoffEnds(endpoint)
 	is.Equal(own, time.Duration(0))
 	is.Equal(others, time.Second)
-	is.Equal(b.Turn(0, 1)[0].Rest, time.Duration(0))
+	is.Equal(b.NextInRotation(0, 1)[0].Backoff, time.Duration(0))
 }
 
 // Guards against an answer that does not tell whether there is a limit ending one.
-func TestUnreadableLimitEndsNone(t *testing.T) {
+func TestUnknownLimitDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Hear(20*ms, 10*ms, endpoint, limited(2.5))
-	is.True(!l.Hear(40*ms, 30*ms, endpoint, Notice{LimitUnknown: true}))
-	is.True(l.Hear(60*ms, 50*ms, endpoint, Notice{LimitUnknown: true, Leaving: true}))
-	is.Equal(l.Holds(endpoint), Notice{Limit: 2.5, HasLimit: true, Leaving: true})
+	l.RecordResponse(20*ms, 10*ms, endpoint, limited(2.5))
+	is.True(!l.RecordResponse(40*ms, 30*ms, endpoint, Notice{LimitUnknown: true}))
+	is.True(l.RecordResponse(60*ms, 50*ms, endpoint, Notice{LimitUnknown: true, Leaving: true}))
+	is.Equal(l.Current(endpoint), Notice{Limit: 2.5, HasLimit: true, Leaving: true})
 }
 
 // Guards against VMs that remind each other for ever of incarnations that are gone.
-func TestIncarnationsThatAreGoneAreForgottenByAll(t *testing.T) {
+func TestGoneIncarnationsExpireEverywhere(t *testing.T) {
 	const gone = 30 * time.Second
-	var vms [3]*Ledger
+	var vms [3]*Tracker
 	for i := range vms {
 		vms[i] = New()
 	}
 	for now := time.Duration(0); now < 4*time.Minute; now += time.Second {
 		listed := now < gone
 		if listed {
-			vms[0].Hear(now, now, endpoint, limited(1))
-			vms[0].Hear(now, now, endpoint+1, Notice{Leaving: true})
+			vms[0].RecordResponse(now, now, endpoint, limited(1))
+			vms[0].RecordResponse(now, now, endpoint+1, Notice{Leaving: true})
 		}
 		for _, from := range vms {
-			records := append(from.Hot(now, 8), from.Turn(now, 8)...)
+			records := append(from.Recent(now, 8), from.NextInRotation(now, 8)...)
 			for _, to := range vms {
 				for _, r := range records {
 					to.Merge(now, r, listed)
@@ -224,8 +224,8 @@
 			}
 		}
 		for _, l := range vms {
-			l.Forget(now, time.Minute, func(uint64) bool { return listed })
-			if now == gone && !l.Holds(endpoint).HasLimit {
+			l.Expire(now, time.Minute, func(uint64) bool { return listed })
+			if now == gone && !l.Current(endpoint).HasLimit {
 				t.Fatal("forgotten too soon")
 			}
 		}
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -13,6 +13,6 @@
 	LimitUnknown bool
 	// Leaving says that it gets no new requests for the rest of its life.
 	Leaving bool
-	// Rest is for how long it wants nothing from the VM that it turned away; 0 if it did not ask.
-	Rest time.Duration
+	// Backoff is for how long it wants nothing from the VM that it turned away; 0 if it did not ask.
+	Backoff time.Duration
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -39,7 +39,7 @@
 	fresh chan struct{}
 
 	mu     sync.Mutex
-	ledger *notice.Ledger
+	ledger *notice.Tracker
 	// unreadableAt is when a header that cannot be understood was logged last, forgotAt when incarnations
 	// that are gone were forgotten.
 	unreadableAt, forgotAt time.Duration
@@ -62,13 +62,13 @@
 	said.LimitUnknown = said.LimitUnknown || reply.ID == "" && !said.HasLimit
 	n.count(said)
 	name := dispatch.NameOf(ep.Key())
-	before := n.ledger.Holds(name)
-	if !n.ledger.Hear(n.d.now(), sent, name, said) {
+	before := n.ledger.Current(name)
+	if !n.ledger.RecordResponse(n.d.now(), sent, name, said) {
 		return
 	}
 	n.apply(name)
 	n.logChange(name, ep.ID, noticeSeen)
-	if n.ledger.Holds(name) == before {
+	if n.ledger.Current(name) == before {
 		// A rest binds this VM alone: others hear of it with the next note.
 		return
 	}
@@ -86,7 +86,7 @@
 	if said.Leaving {
 		n.d.count("answers_saying_leaving")
 	}
-	if said.Rest > 0 {
+	if said.Backoff > 0 {
 		n.d.count("answers_asking_for_rest")
 	}
 }
@@ -104,12 +104,12 @@
 			n.d.countImpossible(1)
 			continue
 		}
-		before := n.ledger.Holds(r.Endpoint)
+		before := n.ledger.Current(r.Endpoint)
 		if !n.ledger.Merge(n.d.now(), r, n.d.sched.lists(r.Endpoint)) {
 			continue
 		}
 		n.apply(r.Endpoint)
-		if n.ledger.Holds(r.Endpoint) != before {
+		if n.ledger.Current(r.Endpoint) != before {
 			n.logChange(r.Endpoint, "", noticeTold)
 		}
 	}
@@ -117,8 +117,8 @@
 
 // apply tells the scheduler what an incarnation says of itself now. The lock is held.
 func (n *notices) apply(name uint64) {
-	holds := n.ledger.Holds(name)
-	own, others := n.ledger.Rests(name)
+	holds := n.ledger.Current(name)
+	own, others := n.ledger.BackoffEnds(name)
 	n.d.sched.setLimit(name, holds)
 	n.d.sched.setRest(name, n.spread(name, own), others)
 	if holds.Leaving {
@@ -128,8 +128,8 @@
 
 // logChange logs what an incarnation says of itself now; id is empty where it is not at hand. The lock is held.
 func (n *notices) logChange(name uint64, id, learned string) {
-	holds := n.ledger.Holds(name)
-	own, _ := n.ledger.Rests(name)
+	holds := n.ledger.Current(name)
+	own, _ := n.ledger.BackoffEnds(name)
 	n.d.log.Info().Str("endpoint", id).Uint64("endpoint_hash", name).Str("learned", learned).
 		Dur("rest", max(0, own-n.d.now())).Bool("limited", holds.HasLimit).Float64("per_second", holds.Limit).Bool("leaving", holds.Leaving).Msg("endpoint_notice")
 }
@@ -155,7 +155,7 @@
 		return
 	}
 	n.forgotAt = now
-	for _, name := range n.ledger.Forget(now, unlistedFor, n.d.sched.lists) {
+	for _, name := range n.ledger.Expire(now, unlistedFor, n.d.sched.lists) {
 		n.d.sched.forget(name)
 	}
 }
@@ -164,9 +164,9 @@
 func (n *notices) news(inTurn bool) []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	list := n.ledger.Hot(n.d.now(), hotNotices)
+	list := n.ledger.Recent(n.d.now(), hotNotices)
 	if inTurn {
-		list = append(list, n.ledger.Turn(n.d.now(), turnNotices)...)
+		list = append(list, n.ledger.NextInRotation(n.d.now(), turnNotices)...)
 	}
 	return noticesOf(list)
 }
@@ -175,21 +175,21 @@
 func (n *notices) holding() []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return noticesOf(n.ledger.Holding(n.d.now(), startNotices))
+	return noticesOf(n.ledger.Active(n.d.now(), startNotices))
 }
 
 func noticesOf(list []notice.Record) []*schema.EndpointNotice {
 	var told []*schema.EndpointNotice
 	for _, r := range list {
 		told = append(told, &schema.EndpointNotice{
-			Endpoint: r.Endpoint, Limit: r.Limit, AskedMs: agoOf(r.Asked), NamedMs: agoOf(r.Named), LiftedMs: agoOf(r.Lifted), Leaving: r.Leaving, RestMs: uint64(r.Rest.Milliseconds()),
+			Endpoint: r.Endpoint, Limit: r.Limit, AskedMs: agoOf(r.Asked), NamedMs: agoOf(r.Named), LiftedMs: agoOf(r.Lifted), Leaving: r.Leaving, RestMs: uint64(r.Backoff.Milliseconds()),
 		})
 	}
 	return told
 }
 
 func noticeRecord(m *schema.EndpointNotice) notice.Record {
-	return notice.Record{Endpoint: m.Endpoint, Limit: m.Limit, Asked: agoIn(m.AskedMs), Named: agoIn(m.NamedMs), Lifted: agoIn(m.LiftedMs), Leaving: m.Leaving, Rest: toldTime(m.RestMs)}
+	return notice.Record{Endpoint: m.Endpoint, Limit: m.Limit, Asked: agoIn(m.AskedMs), Named: agoIn(m.NamedMs), Lifted: agoIn(m.LiftedMs), Leaving: m.Leaving, Backoff: toldTime(m.RestMs)}
 }
 
 // agoOf is an age as notes tell it: one more than its ms, 0 for never.
