--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -52,7 +52,7 @@
 func (s *Scheduler) seats(now time.Duration, sv *service) []seat {
 	var seats []seat
 	may := (*endpoint).fit
-	if !slices.ContainsFunc(sv.list, func(e *endpoint) bool { return !e.Trial && e.sound(now) && !e.health.ejection.on }) {
+	if !slices.ContainsFunc(sv.list, func(e *endpoint) bool { return !e.Canary && e.sound(now) && !e.health.ejection.on }) {
 		may = (*endpoint).reachable
 	}
 	for _, e := range sv.list {
--- a/core/dispatch/trial.go
+++ b/core/dispatch/trial.go
@@ -10,7 +10,7 @@
 const preferTrial = 2 * lateCost
 
 // admitsVersion says whether a job may run at an endpoint as far as versions go.
-func admitsVersion(j *Job, e *endpoint) bool { return j.Trial || !e.Trial }
+func admitsVersion(j *Job, e *endpoint) bool { return j.Trial || !e.Canary }
 
 // trialCost is what the version of an endpoint counts for a job.
 func trialCost(j *Job, e *endpoint) float64 {
@@ -22,4 +22,4 @@
 
 // tries says whether a job at an endpoint tries its version. It goes there at once, late or
 // not: it was chosen to find out.
-func tries(j *Job, e *endpoint) bool { return j.Trial && e.Trial }
+func tries(j *Job, e *endpoint) bool { return j.Trial && e.Canary }
--- a/core/dispatch/uses.go
+++ b/core/dispatch/uses.go
@@ -28,7 +28,7 @@
 }
 
 // NameOf is the short name by which VMs tell each other of an endpoint, from its key.
-func NameOf(key string) uint64 { return members.NameOf(key) }
+func NameOf(key string) uint64 { return members.KeyHash(key) }
 
 // NamedUse is a load with the short name of its endpoint.
 type NamedUse struct {
--- a/core/members/incarnation_test.go
+++ b/core/members/incarnation_test.go
@@ -29,7 +29,7 @@
 // Symptom: requests went to an incarnation that was gone. Sequence: an endpoint starts
 // again; a record from before it comes late, from a VM that lags or after a compaction.
 // Cause: the last record read counted, whatever start it told.
-func TestEarlierIncarnationIsOldNews(t *testing.T) {
+func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Apply(0, born("a", 2000, true))
@@ -45,7 +45,7 @@
 
 // Symptom: an endpoint went on to get requests though another writer's record stood in
 // its place. The record names nobody; the others hold.
-func TestUnreadableRecordNamesNobody(t *testing.T) {
+func TestUnreadableRecordRemovesEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Replace(0, []Change{ep("a", false), ep("b", false)})
--- a/core/members/leave_test.go
+++ b/core/members/leave_test.go
@@ -10,7 +10,7 @@
 
 // Guards against an incarnation that has said that it leaves and is used again by an older record, a copy of
 // the registry, or its return.
-func TestWhoSaidThatItLeavesStaysOut(t *testing.T) {
+func TestLeavingIncarnationStaysOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		s := New()
@@ -29,30 +29,30 @@
 			}
 			return c
 		}
-		said := r.IntN(100)
+		leaveStep := r.IntN(100)
 		for step := range 200 {
 			now += time.Duration(r.IntN(1000)) * time.Millisecond
-			if step == said {
-				s.Leave(NameOf("e"))
+			if step == leaveStep {
+				s.MarkLeaving(KeyHash("e"))
 			}
 			switch r.IntN(8) {
 			case 0:
-				s.Away()
+				s.MarkRegistryUnavailable()
 			case 1:
-				s.Back(now)
+				s.MarkRegistryAvailable(now)
 			case 2:
-				s.Restore(now)
+				s.MarkRegistryRestored(now)
 			case 3:
 				s.Replace(now, []Change{record()})
 			case 4:
-				s.ApplyCopied(now, record())
+				s.ApplyRestored(now, record())
 			case 5:
 				s.Expire(now)
 			default:
 				s.Apply(now, record())
 			}
-			if step >= said && len(s.Usable("s")) > 0 {
-				t.Fatalf("used %d steps after it said that it leaves", step-said)
+			if step >= leaveStep && len(s.Usable("s")) > 0 {
+				t.Fatalf("used %d steps after it said that it leaves", step-leaveStep)
 			}
 		}
 		s.Apply(now, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Born: 7, Service: "s"}})
@@ -63,13 +63,13 @@
 }
 
 // Guards against requests that are cut off by a leaving endpoint passing for its end.
-func TestWhoSaysThatItLeavesDepartsLeaving(t *testing.T) {
+func TestAnnouncedDepartureIsLeaving(t *testing.T) {
 	s := New()
 	s.Apply(0, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Service: "s"}})
-	s.Leave(NameOf("e"))
-	s.Leave(NameOf("e"))
+	s.MarkLeaving(KeyHash("e"))
+	s.MarkLeaving(KeyHash("e"))
 	s.Apply(0, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Service: "s", Leaving: true}})
-	if d := s.Departures(); len(d) != 1 || !d[0].Leaving {
+	if d := s.TakeDepartures(); len(d) != 1 || !d[0].Leaving {
 		t.Fatalf("%v", d)
 	}
 }
--- a/core/members/members.go
+++ b/core/members/members.go
@@ -27,8 +27,8 @@
 	Leaving bool
 	// SlowStart is how much longer the endpoint stays slow after its start.
 	SlowStart time.Duration
-	// Trial says that it gets only requests that are chosen to try its version.
-	Trial bool
+	// Canary says that it gets only requests that are chosen to try its version.
+	Canary bool
 }
 
 // Key names the incarnation: what is known of one, connections included, says nothing
@@ -40,8 +40,8 @@
 	return e.ID + "@" + strconv.FormatInt(e.Born, 10)
 }
 
-// NameOf is the short name by which VMs tell each other of an incarnation, from its key.
-func NameOf(key string) uint64 { return xxhash.Sum64String(key) }
+// KeyHash is the short name by which VMs tell each other of an incarnation, from its key.
+func KeyHash(key string) uint64 { return xxhash.Sum64String(key) }
 
 // Change is one record of the registry: an endpoint, or its removal.
 type Change struct {
@@ -53,46 +53,46 @@
 	Written uint64
 }
 
-// returnGrace is how long after the registry's return an entry that lapsed
+// relistGrace is how long after the registry's return an entry that lapsed
 // while it was away may stay missing. The registry promises live entries back
 // within about two seconds.
-const returnGrace = 2500 * time.Millisecond
+const relistGrace = 2500 * time.Millisecond
 
 // Set is the endpoints known to one VM.
 type Set struct {
 	known map[string]*entry
-	// away says that the registry cannot be read, returned is when it last came back;
+	// unavailable says that the registry cannot be read, returned is when it last came back;
 	// lapsed entries are kept until returnGrace after it.
-	away      bool
-	returned  time.Duration
-	everAway  bool
-	byService map[string][]*Endpoint
-	// names are the short names of those known; nil if they changed.
-	names   map[uint64]bool
-	version uint64
-	// latest is the last start known of each id, also of those that are gone: a record
+	unavailable     bool
+	availableSince  time.Duration
+	everUnavailable bool
+	byService       map[string][]*Endpoint
+	// keyHashes are the short keyHashes of those known; nil if they changed.
+	keyHashes map[uint64]bool
+	version   uint64
+	// latestBorn is the last start known of each id, also of those that are gone: a record
 	// of an earlier incarnation may come late, from a VM that lags.
-	latest     map[string]int64
+	latestBorn map[string]int64
 	departures []Departure
-	// departed are incarnations that are gone, by id. A registry that comes back from a copy
+	// tombstones are incarnations that are gone, by id. A registry that comes back from a copy
 	// lists them again, as they were some seconds ago.
-	departed map[string]departed
-	// left are the incarnations that said themselves that they leave, by their short names.
-	left map[uint64]bool
-	// copies is how often it did, copied when it last did.
-	copies int
-	copied time.Duration
+	tombstones map[string]tombstone
+	// announcedLeaving are the incarnations that said themselves that they leave, by their short names.
+	announcedLeaving map[uint64]bool
+	// restores is how often it did, copied when it last did.
+	restores   int
+	restoredAt time.Duration
 }
 
-// departed is an incarnation that is gone.
-type departed struct {
+// tombstone is an incarnation that is gone.
+type tombstone struct {
 	key string
-	// copies is how many copies there had been.
-	copies int
-	// listedIn is the copy that was first seen to list it again, by number, and written where
+	// restores is how many restores there had been.
+	restores int
+	// relistedIn is the copy that was first seen to list it again, by number, and written where
 	// that lists it.
-	listedIn int
-	written  uint64
+	relistedIn int
+	written    uint64
 }
 
 // Departure is an incarnation that may not get requests any more.
@@ -102,13 +102,13 @@
 	Leaving bool
 }
 
-// copyLists is how long after the registry came back from a copy a record whose offset is not known
+// backupListWindow is how long after the registry came back from a copy a record whose offset is not known
 // may be the copy's: the registry drops what is silent for three heartbeats.
-const copyLists = 10 * time.Second
+const backupListWindow = 10 * time.Second
 
-// mostLatest bounds the starts kept of ids that are gone: beyond it those are dropped,
+// maxGoneIDs bounds the starts kept of ids that are gone: beyond it those are dropped,
 // which are long past any late record.
-const mostLatest = 4096
+const maxGoneIDs = 4096
 
 type entry struct {
 	Endpoint
@@ -122,59 +122,59 @@
 
 // New returns an empty set.
 func New() *Set {
-	return &Set{known: make(map[string]*entry), latest: make(map[string]int64), departed: make(map[string]departed), left: make(map[uint64]bool)}
+	return &Set{known: make(map[string]*entry), latestBorn: make(map[string]int64), tombstones: make(map[string]tombstone), announcedLeaving: make(map[uint64]bool)}
 }
 
-// Leave says that an incarnation has said itself that it leaves, by its short name. The registry may not
+// MarkLeaving says that an incarnation has said itself that it leaves, by its short name. The registry may not
 // list it yet, lag, or come back from a copy.
-func (s *Set) Leave(name uint64) {
-	s.left[name] = true
+func (s *Set) MarkLeaving(hash uint64) {
+	s.announcedLeaving[hash] = true
 	for _, e := range s.known {
-		if !e.Leaving && NameOf(e.Key()) == name {
+		if !e.Leaving && KeyHash(e.Key()) == hash {
 			e.Leaving = true
 			s.departures = append(s.departures, Departure{Key: e.Key(), Leaving: true})
-			s.changed()
+			s.invalidate()
 		}
 	}
 }
 
-// ForgetLeft ends what Leave said of an incarnation that is gone.
-func (s *Set) ForgetLeft(name uint64) { delete(s.left, name) }
+// ClearLeaving ends what Leave said of an incarnation that is gone.
+func (s *Set) ClearLeaving(hash uint64) { delete(s.announcedLeaving, hash) }
 
 // Version grows whenever the usable endpoints change.
 func (s *Set) Version() uint64 { return s.version }
 
-// Away says that the registry cannot be read.
-func (s *Set) Away() { s.away, s.everAway = true, true }
+// MarkRegistryUnavailable says that the registry cannot be read.
+func (s *Set) MarkRegistryUnavailable() { s.unavailable, s.everUnavailable = true, true }
 
-// Back says that the registry can be read again.
-func (s *Set) Back(now time.Duration) {
-	if s.away {
-		s.away, s.returned = false, now
+// MarkRegistryAvailable says that the registry can be read again.
+func (s *Set) MarkRegistryAvailable(now time.Duration) {
+	if s.unavailable {
+		s.unavailable, s.availableSince = false, now
 	}
 }
 
 // Apply takes in one record of the registry that was written since the last.
 func (s *Set) Apply(now time.Duration, c Change) {
-	delete(s.departed, c.ID)
+	delete(s.tombstones, c.ID)
 	s.apply(now, c)
 }
 
 func (s *Set) apply(now time.Duration, c Change) {
 	if c.Unreadable {
-		s.drop(c.ID)
+		s.dropUnreadable(c.ID)
 		return
 	}
 	if c.Endpoint == nil {
 		s.remove(now, c.ID)
 		return
 	}
-	if c.Endpoint.Born < s.latest[c.ID] {
+	if c.Endpoint.Born < s.latestBorn[c.ID] {
 		return
 	}
 	old := s.known[c.ID]
 	e := *c.Endpoint
-	e.Leaving = e.Leaving || s.left[NameOf(e.Key())]
+	e.Leaving = e.Leaving || s.announcedLeaving[KeyHash(e.Key())]
 	if old != nil && !old.missing && old.Endpoint == e {
 		return
 	}
@@ -186,7 +186,7 @@
 	switch {
 	case old == nil:
 	case old.Key() != e.Key():
-		s.depart(old)
+		s.recordDeparture(old)
 	case e.Leaving && !old.Leaving:
 		s.departures = append(s.departures, Departure{Key: e.Key(), Leaving: true})
 	}
@@ -195,66 +195,66 @@
 		warmAt = old.warmAt
 	}
 	s.known[c.ID] = &entry{Endpoint: e, warmAt: warmAt}
-	s.remember(e)
-	s.changed()
+	s.recordBorn(e)
+	s.invalidate()
 }
 
-// remember keeps the start of an incarnation.
-func (s *Set) remember(e Endpoint) {
+// recordBorn keeps the start of an incarnation.
+func (s *Set) recordBorn(e Endpoint) {
 	if e.Born == 0 {
 		return
 	}
-	s.latest[e.ID] = e.Born
-	if len(s.latest) <= mostLatest+len(s.known) {
+	s.latestBorn[e.ID] = e.Born
+	if len(s.latestBorn) <= maxGoneIDs+len(s.known) {
 		return
 	}
-	for id := range s.latest {
+	for id := range s.latestBorn {
 		if s.known[id] == nil {
-			delete(s.latest, id)
+			delete(s.latestBorn, id)
 		}
 	}
 }
 
-// drop forgets an entry whose record cannot be understood any more: another writer has
+// dropUnreadable forgets an entry whose record cannot be understood any more: another writer has
 // its place, and what stood there before may be gone.
-func (s *Set) drop(id string) {
+func (s *Set) dropUnreadable(id string) {
 	if s.known[id] == nil {
 		return
 	}
 	delete(s.known, id)
-	s.changed()
+	s.invalidate()
 }
 
-// Restore says that the registry came back from a copy of itself that is some seconds old. What
+// MarkRegistryRestored says that the registry came back from a copy of itself that is some seconds old. What
 // was known outlasts it: an incarnation that left stays out though it is listed again, and one
 // that lives is used though it is missing, until it has had time to be listed again, as after an
 // outage. What is there follows by Replace or ApplyCopied.
-func (s *Set) Restore(now time.Duration) {
-	s.away, s.everAway, s.returned = false, true, now
-	s.copied = now
-	s.copies++
+func (s *Set) MarkRegistryRestored(now time.Duration) {
+	s.unavailable, s.everUnavailable, s.availableSince = false, true, now
+	s.restoredAt = now
+	s.restores++
 }
 
-// listedByCopy says whether a record is of an incarnation that was gone before the last copy, as
+// listedByBackup says whether a record is of an incarnation that was gone before the last copy, as
 // that still lists it. What the incarnation writes itself since then lies at a later offset.
-func (s *Set) listedByCopy(now time.Duration, c Change) bool {
-	d, ok := s.departed[c.ID]
-	if !ok || c.Endpoint == nil || d.key != c.Endpoint.Key() || d.copies == s.copies {
+func (s *Set) listedByBackup(now time.Duration, c Change) bool {
+	d, ok := s.tombstones[c.ID]
+	if !ok || c.Endpoint == nil || d.key != c.Endpoint.Key() || d.restores == s.restores {
 		return false
 	}
 	if c.Written == 0 {
-		return now < s.copied+copyLists
+		return now < s.restoredAt+backupListWindow
 	}
-	if d.listedIn != s.copies {
-		d.listedIn, d.written = s.copies, c.Written
-		s.departed[c.ID] = d
+	if d.relistedIn != s.restores {
+		d.relistedIn, d.written = s.restores, c.Written
+		s.tombstones[c.ID] = d
 	}
 	return c.Written <= d.written
 }
 
-// ApplyCopied takes in a record that may be as old as the copy from which the registry came back.
-func (s *Set) ApplyCopied(now time.Duration, c Change) {
-	if !s.listedByCopy(now, c) {
+// ApplyRestored takes in a record that may be as old as the copy from which the registry came back.
+func (s *Set) ApplyRestored(now time.Duration, c Change) {
+	if !s.listedByBackup(now, c) {
 		s.apply(now, c)
 	}
 }
@@ -266,7 +266,7 @@
 		if c.Endpoint != nil {
 			present[c.ID] = true
 		}
-		s.ApplyCopied(now, c)
+		s.ApplyRestored(now, c)
 	}
 	for id := range s.known {
 		if !present[id] {
@@ -284,46 +284,46 @@
 	if e == nil || e.missing {
 		return
 	}
-	if !e.Leaving && s.everAway && (s.away || now < s.returned+returnGrace) {
+	if !e.Leaving && s.everUnavailable && (s.unavailable || now < s.availableSince+relistGrace) {
 		e.missing = true
-		e.expires = s.returned + returnGrace
-		if s.away {
-			e.expires = now + returnGrace
+		e.expires = s.availableSince + relistGrace
+		if s.unavailable {
+			e.expires = now + relistGrace
 		}
 		return
 	}
-	s.depart(e)
+	s.recordDeparture(e)
 	delete(s.known, id)
-	s.changed()
+	s.invalidate()
 }
 
-// depart notes that an incarnation is gone. One that was leaving was noted then.
-func (s *Set) depart(e *entry) {
-	s.departed[e.ID] = departed{key: e.Key(), copies: s.copies}
-	if len(s.departed) > mostLatest {
-		clear(s.departed)
+// recordDeparture notes that an incarnation is gone. One that was leaving was noted then.
+func (s *Set) recordDeparture(e *entry) {
+	s.tombstones[e.ID] = tombstone{key: e.Key(), restores: s.restores}
+	if len(s.tombstones) > maxGoneIDs {
+		clear(s.tombstones)
 	}
 	if !e.Leaving {
 		s.departures = append(s.departures, Departure{Key: e.Key()})
 	}
 }
 
-// Departures returns the incarnations that departed since the last call.
-func (s *Set) Departures() []Departure {
+// TakeDepartures returns the incarnations that departed since the last call.
+func (s *Set) TakeDepartures() []Departure {
 	list := s.departures
 	s.departures = nil
 	return list
 }
 
-// Lists says whether an incarnation is known, by its short name, also one that leaves.
-func (s *Set) Lists(name uint64) bool {
-	if s.names == nil {
-		s.names = make(map[uint64]bool, len(s.known))
+// Contains says whether an incarnation is known, by its short name, also one that leaves.
+func (s *Set) Contains(hash uint64) bool {
+	if s.keyHashes == nil {
+		s.keyHashes = make(map[uint64]bool, len(s.known))
 		for _, e := range s.known {
-			s.names[NameOf(e.Key())] = true
+			s.keyHashes[KeyHash(e.Key())] = true
 		}
 	}
-	return s.names[name]
+	return s.keyHashes[hash]
 }
 
 // Serving says whether the registry lists an incarnation that does not leave.
@@ -341,29 +341,29 @@
 // Expire drops lapsed entries that did not come back in time.
 func (s *Set) Expire(now time.Duration) {
 	for id, e := range s.known {
-		if e.missing && !s.away && now >= e.expires && now >= s.returned+returnGrace {
-			s.depart(e)
+		if e.missing && !s.unavailable && now >= e.expires && now >= s.availableSince+relistGrace {
+			s.recordDeparture(e)
 			delete(s.known, id)
-			s.changed()
+			s.invalidate()
 		}
 	}
 }
 
-func (s *Set) changed() {
+func (s *Set) invalidate() {
 	s.version++
-	s.byService, s.names = nil, nil
+	s.byService, s.keyHashes = nil, nil
 }
 
 // Usable returns the endpoints of a service that may get new requests, by id.
 // The slice must not be changed.
 func (s *Set) Usable(service string) []*Endpoint {
 	if s.byService == nil {
-		s.index()
+		s.buildIndex()
 	}
 	return s.byService[service]
 }
 
-func (s *Set) index() {
+func (s *Set) buildIndex() {
 	s.byService = make(map[string][]*Endpoint)
 	for _, e := range s.known {
 		if e.Leaving {
--- a/core/members/members_test.go
+++ b/core/members/members_test.go
@@ -19,7 +19,7 @@
 	return list
 }
 
-func TestLeavingEndpointGetsNothingMore(t *testing.T) {
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Replace(0, []Change{ep("a", false), ep("b", false)})
@@ -32,7 +32,7 @@
 // Symptom: requests went to an endpoint that had announced its leaving. Sequence:
 // the announcement is read; then a record from before it is read, from a VM that
 // lags. Cause: the later reading replaced the newer state.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsPermanent(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Apply(0, ep("a", true))
@@ -42,26 +42,26 @@
 
 // Entries that lapsed during an outage stay until the registry had time to list
 // them again; one that is still missing then is gone.
-func TestLapsedEntriesWaitForTheRegistry(t *testing.T) {
+func TestLapsedEntriesAreKeptDuringOutage(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Replace(0, []Change{ep("a", false), ep("b", false)})
-	s.Away()
+	s.MarkRegistryUnavailable()
 	s.Expire(time.Minute)
 	is.Equal(len(ids(s)), 2)
-	s.Back(time.Minute)
+	s.MarkRegistryAvailable(time.Minute)
 	s.Replace(time.Minute, []Change{ep("b", false)})
 	is.Equal(len(ids(s)), 2)
 	s.Apply(time.Minute+time.Second, Change{ID: "b"})
 	s.Apply(time.Minute+2*time.Second, ep("b", false))
 	s.Expire(time.Minute + 2*time.Second)
 	is.Equal(len(ids(s)), 2)
-	s.Expire(time.Minute + returnGrace)
+	s.Expire(time.Minute + relistGrace)
 	is.Equal(ids(s), []string{"b"})
 }
 
 // Without an outage, an entry that is removed is gone at once.
-func TestRemovalCountsAtOnce(t *testing.T) {
+func TestRemovalIsImmediate(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Replace(0, []Change{ep("a", false)})
@@ -90,30 +90,30 @@
 	s.Apply(0, at("crashes", 1, false))
 	s.Apply(0, at("restarts", 1, false))
 	s.Apply(0, at("leaves", 1, false))
-	is.Equal(len(s.Departures()), 0)
+	is.Equal(len(s.TakeDepartures()), 0)
 	is.True(s.Serving(&Endpoint{ID: "leaves", Born: 1}))
 	s.Apply(0, Change{ID: "crashes"})
 	s.Apply(0, at("restarts", 2, false))
 	s.Apply(0, at("leaves", 1, true))
-	is.Equal(s.Departures(), []Departure{{Key: "crashes@1"}, {Key: "restarts@1"}, {Key: "leaves@1", Leaving: true}})
+	is.Equal(s.TakeDepartures(), []Departure{{Key: "crashes@1"}, {Key: "restarts@1"}, {Key: "leaves@1", Leaving: true}})
 	is.True(!s.Serving(&Endpoint{ID: "leaves", Born: 1}))
 	is.True(!s.Serving(&Endpoint{ID: "restarts", Born: 1}))
 	s.Apply(0, Change{ID: "leaves"})
-	is.Equal(len(s.Departures()), 0)
+	is.Equal(len(s.TakeDepartures()), 0)
 	// While the registry is away nothing departs: entries lapse though their endpoints live.
-	s.Away()
+	s.MarkRegistryUnavailable()
 	s.Apply(0, Change{ID: "restarts"})
-	is.Equal(len(s.Departures()), 0)
-	s.Back(time.Second)
-	s.Expire(time.Second + returnGrace)
-	is.Equal(s.Departures(), []Departure{{Key: "restarts@2"}})
+	is.Equal(len(s.TakeDepartures()), 0)
+	s.MarkRegistryAvailable(time.Second)
+	s.Expire(time.Second + relistGrace)
+	is.Equal(s.TakeDepartures(), []Departure{{Key: "restarts@2"}})
 }
 
 // Symptom: requests went to endpoints that had left, and none to others that lived, after the
 // registry came back from a copy of some seconds before. Sequence: one endpoint announces that it
 // leaves, one is gone, one is new; the copy lists the first two as ready and not the third.
 // Cause: what the registry said was taken for newer than what was known.
-func TestRegistryComesBackFromACopy(t *testing.T) {
+func TestRegistryRestoredFromBackup(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Replace(0, []Change{ep("leaving", false), ep("gone", false), ep("stays", false)})
@@ -121,7 +121,7 @@
 	s.Apply(0, Change{ID: "gone"})
 	s.Apply(0, ep("new", false))
 	at := time.Minute
-	s.Restore(at)
+	s.MarkRegistryRestored(at)
 	s.Replace(at, []Change{ep("leaving", false), ep("gone", false), ep("stays", false)})
 	is.Equal(ids(s), []string{"new", "stays"})
 	s.Expire(at + 2*time.Second)
@@ -136,11 +136,11 @@
 
 // One that is still missing some seconds after a copy is gone, and one that is listed long after
 // it is not the copy's.
-func TestWhatACopyLacksIsGoneAfterAWhile(t *testing.T) {
+func TestEntryMissingFromBackupExpires(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Replace(0, []Change{ep("a", false), ep("b", false)})
-	s.Restore(time.Minute)
+	s.MarkRegistryRestored(time.Minute)
 	s.Replace(time.Minute, []Change{ep("a", false)})
 	is.Equal(ids(s), []string{"a", "b"})
 	s.Expire(time.Minute + 3*time.Second)
@@ -157,12 +157,12 @@
 
 // Guards against an incarnation that left before a copy and is used for good once a whole list, long
 // after it, still holds the copy's record of it.
-func TestWhoLeftBeforeACopyStaysOutUntilItWritesItself(t *testing.T) {
+func TestGoneIncarnationStaysOutUntilItReregisters(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Replace(0, []Change{written(ep("gone", false), 3), written(ep("stays", false), 4)})
 	s.Apply(0, Change{ID: "gone"})
-	s.Restore(time.Minute)
+	s.MarkRegistryRestored(time.Minute)
 	s.Replace(time.Minute, []Change{written(ep("gone", false), 3), written(ep("stays", false), 4)})
 	s.Replace(2*time.Minute, []Change{written(ep("gone", false), 3), written(ep("stays", false), 9)})
 	is.Equal(ids(s), []string{"stays"})
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -49,7 +49,7 @@
 		j := c.jobFor(s)
 		j.Trial = c.d.rollouts.reserve(c.service)
 		dec, ok := c.d.placing.place(ctx, c.call.ID, j)
-		c.trial = j.Trial && dec.Endpoint != nil && dec.Endpoint.Trial
+		c.trial = j.Trial && dec.Endpoint != nil && dec.Endpoint.Canary
 		if j.Trial && !c.trial {
 			c.d.rollouts.giveBack(c.service)
 		}
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -179,7 +179,7 @@
 		if err != nil {
 			d.registryLostAt.Store(int64(d.now()))
 			d.registry.lose()
-			d.sched.update(func(_ time.Duration, m *members.Set) { m.Away() })
+			d.sched.update(func(_ time.Duration, m *members.Set) { m.MarkRegistryUnavailable() })
 			read.Reset(spread(again.failed(d.mostRetry())))
 			continue
 		}
@@ -330,9 +330,9 @@
 	}
 	var told []members.Change
 	d.sched.update(func(now time.Duration, m *members.Set) {
-		m.Back(now)
+		m.MarkRegistryAvailable(now)
 		if got.copied {
-			m.Restore(now)
+			m.MarkRegistryRestored(now)
 		}
 		if got.whole {
 			m.Replace(now, changes)
@@ -340,7 +340,7 @@
 		}
 		apply := m.Apply
 		if got.copied {
-			apply = m.ApplyCopied
+			apply = m.ApplyRestored
 		}
 		for i, c := range changes {
 			before := m.Version()
--- a/entry/rollout_versions.go
+++ b/entry/rollout_versions.go
@@ -94,7 +94,7 @@
 	marked := make([]*members.Endpoint, 0, len(list))
 	for _, e := range list {
 		trial := *e
-		trial.Trial = true
+		trial.Canary = true
 		marked = append(marked, &trial)
 	}
 	return marked
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -30,7 +30,7 @@
 	n := make(map[string]int)
 	for _, e := range list {
 		key := e.Version
-		if e.Trial {
+		if e.Canary {
 			key += " on trial"
 		}
 		n[key]++
--- a/entry/scheduling.go
+++ b/entry/scheduling.go
@@ -67,7 +67,7 @@
 			probes := s.sched.Probes(s.now())
 			changes := s.sched.Ejections()
 			impossible := s.sched.Impossible()
-			departures := s.members.Departures()
+			departures := s.members.TakeDepartures()
 			s.mu.Unlock()
 			s.departed(departures)
 			s.countImpossible(impossible)
@@ -228,7 +228,7 @@
 	s.mu.Lock()
 	change(s.now(), s.members)
 	s.syncEndpoints()
-	departures := s.members.Departures()
+	departures := s.members.TakeDepartures()
 	s.mu.Unlock()
 	s.departed(departures)
 }
@@ -249,7 +249,7 @@
 
 // leave ends the use of an endpoint that has said that it leaves.
 func (s *scheduling) leave(endpoint uint64) {
-	s.update(func(_ time.Duration, m *members.Set) { m.Leave(endpoint) })
+	s.update(func(_ time.Duration, m *members.Set) { m.MarkLeaving(endpoint) })
 }
 
 // forget drops what an endpoint said of itself that is gone.
@@ -258,7 +258,7 @@
 	defer s.mu.Unlock()
 	s.sched.LiftLimit(endpoint)
 	s.sched.SetRest(endpoint, 0, 0)
-	s.members.ForgetLeft(endpoint)
+	s.members.ClearLeaving(endpoint)
 }
 
 // setLimit sets how many requests a second an endpoint takes, or that it takes any.
@@ -283,7 +283,7 @@
 func (s *scheduling) lists(endpoint uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.Lists(endpoint)
+	return s.members.Contains(endpoint)
 }
 
 // doubt says that nothing listens at an endpoint's address.
