--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Repeat says what may be repeated of a request kind.
-type Repeat int
+// RequestKind says what may be repeated of a request kind.
+type RequestKind int
 
 // Kinds of requests by what may be repeated.
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Repeat = iota
+	Idempotent RequestKind = iota
 	// NonIdempotent requests may run at most once.
 	NonIdempotent
 	// Stream answers are events as they come. They run at most once unless the
@@ -32,7 +32,7 @@
 // Route says what the operator wants of requests to one host and path prefix.
 type Route struct {
 	Name, Host, Prefix string
-	Repeat             Repeat
+	Kind               RequestKind
 	// Timeout is the longest time that a caller is kept waiting; 0 for none.
 	Timeout time.Duration
 	// Objective is the time within which an answer, or a stream's first event,
@@ -47,15 +47,15 @@
 	MaxEndpoints int
 	// Public routes need no API key.
 	Public bool
-	// Prompted routes carry prompts whose parts are worth keeping together.
-	Prompted bool
+	// PromptAffinity routes carry prompts whose parts are worth keeping together.
+	PromptAffinity bool
 	// Resumable streams may go on at another endpoint after the last event.
 	Resumable bool
 }
 
-// Repeatable says whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
-	return r.Repeat == Idempotent || r.Repeat == Stream && r.Resumable
+// Retryable says whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
+	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Engine describes the model engines of a service.
@@ -165,9 +165,9 @@
 // NeedsKeys says whether requests to routes that are not public need a key.
 func (t *Table) NeedsKeys() bool { return len(t.Document.Organisations) > 0 }
 
-// Pick chooses the service of a request by the weights of the route's shares.
+// PickService chooses the service of a request by the weights of the route's shares.
 // The same spot, a uniform hash of the request, gives the same service.
-func (r *Route) Pick(spot uint64) string {
+func (r *Route) PickService(hash uint64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
@@ -178,7 +178,7 @@
 		}
 		return r.Shares[0].Service
 	}
-	at := int(spot % uint64(total))
+	at := int(hash % uint64(total))
 	for _, s := range r.Shares {
 		if at < s.Weight {
 			return s.Service
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -33,16 +33,16 @@
 	is := is.New(t)
 	r := &Route{Shares: []Share{{"a", 9}, {"b", 1}, {"none", 0}}}
 	got := map[string]int{}
-	for spot := range uint64(1000) {
-		got[r.Pick(spot)]++
+	for hash := range uint64(1000) {
+		got[r.PickService(hash)]++
 	}
 	is.Equal(got, map[string]int{"a": 900, "b": 100})
 }
 
-func TestOnlyRepeatableKindsMayRepeat(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	is := is.New(t)
-	is.True((&Route{Repeat: Idempotent}).Repeatable())
-	is.True(!(&Route{Repeat: NonIdempotent, Resumable: true}).Repeatable())
-	is.True(!(&Route{Repeat: Stream}).Repeatable())
-	is.True((&Route{Repeat: Stream, Resumable: true}).Repeatable())
+	is.True((&Route{Kind: Idempotent}).Retryable())
+	is.True(!(&Route{Kind: NonIdempotent, Resumable: true}).Retryable())
+	is.True(!(&Route{Kind: Stream}).Retryable())
+	is.True((&Route{Kind: Stream, Resumable: true}).Retryable())
 }
--- a/core/sse/sse.go
+++ b/core/sse/sse.go
@@ -13,8 +13,8 @@
 	pending []byte
 	// LastID is the id of the last whole event that had one.
 	LastID string
-	// Count is the number of events with an id that the last Write returned.
-	Count int
+	// IDCount is the number of events with an id that the last Write returned.
+	IDCount int
 }
 
 // maxEvent bounds what is kept of an event that does not end, in bytes.
@@ -30,7 +30,7 @@
 // The result is valid until the next call.
 func (s *Splitter) Write(p []byte) ([]byte, error) {
 	s.pending = append(s.pending, p...)
-	end := wholeEnd(s.pending)
+	end := completeEnd(s.pending)
 	if end == 0 {
 		if len(s.pending) > maxEvent {
 			return nil, &EventTooLongError{Bytes: len(s.pending)}
@@ -39,19 +39,19 @@
 	}
 	whole := bytes.Clone(s.pending[:end])
 	s.pending = append(s.pending[:0], s.pending[end:]...)
-	s.Count = 0
-	s.noteIDs(whole)
+	s.IDCount = 0
+	s.recordIDs(whole)
 	return whole, nil
 }
 
-// Torn returns the bytes after the last whole event.
-func (s *Splitter) Torn() []byte { return s.pending }
+// Pending returns the bytes after the last whole event.
+func (s *Splitter) Pending() []byte { return s.pending }
 
 // Reset forgets a torn event, before another endpoint sends it again.
 func (s *Splitter) Reset() { s.pending = s.pending[:0] }
 
-// wholeEnd is the offset after the last blank line.
-func wholeEnd(b []byte) int {
+// completeEnd is the offset after the last blank line.
+func completeEnd(b []byte) int {
 	lf := bytes.LastIndex(b, []byte("\n\n"))
 	crlf := bytes.LastIndex(b, []byte("\r\n\r\n"))
 	end := 0
@@ -64,8 +64,8 @@
 	return end
 }
 
-// noteIDs keeps the last id line. A line is an id line only if it starts one.
-func (s *Splitter) noteIDs(events []byte) {
+// recordIDs keeps the last id line. A line is an id line only if it starts one.
+func (s *Splitter) recordIDs(events []byte) {
 	for len(events) > 0 {
 		line := events
 		if i := bytes.IndexByte(events, '\n'); i >= 0 {
@@ -74,7 +74,7 @@
 			events = nil
 		}
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			s.Count++
+			s.IDCount++
 			s.LastID = strings.TrimSpace(string(v))
 		}
 	}
--- a/core/sse/sse_test.go
+++ b/core/sse/sse_test.go
@@ -8,7 +8,7 @@
 )
 
 // However the bytes are cut, only whole events come out, and all of them.
-func TestWholeEventsOnly(t *testing.T) {
+func TestOnlyCompleteEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\ndata: torn"
 		var s Splitter
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestTornEventIsForgotten(t *testing.T) {
+func TestResetDropsPartialEvent(t *testing.T) {
 	is := is.New(t)
 	var s Splitter
 	_, err := s.Write([]byte("id: 1\ndata: a\n\nid: 2\nda"))
@@ -43,7 +43,7 @@
 	is.Equal(s.LastID, "2")
 }
 
-func TestEndlessEventIsRefused(t *testing.T) {
+func TestOversizedEventIsRejected(t *testing.T) {
 	is := is.New(t)
 	var s Splitter
 	_, err := s.Write(make([]byte, maxEvent+1))
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -133,7 +133,7 @@
 			return &refusal{status: http.StatusUnauthorized, reason: "unknown_key"}
 		}
 	}
-	c.service = c.route.Pick(xxhash.Sum64String(c.call.ID))
+	c.service = c.route.PickService(xxhash.Sum64String(c.call.ID))
 	c.setLimit()
 	if bad := c.readBody(limits.MaxBodyBytes); bad != nil {
 		return bad
@@ -256,7 +256,7 @@
 	if c.org != nil {
 		j.Tier += c.org.Tier * routeTiers
 	}
-	if c.route.Repeat == routing.Stream {
+	if c.route.Kind == routing.Stream {
 		j.Abandon = min(limit, arrived+c.patience()) - leaveMargin
 		j.MaxPause, j.Limit = c.route.MaxPause, limit
 	}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -62,7 +62,7 @@
 			return
 		}
 		c.logPlaced(dec)
-		if c.route.Repeat == routing.Stream && s == nil {
+		if c.route.Kind == routing.Stream && s == nil {
 			s = &stream{c: c, lastID: c.call.LastEventID}
 		}
 		last = c.try(ctx, dec, s)
@@ -115,7 +115,7 @@
 	if last.outcome == dispatch.Unreachable {
 		return true
 	}
-	if last.unpaid || c.ran && !c.route.Repeatable() {
+	if last.unpaid || c.ran && !c.route.Retryable() {
 		return false
 	}
 	return c.sent < c.route.MaxEndpoints && (c.sent == 0 || c.again.pay())
@@ -301,7 +301,7 @@
 		return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
 	}
 	c.d.suspects.succeeded(c.digest, ans)
-	if ans.StatusCode >= http.StatusInternalServerError && c.route.Repeatable() && c.sent < c.route.MaxEndpoints &&
+	if ans.StatusCode >= http.StatusInternalServerError && c.route.Retryable() && c.sent < c.route.MaxEndpoints &&
 		time.Until(c.limit) > shortWait && c.again.pay() {
 		return attempt{outcome: dispatch.Failed, err: &FailedAnswerError{Status: ans.StatusCode}}
 	}
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -38,7 +38,7 @@
 func (c *caller) watch(dec dispatch.Decision, cancel context.CancelFunc) *stall {
 	s := &stall{}
 	// This attempt counts too.
-	if c.d.set.Off.Has(mechanism.StallRetry) || !c.route.Repeatable() || c.sent+1 >= c.route.MaxEndpoints {
+	if c.d.set.Off.Has(mechanism.StallRetry) || !c.route.Retryable() || c.sent+1 >= c.route.MaxEndpoints {
 		return s
 	}
 	tried := append(slices.Clone(c.tried), dispatch.NameOf(dec.Endpoint.Key()))
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -55,7 +55,7 @@
 			if len(whole) > 0 {
 				watch.sign()
 				s.c.visit.event()
-				s.c.d.placing.events(handle, s.split.Count)
+				s.c.d.placing.events(handle, s.split.IDCount)
 				if werr := s.send(ans.Response, whole); werr != nil {
 					return attempt{outcome: dispatch.Left, err: werr, delivered: true}
 				}
@@ -76,7 +76,7 @@
 
 // finish ends the stream as complete.
 func (s *stream) finish(resp *http.Response) attempt {
-	if torn := s.split.Torn(); len(torn) > 0 {
+	if torn := s.split.Pending(); len(torn) > 0 {
 		if err := s.send(resp, torn); err != nil {
 			return attempt{outcome: dispatch.Left, err: err, delivered: true}
 		}
