--- a/core/suspect/changes.go
+++ b/core/suspect/changes.go
@@ -2,37 +2,38 @@
 
 import "slices"
 
-// Change is a step of what is known against a request, for logs.
+// Change is a change of a request's conviction level, for logging.
 type Change struct {
 	Digest Digest
 	Kind   Kind
-	// Level is how many generations have ended endpoints now, PreviousLevel how many had before.
+	// Level is the number of generations that have terminated endpoints now, PreviousLevel the
+	// number before the change.
 	Level, PreviousLevel int
-	// Endpoints are the short names of the incarnations that ended.
+	// Endpoints are the hashes of the incarnations that terminated.
 	Endpoints []uint64
 }
 
-// WasConvicted says that the request was convicted before and is not any more.
+// WasConvicted reports whether the change ends a conviction.
 func (c Change) WasConvicted() bool {
 	return c.PreviousLevel >= ConvictionLevel && c.Level < ConvictionLevel
 }
 
-// Kind says what kind of step a Change is.
+// Kind is the kind of a Change.
 type Kind int
 
 // Kinds of changes.
 const (
-	// Suspected: one more generation has ended endpoints.
+	// Suspected: one more generation has terminated endpoints.
 	Suspected Kind = iota
-	// Convicted: it is not sent to endpoints any more.
+	// Convicted: the request is no longer sent to endpoints.
 	Convicted
-	// Cleared: an answer speaks for it, or its endpoints live.
+	// Cleared: a response cleared the request, or its endpoints turned out to be alive.
 	Cleared
-	// Forgotten: its time is over, or others took its place.
+	// Forgotten: the entry expired or was evicted.
 	Forgotten
 )
 
-// recordChange notes a change of level for logs.
+// recordChange appends a Change if the request's level differs from the last one reported.
 func (t *Tracker) recordChange(d Digest, e *entry) {
 	v := e.status()
 	v.Level = min(v.Level, ConvictionLevel)
@@ -56,7 +57,7 @@
 	t.changes = append(t.changes, c)
 }
 
-// TakeChanges returns what changed since the last call.
+// TakeChanges returns the changes since the last call.
 func (t *Tracker) TakeChanges() []Change {
 	list := t.changes
 	t.changes = nil
--- a/core/suspect/digest.go
+++ b/core/suspect/digest.go
@@ -6,18 +6,18 @@
 	"encoding/hex"
 )
 
-// digestBytes is the width of a digest: two of 10^12 requests are alike by chance once in
+// digestBytes is the length of a digest. Two of 10^12 requests collide by chance in one of
 // 10^14 deployments.
 const digestBytes = 16
 
-// Digest names what a caller repeats when it sends the same request again. Its ids, its time
-// left and how its body is framed differ from one sending to the next and do not count.
+// Digest identifies a request across retries by its caller. It does not cover request ids,
+// the remaining time and the framing of the body, which differ between retries.
 type Digest [digestBytes]byte
 
-// Identity is what a digest is made of.
+// Identity holds the parts of a request that its digest covers.
 type Identity struct {
-	// Organisation is the caller as it was authenticated, never as it says: otherwise one
-	// could have another's requests refused.
+	// Organisation is the authenticated caller, never a name that the caller supplied. Otherwise
+	// one organisation could have another's requests refused.
 	Organisation string
 	Method, Host string
 	// Target is the path with its query.
@@ -25,12 +25,12 @@
 	Body   []byte
 }
 
-// Digest hashes the identity. The hash is a cryptographic one, since with a fast one a caller
-// could look for a body that shares its digest with another's.
+// Digest hashes the identity. It uses a cryptographic hash because a caller could search a
+// fast one for a body whose digest equals that of another's request.
 func (i Identity) Digest() Digest {
 	h := sha256.New()
 	for _, s := range [...]string{i.Organisation, i.Method, i.Host, i.Target} {
-		// With its length before it, no field can pass for the end of the one before.
+		// With its length before it, no field can pass for the end of the previous one.
 		var n [8]byte
 		binary.BigEndian.PutUint64(n[:], uint64(len(s)))
 		h.Write(n[:])
@@ -41,8 +41,8 @@
 	return Digest(h.Sum(sum[:0])[:digestBytes])
 }
 
-// String is the digest as logs and settings name it; empty for that of a request that was not
-// read whole.
+// String returns the digest in hexadecimal, as in logs and settings. It returns an empty
+// string for the zero digest, that of a request whose body was not read completely.
 func (d Digest) String() string {
 	if d == (Digest{}) {
 		return ""
@@ -50,15 +50,15 @@
 	return hex.EncodeToString(d[:])
 }
 
-// DigestError reports a text that is no digest.
+// DigestError reports a malformed digest.
 type DigestError struct{ Text string }
 
-// Error describes the failure.
+// Error implements error.
 func (e *DigestError) Error() string {
-	return e.Text + " is no digest of a request; it has 32 hexadecimal digits"
+	return e.Text + " is not a request digest: want 32 hexadecimal digits"
 }
 
-// ParseDigest reads a digest as String writes it. The error is a DigestError.
+// ParseDigest parses the result of String. The error is a *DigestError.
 func ParseDigest(s string) (Digest, error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != digestBytes {
--- a/core/suspect/digest_test.go
+++ b/core/suspect/digest_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Each part of the identity counts, and none can pass for another.
+// Each part of the identity changes the digest, and no two parts can be confused.
 func TestDigest(t *testing.T) {
 	is := is.New(t)
 	base := Identity{Organisation: "org", Method: "POST", Host: "app", Target: "/a/b", Body: []byte("text")}
@@ -33,8 +33,8 @@
 	}
 }
 
-// BenchmarkDigest measures the cost for a request without a body, of the usual sizes and of
-// 1 MB.
+// BenchmarkDigest measures hashing a request with no body, with bodies of usual sizes and with
+// one of 1 MB.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range []int{0, 830, 12000, 1 << 20} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/core/suspect/doc.go
+++ b/core/suspect/doc.go
@@ -1,27 +1,30 @@
-// Package suspect tells apart the requests that end the endpoints that run them, so that such
-// a request is not sent on for ever. It is pure: what was seen and the time come in, and what
-// may still be sent, what others are to be told and what is worth a log line come out.
+// Package suspect detects poison requests, those that crash the endpoints that run them, so
+// that they are not retried without end. The package performs no I/O: observations and the
+// current time are passed in; it returns which requests may be sent, which records to gossip
+// and which changes to log.
 //
-// Load it answers: a request that ends each endpoint that begins to run it and that its
-// caller sends again at any VM, some times a second. Without it engine after engine ends, with their
-// successors, and each takes up to a dozen requests of others with it.
+// It guards against a request that crashes each endpoint that begins to run it and that its
+// caller sends again through any VM, several times a second. Without it engine after engine
+// crashes, as do the engines that replace them, and each crash takes up to a dozen other
+// requests with it.
 //
-// A Sighting says that a request was cut off at an incarnation of an endpoint. Cuts alone
-// say little: links break and answers are torn. So a sighting counts only once its
-// incarnation has ended, and not if the incarnation answers anything later. All requests that
-// an endpoint ran are cut when it ends, and most are innocent. They are told apart so:
+// A Sighting records that a request was cut off at an incarnation of an endpoint. A cut alone is
+// weak evidence, since links break and responses are truncated. A sighting therefore counts only
+// once its incarnation has terminated, and not if the incarnation responds to anything later. All
+// requests that an endpoint runs are cut off when it terminates, and most of them did not cause
+// it. The cause is identified as follows:
 //
-//   - Sightings have generations. A copy that is sent when n generations are known and is cut
-//     belongs to generation n+1. Copies that ran side by side are of the same one, so that
-//     endpoints that end at the same moment, as those of a rack do, count once: no clock
-//     decides what the same moment is. Convicted are requests with three generations that
-//     have ended three incarnations.
-//   - An answer, also one that reports a failure, clears what came before it: of a body that many
-//     callers share some copies succeed.
-//   - From the second generation on a request is on trial: one copy at a time, where few
-//     others run, so that what ends with it next is not somebody else's fault (core/dispatch).
+//   - Sightings have generations. A copy that is sent when n generations are known and is cut off
+//     belongs to generation n+1. Copies that run concurrently have the same generation, so
+//     endpoints that terminate at the same moment, as those of one rack do, count once. No clock
+//     decides what counts as the same moment. A request is convicted when it has three generations
+//     that terminated three incarnations.
+//   - A response, even one that reports a failure, clears all earlier sightings: when many callers
+//     send the same body, some of the copies succeed.
+//   - From the second generation on a request is on trial: it runs one copy at a time, where few
+//     other requests run, so that the next termination is not caused by another request
+//     (core/dispatch).
 //
-// VMs tell each other what they know. Merging takes the greater of two values everywhere, so
-// order, repeats and loss of notes do not matter, and a VM that was cut off lowers nothing
-// when it is back.
+// VMs gossip what they know. Merging takes the maximum of each value, so the order, duplication
+// and loss of messages do not matter, and a VM that rejoins after a partition lowers no value.
 package suspect
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// fleet is VMs that tell each other what they know, in virtual time.
+// fleet simulates VMs that gossip, in virtual time.
 type fleet struct {
 	rnd          *rand.Rand
 	vms          []*Tracker
 	now          time.Duration
 	nextEndpoint uint64
-	// partitioned keeps the first half of the VMs from the others.
+	// partitioned separates the first half of the VMs from the second.
 	partitioned bool
-	// running are copies of the request at endpoints.
+	// running are the copies of the request that run at endpoints.
 	running []copyRun
 	runs    []time.Duration
 	ends    []time.Duration
-	// innocents are neighbours that were cut with it.
+	// innocents counts the other requests that were cut off with it.
 	innocents int
 }
 
@@ -30,16 +30,16 @@
 }
 
 const (
-	// gossipInterval, noteTo and hotMost are how VMs tell each other: each tenth of a second
-	// five others, of the eight that matter most.
+	// gossipInterval, gossipFanout and recordsPerMessage describe the gossip: every 100 ms each VM
+	// sends its eight most important records to five others.
 	gossipInterval    = 100 * time.Millisecond
 	gossipFanout      = 5
 	recordsPerMessage = 8
-	// lossRate is the share of notes that are lossRate.
+	// lossRate is the share of messages that are lost.
 	lossRate = 0.02
-	// neighbours are what else an endpoint runs.
+	// neighbours is the number of other requests that an endpoint runs.
 	neighbours = 11
-	// runTime is how long an endpoint runs the request before it ends.
+	// runTime is how long an endpoint runs the request before it terminates.
 	runTime = 100 * time.Millisecond
 )
 
@@ -55,7 +55,7 @@
 	return f.partitioned && (a < len(f.vms)/2) != (b < len(f.vms)/2)
 }
 
-// gossip lets each VM send one note.
+// gossip lets each VM send one message to each of gossipFanout others.
 func (f *fleet) gossip() {
 	type message struct {
 		to      int
@@ -81,7 +81,7 @@
 	}
 }
 
-// send sends a copy of the request by way of a VM, if that one lets it pass.
+// send sends a copy of the request through a VM, unless that VM refuses it.
 func (f *fleet) send(d Digest, vm int) {
 	if v := f.vms[vm].Status(d); !v.Convicted() {
 		f.runs = append(f.runs, f.now)
@@ -89,7 +89,8 @@
 	}
 }
 
-// end ends the endpoints of copies that have run for their time, with their neighbours.
+// end terminates the endpoints of copies that have run for runTime, together with their
+// neighbours.
 func (f *fleet) end(d Digest) {
 	kept := f.running[:0]
 	for _, c := range f.running {
@@ -111,7 +112,7 @@
 	f.running = kept
 }
 
-// simulate sends the request some times each round for a time.
+// simulate sends the request perRound times in each of a number of rounds.
 func (f *fleet) simulate(d Digest, perRound int, rounds int) {
 	for range rounds {
 		for range perRound {
@@ -122,7 +123,8 @@
 	}
 }
 
-// lateRuns is how many runs came later than a time after the third endpoint had ended.
+// lateRuns returns the number of runs that began later than window after the third endpoint
+// terminated.
 func (f *fleet) lateRuns(window time.Duration) int {
 	if len(f.ends) < ConvictionLevel {
 		return 0
@@ -136,9 +138,10 @@
 	return n
 }
 
-// Symptom: each VM let the request pass anew. Sequence: each sending arrives at another VM,
-// and endpoints end at one VM's sending each. Well inside the three seconds after the third
-// end no VM sends it any more, at any number of VMs and rates, though notes are lost.
+// Guards against each VM admitting the request anew, when each retry arrives at another VM and
+// each VM sees only the terminations that its own copies caused. All VMs must refuse the request
+// well within three seconds of the third termination, at any number of VMs and any request rate,
+// although messages are lost.
 func TestConvictionReachesAllVMsInTime(t *testing.T) {
 	for n, seeds := range map[int]uint64{3: 10, 8: 10, 66: 2, 300: 1, 1800: 1} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
@@ -152,28 +155,29 @@
 	}
 }
 
-// convergenceLimit is the time after the third end within which all VMs must know, half of the
-// shortest time after which those in touch have to.
+// convergenceLimit is the time after the third termination within which all VMs must refuse the
+// request. It is half of the shortest time that connected VMs are allowed.
 const convergenceLimit = 1500 * time.Millisecond
 
 func checkConvictionSpreads(t *testing.T, n, perRound int, seed uint64) {
 	t.Helper()
 	f := newFleet(seed, n)
 	d := digestOf(0)
-	// With one sending a round the third end comes after 0.4 s.
+	// At one copy per round the third termination comes after 0.4 s.
 	f.simulate(d, perRound, 24)
 	if late := f.lateRuns(convergenceLimit); late != 0 || len(f.ends) < ConvictionLevel {
-		t.Errorf("%d VMs, %d sendings a round, seed %d: %d runs later than %v after the third end; %d ended in all",
+		t.Errorf("%d VMs, %d copies per round, seed %d: %d runs later than %v after the third termination; %d terminations in all",
 			n, perRound, seed, late, convergenceLimit, len(f.ends))
 	}
 	for i := 1; i <= f.innocents; i++ {
 		if v := f.vms[i%n].Status(digestOf(i)); v.Level > 1 {
-			t.Fatalf("%d VMs, seed %d: a neighbour counts %d", n, seed, v.Level)
+			t.Fatalf("%d VMs, seed %d: a neighbour has level %d", n, seed, v.Level)
 		}
 	}
 }
 
-// In a cut each side bounds itself by what it saw; what it learns afterwards lowers nothing.
+// During a partition each side convicts on its own sightings. After it has healed, the records of
+// the other side lower no level.
 func TestEachPartitionSideConvicts(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 8)
@@ -182,19 +186,20 @@
 		f.simulate(d, 2, 40)
 		for i, l := range f.vms {
 			if !l.Status(d).Convicted() {
-				t.Fatalf("seed %d: VM %d still lets it pass", seed, i)
+				t.Fatalf("seed %d: VM %d still admits the request", seed, i)
 			}
 		}
 		f.partitioned = false
 		before := len(f.runs)
 		f.simulate(d, 2, 40)
 		if len(f.runs) != before {
-			t.Errorf("seed %d: %d runs after the cut", seed, len(f.runs)-before)
+			t.Errorf("seed %d: %d runs after the partition healed", seed, len(f.runs)-before)
 		}
 	}
 }
 
-// A VM that starts after all that is told in turn.
+// A VM that starts later receives the convictions, both among the first records sent to it and in
+// rotation.
 func TestStartedVMReceivesConvictions(t *testing.T) {
 	f := newFleet(1, 8)
 	d := digestOf(0)
@@ -204,7 +209,7 @@
 		started.Merge(0, r)
 	}
 	if !started.Status(d).Convicted() {
-		t.Error("what matters most is not told first")
+		t.Error("HighestLevel does not return the convicted request")
 	}
 	fresh := New()
 	for range 20 {
@@ -213,12 +218,12 @@
 		}
 	}
 	if !fresh.Status(d).Convicted() {
-		t.Error("it still lets the request pass")
+		t.Error("VM still admits the request after a full rotation")
 	}
 }
 
-// BenchmarkNotes measures what the records of one note take: those of the ends of many
-// endpoints at once, and a look where 1,000 suspects are known.
+// BenchmarkNotes measures building the records of one gossip message while many requests are
+// recent, and looking up the status of a request with 1,000 suspects known.
 func BenchmarkNotes(b *testing.B) {
 	l := New()
 	for i := range maxEntries {
--- a/core/suspect/ledger.go
+++ b/core/suspect/ledger.go
@@ -9,61 +9,63 @@
 )
 
 const (
-	// ConvictionLevel is from how many generations on a request is not sent any more. One happens
-	// to each neighbour of such a request, two to some whose callers send again at once;
-	// the users allow three ends and few tries after them.
+	// ConvictionLevel is the number of generations from which a request is no longer sent. One
+	// generation is usual for every request that shares an endpoint with a poison request, and two
+	// for some whose callers retry at once. Users tolerate three terminations and a few attempts
+	// after them.
 	ConvictionLevel = 3
-	// trialLevel is from how many possible generations on a request is on trial, if one of them
-	// surely ended an endpoint: cut links alone put nobody on trial.
+	// trialLevel is the number of possible generations from which a request is on trial, provided
+	// that at least one of them certainly terminated an endpoint. Broken connections alone put no
+	// request on trial.
 	trialLevel = 2
-	// maxEntries bounds the requests that are remembered, half a megabyte. One end of an
-	// endpoint adds a dozen; an attacker who sends ever other bodies that end endpoints
-	// needs as many ends as a dozenth of it to push out a suspect, and three times as many
-	// as all of it to push out one that is convicted.
+	// maxEntries bounds the number of tracked requests, at about half a megabyte. One termination of
+	// an endpoint adds a dozen entries. An attacker who keeps sending new bodies that crash
+	// endpoints needs a twelfth of maxEntries terminations to evict a suspect, and three times
+	// maxEntries to evict a convicted request.
 	maxEntries = 1024
-	// maxSightings bounds what is kept of one request; three convict it.
+	// maxSightings bounds the sightings per request; three convict.
 	maxSightings = 8
-	// cutTTL is how long a cut is kept of which nothing follows: the registry drops an
-	// incarnation that fell silent after three heartbeats of a second or so, and VMs read
-	// it each second or two.
+	// cutTTL is how long an unconfirmed cut is kept. The registry drops a silent incarnation after
+	// three heartbeats of about a second, and VMs read the registry every one or two seconds.
 	cutTTL = 10 * time.Second
-	// suspectTTL is how long after the last sighting a suspect is remembered: jobs that run
-	// hourly come again within it.
+	// suspectTTL is how long a suspect is kept after its last sighting. It covers jobs that run
+	// hourly.
 	suspectTTL = time.Hour
-	// convictedTTL is the same for convicted ones: daily jobs. After it an endpoint that was
-	// mended gets the request again, and if it was not, three have to end anew.
+	// convictedTTL is how long a convicted request is kept after its last sighting. It covers daily
+	// jobs. Afterwards an endpoint that has been fixed gets the request again; if it has not been
+	// fixed, three must terminate again.
 	convictedTTL = 24 * time.Hour
-	// exemptFor is how long after a whole answer a request is no suspect here, whatever is cut
-	// off. Of a page that many callers read some copies run at each endpoint: when all engines
-	// of a service end under another request, it is at each of three generations of ends
-	// before an answer can clear it, and would be refused to all.
+	// exemptFor is how long after a complete response a request is exempt from suspicion at this VM,
+	// whatever is cut off. Copies of a page that many callers read run at every endpoint. When
+	// another request crashes all engines of a service, the page reaches three generations before
+	// a response can clear it, and would be refused to everyone.
 	exemptFor = 10 * time.Second
-	// maxExempt bounds the requests remembered for that, and so the memory.
+	// maxExempt bounds the number of exempt requests, and so the memory they take.
 	maxExempt = 2048
 )
 
-// Tracker is what one VM knows of such requests. It is not safe for concurrent use. Times are
-// those of the VM's process; none is compared with another VM's.
+// Tracker holds what one VM knows of suspect requests. It is not safe for concurrent use. Times
+// are those of the VM's process and are never compared with another VM's.
 type Tracker struct {
 	entries  map[Digest]*entry
 	released map[Digest]bool
-	// watched are the incarnations at which something was cut and which may have ended;
-	// they are worked out anew when something was learned.
+	// watched are the incarnations with sightings that still count, which may have terminated. It
+	// is rebuilt when watchedStale is set.
 	watched      map[uint64]bool
 	watchedStale bool
-	// firstCutAt is when something was first cut off at an incarnation that was not heard
+	// firstCutAt is when a request was first cut off at an incarnation that has not responded
 	// since.
 	firstCutAt map[uint64]time.Duration
-	// exempt are the requests that got a whole answer here, with the time.
+	// exempt maps each request that got a complete response at this VM to the time of it.
 	exempt  *simplelru.LRU[Digest, time.Duration]
 	changes []Change
-	// cursor is where the next Turn begins.
+	// cursor is where the next NextInRotation begins.
 	cursor Digest
 }
 
-// New returns a ledger that knows nothing.
+// New returns an empty tracker.
 func New() *Tracker {
-	// The only error is a size that is not positive.
+	// NewLRU fails only if the size is not positive.
 	exempt, _ := simplelru.NewLRU[Digest, time.Duration](maxExempt, nil)
 	return &Tracker{
 		entries: make(map[Digest]*entry), released: make(map[Digest]bool), watched: make(map[uint64]bool),
@@ -71,10 +73,11 @@
 	}
 }
 
-// Len is how many requests are remembered.
+// Len returns the number of tracked requests.
 func (t *Tracker) Len() int { return len(t.entries) }
 
-// SetReleased lets requests run whatever they did; others are no longer released.
+// SetReleased replaces the set of requests that an operator has released, which run whatever is
+// known against them.
 func (t *Tracker) SetReleased(list []Digest) {
 	clear(t.released)
 	for _, d := range list {
@@ -82,7 +85,8 @@
 	}
 }
 
-// Status returns what is known against a request. Each try asks before a byte of it leaves.
+// Status returns what is known against a request. It must be consulted before each attempt,
+// before any byte of the request is sent.
 func (t *Tracker) Status(d Digest) Status {
 	v := Status{}
 	if e := t.entries[d]; e != nil {
@@ -92,12 +96,12 @@
 	return v
 }
 
-// RecordCut says that a copy of a request that was sent at a time was cut off at an incarnation.
-// generation is that of Look when the copy was sent.
+// RecordCut records that a copy of a request, sent at the given time, was cut off at an
+// incarnation. generation is the Generation of Status when the copy was sent.
 //
-// A copy that was sent after another had been cut off there, with nothing heard since, says
-// nothing: it met an endpoint that had ended already. Where a relay stands before endpoints
-// their connections open even so, and break.
+// It ignores a copy that was sent after another had been cut off there, with no response since:
+// such a copy met an endpoint that had already terminated. Behind a relay, connections to such
+// an endpoint still open, and then break.
 func (t *Tracker) RecordCut(now, sent time.Duration, d Digest, endpoint uint64, generation int) {
 	if sent > t.recordFirstCut(now, endpoint) {
 		return
@@ -109,28 +113,28 @@
 	e.lastSighting = now
 	cut := Sighting{Endpoint: endpoint, Generation: generation + 1}
 	if s := e.sightings[endpoint]; s != nil && !s.relevant(e.cleared) {
-		// It was heard after an earlier cut, which this is not.
+		// The incarnation responded after an earlier cut; this cut is a later one.
 		cut.Generation = max(cut.Generation, s.Generation+1)
 	}
 	t.mergeSighting(now, d, e, cut)
 }
 
-// RecordEnd says that an incarnation has ended, though nobody had said that it would.
+// RecordEnd records that an incarnation terminated without announcing that it leaves.
 func (t *Tracker) RecordEnd(now time.Duration, endpoint uint64) {
 	t.updateSightings(now, endpoint, func(s *sighting) Sighting {
 		return Sighting{Endpoint: endpoint, Generation: s.Generation, EndedAt: s.Generation}
 	})
 }
 
-// RecordLeaving says that an incarnation has said that it leaves: what was cut off there before has
-// another cause, since it lived on.
+// RecordLeaving records that an incarnation announced that it leaves. Earlier cuts there have
+// another cause, since it survived them.
 func (t *Tracker) RecordLeaving(now time.Duration, endpoint uint64) {
 	delete(t.firstCutAt, endpoint)
 	t.updateSightings(now, endpoint, func(s *sighting) Sighting { return s.asAlive() })
 }
 
-// RecordResponse says that an incarnation began to answer a request that was sent at a time. What
-// was cut off there before has another cause.
+// RecordResponse records that an incarnation began to respond to a request that was sent at the
+// given time. Earlier cuts there have another cause.
 func (t *Tracker) RecordResponse(now, sent time.Duration, endpoint uint64) {
 	if at, ok := t.firstCutAt[endpoint]; ok && at < sent {
 		delete(t.firstCutAt, endpoint)
@@ -143,13 +147,13 @@
 	})
 }
 
-// asAlive is the sighting once its incarnation was heard after the cut.
+// asAlive returns an update that marks the incarnation as alive after the cut.
 func (s *sighting) asAlive() Sighting {
 	return Sighting{Endpoint: s.Endpoint, Generation: s.Generation, AliveAt: s.Generation}
 }
 
-// updateSightings takes in what follows from an incarnation's end, or life, for each request that was
-// cut off there.
+// updateSightings applies update to the sighting of each request that was cut off at an
+// incarnation.
 func (t *Tracker) updateSightings(now time.Duration, endpoint uint64, update func(*sighting) Sighting) {
 	if !t.Watched(endpoint) {
 		return
@@ -161,7 +165,8 @@
 	}
 }
 
-// Watched says whether something was cut off at an incarnation that may have ended.
+// Watched reports whether sightings at an incarnation still count, so that it matters whether
+// the incarnation has terminated.
 func (t *Tracker) Watched(endpoint uint64) bool {
 	if t.watchedStale {
 		t.watchedStale = false
@@ -170,7 +175,7 @@
 	return t.watched[endpoint]
 }
 
-// RecordSuccess says that a request got a whole answer from an endpoint.
+// RecordSuccess records that a request got a complete response from an endpoint.
 func (t *Tracker) RecordSuccess(now time.Duration, d Digest) {
 	t.exempt.Add(d, now)
 	e := t.entries[d]
@@ -184,8 +189,8 @@
 	}
 }
 
-// Merge takes in what another VM, or the store, knows of a request, and reports whether
-// anything of it is new.
+// Merge merges a record received from another VM or read from the store, and reports whether it
+// contained anything new.
 func (t *Tracker) Merge(now time.Duration, r Record) bool {
 	if !plausible(r) {
 		return false
@@ -217,8 +222,8 @@
 	return true
 }
 
-// recordFirstCut notes a cut at an incarnation, here or at another VM, and returns when the first was
-// since it was heard last.
+// recordFirstCut records a cut at an incarnation, seen here or at another VM, and returns the
+// time of the first cut since the incarnation last responded.
 func (t *Tracker) recordFirstCut(now time.Duration, endpoint uint64) time.Duration {
 	at, ok := t.firstCutAt[endpoint]
 	if !ok {
@@ -228,10 +233,12 @@
 	return at
 }
 
-// maxGeneration bounds what another VM may say: far more than can happen in a life.
+// maxGeneration bounds the generations accepted from other VMs. It is far above what a request
+// can reach in its lifetime.
 const maxGeneration = 1 << 20
 
-// plausible says whether a record can be true. A garbled one would convict, or clear for ever.
+// plausible reports whether a record is consistent. A corrupt one could convict a request, or
+// clear it for ever.
 func plausible(r Record) bool {
 	if r.Digest == (Digest{}) || r.Age < 0 || r.Cleared < 0 || r.Cleared > maxGeneration || len(r.Sightings) > maxSightings {
 		return false
@@ -241,7 +248,7 @@
 	})
 }
 
-// ttlOf is how long a record is worth keeping.
+// ttlOf returns how long a record is kept after its last sighting.
 func ttlOf(r Record) time.Duration {
 	e := entry{sightings: make(map[uint64]*sighting, len(r.Sightings)), cleared: r.Cleared}
 	for _, s := range r.Sightings {
@@ -261,8 +268,8 @@
 	}
 }
 
-// ensureEntry returns what is known of a request; if that is nothing, a new ensureEntry whose last
-// sighting was at a time.
+// ensureEntry returns the entry of a request. If there is none it adds one whose last sighting was
+// at the given time, and evicts another if the tracker is full.
 func (t *Tracker) ensureEntry(at time.Duration, d Digest) *entry {
 	e := t.entries[d]
 	if e == nil {
@@ -275,7 +282,7 @@
 	return e
 }
 
-// evictionCandidate is the request that is evictionCandidate worth remembering.
+// evictionCandidate returns the least important request.
 func (t *Tracker) evictionCandidate() Digest {
 	var least Digest
 	var leastEntry *entry
@@ -300,7 +307,7 @@
 	}
 }
 
-// rebuildWatched works out which incarnations are worth a look.
+// rebuildWatched recomputes watched.
 func (t *Tracker) rebuildWatched() {
 	clear(t.watched)
 	for _, e := range t.entries {
@@ -312,7 +319,7 @@
 	}
 }
 
-// Expire forgets what has been quiet for its time.
+// Expire removes sightings and requests whose TTL has passed.
 func (t *Tracker) Expire(now time.Duration) {
 	for d, e := range t.entries {
 		for name, s := range e.sightings {
--- a/core/suspect/ledger_test.go
+++ b/core/suspect/ledger_test.go
@@ -14,13 +14,13 @@
 	return d
 }
 
-// cutAndEnd cuts a request off at an incarnation that cutAndEnd with it.
+// cutAndEnd cuts a request off at an incarnation that terminates with it.
 func cutAndEnd(l *Tracker, now time.Duration, d Digest, endpoint uint64) {
 	l.RecordCut(now, now, d, endpoint, l.Status(d).Generation)
 	l.RecordEnd(now, endpoint)
 }
 
-// Three endpoints one after the other convict; two do not.
+// Three endpoints that terminate one after the other convict a request; two do not.
 func TestConvictedAfterThreeEnds(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -38,9 +38,9 @@
 	is.Equal(kinds, []Kind{Suspected, Suspected, Convicted})
 }
 
-// Symptom: a page that many callers share was refused after a rack lost power. Sequence:
-// copies of it run at four endpoints, which end in the same moment. Copies that ran side by
-// side count once.
+// Guards against refusing a page that many callers share after a rack loses power. Copies of the
+// page run at four endpoints, which terminate at the same moment. Concurrent copies must count
+// once.
 func TestSimultaneousEndsCountOnce(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -54,7 +54,7 @@
 	is.Equal(l.Status(d).Level, 1)
 }
 
-// An end is counted once, whichever VMs saw it and however many copies ran there.
+// A termination counts once, whichever VMs observed it and however many copies ran there.
 func TestOneEndCountsOnce(t *testing.T) {
 	is := is.New(t)
 	a, b := New(), New()
@@ -68,8 +68,8 @@
 	is.Equal(a.Status(d).Level, 1)
 }
 
-// Cut links, torn answers and resets are no ends: the incarnations answer later, or at least
-// are still listed.
+// Broken links, truncated responses and resets are not terminations: the incarnations respond
+// later, or are at least still listed.
 func TestCutsAloneDoNotCount(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -83,9 +83,9 @@
 	is.Equal(l.Len(), 0)
 }
 
-// Symptom: a VM whose own link refused connections took endpoints for ended. Sequence: it is
-// cut off, another VM gets answers of the same incarnations. That outweighs the refusals,
-// in whatever order VMs hear of both.
+// Guards against a VM whose own link refuses connections and that therefore takes endpoints for
+// terminated. While it is isolated, another VM gets responses from the same incarnations. The
+// responses must outweigh the refused connections, in whatever order VMs receive both.
 func TestResponseOutweighsRefusedConnections(t *testing.T) {
 	is := is.New(t)
 	isolated, other := New(), New()
@@ -105,14 +105,14 @@
 	is.Equal(isolated.Status(d).Level, 0)
 	other.Merge(3*time.Second, r)
 	is.Equal(other.Status(d).Level, 0)
-	// What was sent before the cut says nothing.
+	// A response to a request that was sent before the cut proves nothing.
 	late := New()
 	cutAndEnd(late, 5*time.Second, d, 9)
 	late.RecordResponse(6*time.Second, 4*time.Second, 9)
 	is.Equal(late.Status(d).Level, 1)
 }
 
-// An endpoint that says that it leaves has not ended with what was cut off there.
+// An endpoint that announces that it leaves was not terminated by the requests cut off there.
 func TestLeavingIsNotAnEnd(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -123,7 +123,7 @@
 	is.Equal(l.Status(d).Level, 0)
 }
 
-// A cut that was explained by an answer does not hide the next one at the same incarnation.
+// A cut that a later response explains does not hide the next cut at the same incarnation.
 func TestEndAfterInterruptedResponse(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -136,13 +136,13 @@
 	is.Equal(l.Status(d).Level, 0)
 	l.RecordEnd(3*time.Second, 1)
 	is.Equal(l.Status(d).Level, 1)
-	// A copy of the next generation that ended with the same incarnation adds nothing.
+	// A copy of the next generation at the same terminated incarnation adds nothing.
 	l.RecordCut(3*time.Second, 3*time.Second, d, 1, l.Status(d).Generation)
 	is.Equal(l.Status(d).Level, 1)
 }
 
-// Of a body that many callers share some copies succeed, however many endpoints end one
-// after the other: an answer clears it, and for a while it is no suspect.
+// When many callers send the same body, some copies succeed, however many endpoints terminate one
+// after the other. A response clears the body and exempts it from suspicion for a while.
 func TestSuccessClears(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -158,10 +158,10 @@
 	}
 }
 
-// Symptom: a page that all callers read was refused to them. Sequence: all engines of a
-// service end within a second, under another request; copies of the page run at each, and more
-// are sent to the addresses of those that have ended, where connections open and break. Cause:
-// three ends in a row with no answer in between, since nobody was left to give one.
+// Guards against refusing a page that all callers read. Another request crashes all engines of a
+// service within a second; copies of the page run at each, and more are sent to the
+// addresses of those that have terminated, where connections open and break. That made three
+// terminations in a row without a response in between, since no engine was left to respond.
 func TestServiceOutageDoesNotConvict(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -172,7 +172,7 @@
 		cutAndEnd(l, now, page, uint64(i))
 	}
 	is.Equal(l.Status(page).Level, 0)
-	// One that was never answered before, and comes again while nothing is there to end.
+	// A request that never got a response is retried while no endpoint is left to terminate.
 	other := digestOf(2)
 	cutAndEnd(l, 2*time.Second, other, 10)
 	for i := range 5 {
@@ -184,7 +184,7 @@
 	is.Equal(l.Status(other).Level, 1)
 }
 
-// A released request runs whatever it did.
+// A released request runs whatever is known against it.
 func TestRelease(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -199,7 +199,7 @@
 	is.True(l.Status(d).Convicted())
 }
 
-// What is quiet for long is forgotten, by everybody: others' word does not bring it back.
+// An entry whose TTL has passed is removed at every VM; records of other VMs do not bring it back.
 func TestExpiry(t *testing.T) {
 	is := is.New(t)
 	l, other := New(), New()
@@ -219,8 +219,8 @@
 	is.True(!other.Merge(time.Minute, old))
 }
 
-// Symptom: an attacker sends ever other bodies that end endpoints, so that the first one is
-// forgotten. What is convicted stays, and memory is bounded.
+// Guards against an attacker who keeps sending new bodies that crash endpoints, so that the first
+// one is evicted. Convicted requests stay, and memory is bounded.
 func TestManyBodiesDoNotEvictConvicted(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -241,7 +241,7 @@
 	is.True(l.Status(d).Convicted())
 }
 
-// Records that cannot be true are passed over: a garbled one would convict, or clear for ever.
+// Inconsistent records are ignored: a corrupt one could convict a request, or clear it for ever.
 func TestImplausibleRecords(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -260,7 +260,7 @@
 	is.Equal(l.Len(), 0)
 }
 
-// Turn tells all that matters, however few records fit into a note.
+// NextInRotation covers all entries that matter, however few records fit into a message.
 func TestNextInRotationCoversAll(t *testing.T) {
 	is := is.New(t)
 	l := New()
--- a/core/suspect/merge_test.go
+++ b/core/suspect/merge_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// genRecord is what a VM may know of one request, at few incarnations.
+// genRecord generates a record of one request at a few incarnations.
 func genRecord(t *rapid.T) Record {
 	n := rapid.IntRange(0, 5).Draw(t, "sightings")
 	r := Record{Digest: digestOf(1), Cleared: rapid.IntRange(0, 3).Draw(t, "cleared"), Age: time.Duration(rapid.IntRange(0, 5).Draw(t, "quiet")) * time.Second}
@@ -29,14 +29,14 @@
 	return l.Status(digestOf(1))
 }
 
-// Order, repeats and detours of what VMs tell each other do not matter.
+// Merging is independent of the order and duplication of records, and of the VMs that relay them.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(genRecord), 1, 6).Draw(t, "records")
 		want := merged(list)
 		shuffled := rapid.Permutation(append(append([]Record(nil), list...), list...)).Draw(t, "order")
 		if got := merged(shuffled); got != want {
-			t.Fatalf("in another order, with repeats: %+v, else %+v", got, want)
+			t.Fatalf("merged in another order, with duplicates: %+v; in order: %+v", got, want)
 		}
 		half := rapid.IntRange(0, len(list)).Draw(t, "half")
 		var detour []Record
@@ -50,13 +50,13 @@
 			}
 		}
 		if got := merged(detour); got != want {
-			t.Fatalf("by way of two VMs: %+v, else %+v", got, want)
+			t.Fatalf("merged through two VMs: %+v; directly: %+v", got, want)
 		}
 	})
 }
 
-// Hearing more never lowers what is known against a request, but for an answer: of the
-// request itself, or of an incarnation that was taken for ended.
+// Merging never lowers the level of a request, except after a response: to the request itself, or
+// from an incarnation that was taken for terminated.
 func TestMergeNeverLowersLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
@@ -71,7 +71,7 @@
 		}
 		l.Merge(10*time.Second, more)
 		if after := l.Status(digestOf(1)); after.Level < before.Level || after.PossibleLevel < before.PossibleLevel {
-			t.Fatalf("%+v after %+v", after, before)
+			t.Fatalf("level lowered: %+v after %+v", after, before)
 		}
 	})
 }
--- a/core/suspect/record.go
+++ b/core/suspect/record.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Sighting is what is known of a request at one incarnation of an endpoint. All three numbers
-// only grow, so merging two takes the greater of each.
+// Sighting is what is known of a request at one incarnation of an endpoint. The three numbers
+// only grow, and merging two sightings takes the maximum of each.
 type Sighting struct {
-	// Endpoint is the short name of the incarnation.
+	// Endpoint is the hash of the incarnation's key.
 	Endpoint uint64
-	// Generation is that of the last copy that was cut off there: its connection broke, or
-	// nothing came for too long. Generations count from 1.
+	// Generation is that of the last copy that was cut off there: its connection broke, or no
+	// data arrived for too long. Generations count from 1.
 	Generation int
-	// EndedAt is the generation after whose cut the incarnation was found to have ended:
-	// nothing listens at its address, another incarnation does, or the registry has
-	// dropped it without a word of its leaving. 0 for never.
+	// EndedAt is the generation after whose cut the incarnation was found to have terminated:
+	// nothing listens at its address, another incarnation does, or the registry has dropped it
+	// without an announcement that it leaves. 0 means never.
 	EndedAt int
-	// AliveAt is the generation after whose cut it was heard, or said that it leaves. It
-	// outweighs EndedAt, which a VM can take for true whose own link refuses connections.
+	// AliveAt is the generation after whose cut the incarnation responded, or announced that it
+	// leaves. It outweighs EndedAt, which a VM may set wrongly when its own link refuses
+	// connections.
 	AliveAt int
 }
 
-// relevant says whether the sighting may still speak against the request.
+// relevant reports whether the sighting still counts against the request.
 func (s Sighting) relevant(cleared int) bool { return s.Generation > max(cleared, s.AliveAt) }
 
-// ended says whether the incarnation has ended.
+// ended reports whether the incarnation has terminated.
 func (s Sighting) ended() bool { return s.EndedAt > s.AliveAt }
 
-// merge is what two sightings at the same incarnation say together.
+// merge returns the combination of two sightings at the same incarnation.
 func (s Sighting) merge(o Sighting) Sighting {
 	return Sighting{
 		Endpoint: s.Endpoint, Generation: max(s.Generation, o.Generation),
@@ -37,52 +38,54 @@
 	}
 }
 
-// Record is what VMs tell each other of one request.
+// Record is what VMs gossip about one request.
 type Record struct {
 	Digest    Digest
 	Sightings []Sighting
-	// Cleared is the generation up to which an answer has cleared the request.
+	// Cleared is the generation up to which a response has cleared the request.
 	Cleared int
-	// Age is how long ago the last sighting was.
+	// Age is the time since the last sighting.
 	Age time.Duration
 }
 
 // Status is what is known against a request.
 type Status struct {
-	// Level is how many generations have ended endpoints, PossibleLevel how many may have:
-	// with cuts at incarnations of which nothing is known yet.
+	// Level is the number of generations that have terminated endpoints. PossibleLevel also
+	// includes cuts at incarnations whose fate is not known yet.
 	Level, PossibleLevel int
-	// Generation is the last one known: a copy that is sent now and is cut belongs to the
+	// Generation is the last one known: a copy that is sent now and is cut off belongs to the
 	// next.
 	Generation int
-	// Released says that an operator lets the request run whatever it did.
+	// Released is set if an operator lets the request run whatever is known against it.
 	Released bool
 }
 
-// Convicted says that the request is not sent to an endpoint any more.
+// Convicted reports whether the request may no longer be sent to an endpoint.
 func (s Status) Convicted() bool { return s.Level >= ConvictionLevel && !s.Released }
 
-// OnTrial says that the request may run one copy at a time only, where few others do.
+// OnTrial reports whether the request may only run one copy at a time, where few other requests
+// run.
 func (s Status) OnTrial() bool { return s.Level > 0 && s.PossibleLevel >= trialLevel && !s.Released }
 
-// entry is a request that was cut off somewhere.
+// entry is the state of a request that was cut off at least once.
 type entry struct {
 	sightings map[uint64]*sighting
 	cleared   int
-	// lastSighting is when the last sighting was; it may lie before the start of the process.
-	// changedAt is when this VM last learned something, for telling others.
+	// lastSighting is the time of the last sighting, which may lie before the start of the
+	// process. changedAt is when this VM last learned something new, which selects records for
+	// gossip.
 	lastSighting, changedAt time.Duration
 	// reportedLevel is the level of the last Change.
 	reportedLevel int
 }
 
-// sighting is a Sighting with the time at which its last cut was learned here.
+// sighting is a Sighting with the time at which this VM learned of its last cut.
 type sighting struct {
 	Sighting
 	cutAt time.Duration
 }
 
-// status works out what is known against the request.
+// status computes the status of the request.
 func (e *entry) status() Status {
 	var ended, cut, top, topEnded int
 	for _, s := range e.sightings {
@@ -102,7 +105,7 @@
 	}
 }
 
-// mergeSighting takes in a sighting, and reports whether it says anything new.
+// mergeSighting merges a sighting, and reports whether it was new.
 func (e *entry) mergeSighting(now time.Duration, s Sighting) bool {
 	old := e.sightings[s.Endpoint]
 	if old == nil {
@@ -123,7 +126,7 @@
 	return e.sightings[s.Endpoint] != nil
 }
 
-// weakestSighting is the incarnation whose sighting says weakestSighting.
+// weakestSighting returns the incarnation whose sighting is the weakest evidence.
 func (e *entry) weakestSighting() uint64 {
 	return slices.MinFunc(e.list(), func(a, b Sighting) int {
 		switch ca, cb := a.relevant(e.cleared), b.relevant(e.cleared); {
@@ -136,7 +139,7 @@
 	}).Endpoint
 }
 
-// list is the sightings, in no order.
+// list returns the sightings in no particular order.
 func (e *entry) list() []Sighting {
 	list := make([]Sighting, 0, len(e.sightings))
 	for _, s := range e.sightings {
@@ -145,7 +148,7 @@
 	return list
 }
 
-// record is the entry as others are told.
+// record returns the entry as a Record for other VMs.
 func (e *entry) record(now time.Duration, d Digest) Record {
 	list := e.list()
 	slices.SortFunc(list, func(a, b Sighting) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
--- a/core/suspect/telling.go
+++ b/core/suspect/telling.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// recentFor is for how long what is new goes into each note. Notes leave ten times a second to
-// five VMs and more, so each round multiplies those who know by about six: 1,800 VMs
-// know after five rounds, half a second; the rest of the time is for notes that are lost.
+// recentFor is how long a new record goes into each gossip message. Messages leave ten times a
+// second to at least five VMs, so each round multiplies the number of VMs that have the record
+// by about six: it reaches 1,800 VMs after five rounds, half a second. The rest of the time makes
+// up for lost messages.
 const recentFor = 1500 * time.Millisecond
 
-// Recent returns up to n records of what was learned lately, those that matter most first: they
-// go into each note.
+// Recent returns up to n records that changed recently, the most important first. They go into
+// each gossip message.
 func (t *Tracker) Recent(now time.Duration, n int) []Record {
 	type candidate struct {
 		d       Digest
@@ -36,7 +37,7 @@
 	return records
 }
 
-// HighestLevel returns up to n records of the requests against which most is known.
+// HighestLevel returns up to n records of suspect requests, those with the highest level first.
 func (t *Tracker) HighestLevel(now time.Duration, n int) []Record {
 	list := make([]Record, 0, n)
 	for level := ConvictionLevel; level > 0; level-- {
@@ -49,8 +50,8 @@
 	return list
 }
 
-// NextInRotation returns up to n records, over many calls all of them in turn: VMs that missed a note or
-// have just started learn from it what the others know.
+// NextInRotation returns up to n records. Successive calls go through all of them, so that VMs
+// that missed a message or have just started receive every record.
 func (t *Tracker) NextInRotation(now time.Duration, n int) []Record {
 	all := make([]Digest, 0, len(t.entries))
 	for d, e := range t.entries {
@@ -73,7 +74,7 @@
 	return records
 }
 
-// ConvictedDigests returns the requests that are convicted, released ones included.
+// ConvictedDigests returns the convicted requests, including released ones.
 func (t *Tracker) ConvictedDigests() []Digest {
 	var list []Digest
 	for d, e := range t.entries {
@@ -84,7 +85,7 @@
 	return list
 }
 
-// RecordOf returns what is known of a request; ok is false if nothing is.
+// RecordOf returns the record of a request; ok is false if there is none.
 func (t *Tracker) RecordOf(now time.Duration, d Digest) (r Record, ok bool) {
 	e := t.entries[d]
 	if e == nil {
