--- a/core/notice/bench_test.go
+++ b/core/notice/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// filledTracker is a ledger of many endpoints that all name limits.
+// filledTracker returns a tracker of many endpoints that all name limits.
 func filledTracker(endpoints uint64) *Tracker {
 	l := New()
 	for name := range endpoints {
@@ -14,10 +14,11 @@
 	return l
 }
 
-// targetEndpoints is how many endpoints a VM of the largest deployment knows.
+// targetEndpoints is the number of endpoints that a VM of the largest deployment knows.
 const targetEndpoints = 12000
 
-// BenchmarkRecordResponse is one answer, of an endpoint that says nothing and of one that names a limit beside all others.
+// BenchmarkRecordResponse measures recording one response, of an endpoint without notices and of one that names a
+// limit while all others do as well.
 func BenchmarkRecordResponse(b *testing.B) {
 	b.Run("nothing", func(b *testing.B) {
 		l := New()
@@ -33,7 +34,8 @@
 	})
 }
 
-// BenchmarkGossipRecords is the records of one note, of those that come ten times a second and of those once a second.
+// BenchmarkGossipRecords measures building the records of one gossip message: recent ones, ten times a second, and
+// those in rotation, once a second.
 func BenchmarkGossipRecords(b *testing.B) {
 	l := filledTracker(targetEndpoints)
 	for range maxSends {
--- a/core/notice/fleet_test.go
+++ b/core/notice/fleet_test.go
@@ -12,14 +12,15 @@
 
 const (
 	gossipInterval = 100 * time.Millisecond
-	// recentRecords and rotationRecords are how many records a note tells, wholeEvery which notes tell those in rotationRecords.
+	// recentRecords and rotationRecords are the numbers of records in a message; one message in rotationEvery carries
+	// the latter. One in lossEvery records is lost.
 	recentRecords, rotationRecords = 16, 8
 	rotationEvery                  = 10
 	lossEvery                      = 50
 )
 
-// timeToSpread plays how many notes it takes until all VMs of a number of failure domains know what one of them
-// was told by its endpoints; each failure domain has as many placers as it needs.
+// timeToSpread simulates gossip and returns how long it takes until all VMs of a number of failure domains have
+// received the limits that one VM learned from its endpoints. Each failure domain has as many placers as it needs.
 func timeToSpread(t *testing.T, domains, perDomain, changes int) time.Duration {
 	t.Helper()
 	type vm struct {
@@ -84,14 +85,14 @@
 			return now
 		}
 	}
-	t.Fatal("some never hear of it")
+	t.Fatal("some VMs never received the limits")
 	return 0
 }
 
-// convergenceLimit is how long after an endpoint first names a limit it holds.
+// convergenceLimit is the time after an endpoint first names a limit from which all VMs must respect it.
 const convergenceLimit = 3 * time.Second
 
-// Guards against VMs that hear too late of a limit that an endpoint names.
+// Guards against VMs that receive a limit named by an endpoint too late.
 func TestLimitReachesAllVMsInTime(t *testing.T) {
 	for _, c := range []struct{ domains, perDomain, changes int }{
 		{3, 3, 1}, {4, 17, 1}, {6, 50, 1}, {13, 138, 1}, {3, 3, 100}, {4, 17, 100}, {6, 50, 100},
--- a/core/notice/ledger.go
+++ b/core/notice/ledger.go
@@ -8,57 +8,58 @@
 )
 
 const (
-	// transitAllowance is by how much what another VM saw counts as older: the word of it may have been under way for
-	// as long, and must not pass for later than what was said since.
+	// transitAllowance is subtracted from the times that another VM reports: its message may have been in transit
+	// for that long, and must not override a response that was received here in the meantime.
 	transitAllowance = 500 * time.Millisecond
-	// maxSends is how many notes tell of a change before it is told in turn alone: few datagrams are lost.
+	// maxSends is the number of gossip messages that carry a change before it is only sent in rotation. Few
+	// datagrams are lost.
 	maxSends = 3
-	// maxEntries bounds the incarnations that are remembered.
+	// maxEntries bounds the number of tracked incarnations.
 	maxEntries = 1 << 14
-	// gossipFor is how long after an incarnation was last listed or heard here others are told of it. Else VMs would
-	// remind each other for ever of those that are gone.
+	// gossipFor is how long an incarnation is gossiped after it was last listed, or last responded, here. Without
+	// this bound VMs would send each other records of terminated incarnations for ever.
 	gossipFor = 20 * time.Second
-	// maxAge bounds ages.
+	// maxAge bounds the ages in received records.
 	maxAge = 365 * 24 * time.Hour
 )
 
-// Never is the age of what did not happen.
+// Never is the age of an event that has not happened.
 const Never time.Duration = -1
 
-// Record is what one VM tells others of an incarnation. Ages are as of when it is told.
+// Record is what one VM gossips about an incarnation. Ages are relative to when it is sent.
 type Record struct {
-	// Endpoint is the short name of the incarnation.
+	// Endpoint is the hash of the incarnation's key.
 	Endpoint uint64
-	// Limit is the limit that was named in answer to the request that was sent last of those whose answer
-	// named one, Asked how long ago that was sent. Named is how long ago the last such answer came, Lifted how
-	// long ago the last request was sent whose answer named none.
+	// Limit is the limit, in requests a second, from the response to the latest request whose response named one.
+	// Asked is the time since that request was sent, Named the time since the last response that named a limit
+	// arrived, and Lifted the time since the latest request was sent whose response named none.
 	Limit                float64
 	Asked, Named, Lifted time.Duration
-	// Leaving says that the incarnation said that it leaves, which holds for the rest of its life.
+	// Leaving is set if the incarnation announced that it leaves. That is permanent.
 	Leaving bool
-	// Backoff is for how much longer it wants nothing from the VM that tells.
+	// Backoff is for how much longer the incarnation wants no requests from the VM that sends the record.
 	Backoff time.Duration
 }
 
-// Valid says whether a record can be.
+// Valid reports whether the limit is a finite number that is not negative.
 func (r Record) Valid() bool { return r.Limit >= 0 && !math.IsInf(r.Limit, 0) }
 
-// stamp is a moment of the VM's process, if it ever was.
+// stamp is a time of the VM's process, if set.
 type stamp struct {
 	at  time.Duration
 	set bool
 }
 
-// after says whether it is the later one.
+// after reports whether s is later than o.
 func (s stamp) after(o stamp) bool { return s.set && (!o.set || s.at > o.at) }
 
-// lessTransit is the moment as others take it.
+// lessTransit returns the stamp of another VM, adjusted by transitAllowance.
 func (s stamp) lessTransit() stamp {
 	s.at -= transitAllowance
 	return s
 }
 
-// age is its age.
+// age returns the time since the stamp, or Never.
 func (s stamp) age(now time.Duration) time.Duration {
 	if !s.set {
 		return Never
@@ -66,7 +67,7 @@
 	return max(0, now-s.at)
 }
 
-// stampFromAge is the moment of an age.
+// stampFromAge converts an age to a stamp.
 func stampFromAge(now, age time.Duration) stamp {
 	if age < 0 {
 		return stamp{}
@@ -74,18 +75,18 @@
 	return stamp{at: now - min(age, maxAge), set: true}
 }
 
-// entry is what is known of one incarnation.
+// entry is the state of one incarnation.
 type entry struct {
 	limit                float64
 	asked, named, lifted stamp
 	leaving              bool
-	// backoffUntil is when the backoffUntil for which it asked this VM ends, othersBackoffUntil when that for which it asked
-	// another does.
+	// backoffUntil is when the backoff ends that the incarnation asked of this VM, othersBackoffUntil the latest end
+	// of those that it asked of other VMs.
 	backoffUntil, othersBackoffUntil time.Duration
-	// changedAt is when what holds changedAt last, tells how many notes told of that.
+	// changedAt is when the notice or a backoff last changed, sends the number of messages that carried the change.
 	changedAt time.Duration
 	sends     int
-	// listed is when the registry was last seen to list it, responded when an answer of it last came here.
+	// listed is when the registry was last seen to list the incarnation, responded when its last response arrived here.
 	listed, responded stamp
 }
 
@@ -97,21 +98,22 @@
 	return n
 }
 
-// Tracker is what one VM knows. Times are those of its process; it is not safe for concurrent use. Records of
-// other VMs may come in any order and again.
+// Tracker holds the notices that one VM knows. Times are those of its process. It is not safe for concurrent use.
+// Records of other VMs may arrive in any order and repeatedly.
 type Tracker struct {
 	entries map[uint64]*entry
-	// cursor is the short name at which the next Turn begins.
+	// cursor is the hash at which the next NextInRotation begins.
 	cursor uint64
 }
 
-// New returns an empty ledger.
+// New returns an empty tracker.
 func New() *Tracker { return &Tracker{entries: make(map[uint64]*entry)} }
 
-// RecordResponse takes in an answer of an incarnation to a request that was sent at a time, and reports whether what
-// holds has changed. Answers on different connections overtake each other: a limit holds until an answer
-// names none whose request was sent after the last one that named it had come, and of two limits that of the
-// request that was sent later, or the lower one if its answer came later.
+// RecordResponse records a response of an incarnation to a request that was sent at the given time, and reports
+// whether its notice or a backoff changed. Responses on different connections overtake each other. A limit
+// therefore holds until a response names none to a request that was sent after the last response with a limit had
+// arrived. Of two limits, that of the later request holds, or the lower one if the response to the earlier request
+// arrives last.
 func (t *Tracker) RecordResponse(now, sent time.Duration, endpoint uint64, n Notice) bool {
 	e := t.entries[endpoint]
 	if e == nil && !n.HasLimit && !n.Leaving && n.Backoff == 0 {
@@ -152,7 +154,7 @@
 	}
 }
 
-// update changes an entry and reports whether what holds has changed.
+// update applies a change to an entry and reports whether its notice or a backoff changed.
 func (t *Tracker) update(now time.Duration, endpoint uint64, apply func(*entry)) bool {
 	e := t.entries[endpoint]
 	if e == nil {
@@ -171,13 +173,13 @@
 	return true
 }
 
-// active says whether something does by a record.
+// active reports whether the record contains a limit, a backoff or that the incarnation leaves.
 func (r Record) active() bool {
 	limited := r.Named >= 0 && (r.Lifted < 0 || r.Lifted >= r.Named)
 	return limited || r.Leaving || r.Backoff > 0
 }
 
-// Merge takes in what another VM knows, and reports whether what holds has changed. listed says that the
+// Merge merges a record of another VM, and reports whether the notice or a backoff changed. listed is whether the
 // registry lists the incarnation, as far as this VM knows.
 func (t *Tracker) Merge(now time.Duration, r Record, listed bool) bool {
 	if t.entries[r.Endpoint] == nil && !listed && !r.active() {
@@ -199,7 +201,7 @@
 	})
 }
 
-// Current is what an incarnation says of itself now.
+// Current returns the notice that holds for an incarnation now.
 func (t *Tracker) Current(endpoint uint64) Notice {
 	if e := t.entries[endpoint]; e != nil {
 		return e.current()
@@ -207,8 +209,8 @@
 	return Notice{}
 }
 
-// BackoffEnds are when the rest ends for which an incarnation asked this VM, and that for which it asked another.
-// Each is the latest that was named: an answer that comes later ends none.
+// BackoffEnds returns when the backoff ends that an incarnation asked of this VM, and the latest end of those that it
+// asked of other VMs. Each is the latest end that was named: a later response ends no backoff early.
 func (t *Tracker) BackoffEnds(endpoint uint64) (own, others time.Duration) {
 	if e := t.entries[endpoint]; e != nil {
 		return e.backoffUntil, e.othersBackoffUntil
@@ -216,8 +218,9 @@
 	return 0, 0
 }
 
-// Expire drops incarnations that were not listed for a time, or of which nothing holds since then: the registry
-// may list them later here than elsewhere, or again. It returns those by which something held.
+// Expire removes incarnations that have not changed for the time within, and that either were not listed for as long
+// or have no active notice or backoff. It waits because the registry may list an incarnation here later than
+// elsewhere, or again. It returns the removed incarnations that had an active notice or backoff.
 func (t *Tracker) Expire(now, within time.Duration, listed func(endpoint uint64) bool) (expired []uint64) {
 	for name, e := range t.entries {
 		active := e.current() != Notice{} || e.backoffUntil > now
@@ -240,8 +243,8 @@
 	return Record{Endpoint: endpoint, Limit: e.limit, Asked: e.asked.age(now), Named: e.named.age(now), Lifted: e.lifted.age(now), Leaving: e.leaving, Backoff: max(0, e.backoffUntil-now)}
 }
 
-// Recent are at most n records that changed lately, for one note: those by which something holds for all VMs
-// first, then those that fewer notes told.
+// Recent returns at most n records that changed recently, for one gossip message. Records with a notice that holds
+// for all VMs come first, then those that fewer messages have carried.
 func (t *Tracker) Recent(now time.Duration, n int) []Record {
 	list := t.selectRecords(now, n, func(e *entry) bool { return e.sends < maxSends && e.gossiped(now) })
 	for _, r := range list {
@@ -250,17 +253,17 @@
 	return list
 }
 
-// Active are at most n records by which something holds.
+// Active returns at most n records with an active notice or backoff.
 func (t *Tracker) Active(now time.Duration, n int) []Record {
 	return t.selectRecords(now, n, func(e *entry) bool { return (e.current() != Notice{} || e.backoffUntil > now) && e.gossiped(now) })
 }
 
-// gossiped says whether others are gossiped of it.
+// gossiped reports whether the entry is still sent to other VMs.
 func (e *entry) gossiped(now time.Duration) bool {
 	return e.listed.set && now-e.listed.at <= gossipFor || e.responded.set && now-e.responded.at <= gossipFor
 }
 
-// priority is 1 where something holds for all VMs, 0 for a rest.
+// priority is 1 for a notice that holds for all VMs, and 0 for a backoff alone.
 func (e *entry) priority() int {
 	if e.current() == (Notice{}) {
 		return 0
@@ -286,7 +289,7 @@
 	return list
 }
 
-// NextInRotation are the next n records, so that all come up equally often.
+// NextInRotation returns the next n records, so that all are sent equally often.
 func (t *Tracker) NextInRotation(now time.Duration, n int) []Record {
 	names := make([]uint64, 0, len(t.entries))
 	for name, e := range t.entries {
--- a/core/notice/ledger_test.go
+++ b/core/notice/ledger_test.go
@@ -31,7 +31,7 @@
 	is.Equal(l.Current(endpoint), limited(0))
 }
 
-// Guards against an older answer without a limit that comes later and ends one.
+// Guards against lifting a limit on an older response without a limit that arrives later.
 func TestOlderResponseDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -41,7 +41,7 @@
 	is.Equal(l.Current(endpoint), limited(2.5))
 }
 
-// Guards against a limit that stays at what was once named, where answers always overlap.
+// Guards against a limit that stays at the first value named when responses always overlap.
 func TestLimitFollowsChanges(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -52,14 +52,14 @@
 		l.RecordResponse(at+300*ms, at, endpoint, limited(4))
 	}
 	is.Equal(l.Current(endpoint), limited(4))
-	// The lower of two whose order is not known.
+	// The lower limit holds if the order of two is unknown.
 	l.RecordResponse(2400*ms, 1900*ms, endpoint, limited(1))
 	is.Equal(l.Current(endpoint), limited(1))
 	l.RecordResponse(2500*ms, 2450*ms, endpoint, limited(4))
 	is.Equal(l.Current(endpoint), limited(4))
 }
 
-// Guards against another VM's older word that ends a limit, or changes it.
+// Guards against an older record of another VM that lifts a limit, or changes it.
 func TestStaleRecordChangesNothing(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -78,7 +78,7 @@
 	is.True(Record{Limit: math.MaxFloat64}.Valid())
 }
 
-// Guards against VMs that end with different words for the order in which they heard the same.
+// Guards against VMs that reach different results from the same records in different order.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -105,7 +105,7 @@
 			b.Merge(now, records[i], true)
 		}
 		if a.Current(endpoint).HasLimit != b.Current(endpoint).HasLimit {
-			t.Fatalf("%v and %v", a.Current(endpoint), b.Current(endpoint))
+			t.Fatalf("different results: %v and %v", a.Current(endpoint), b.Current(endpoint))
 		}
 	})
 }
@@ -123,7 +123,7 @@
 	is.Equal(len(l.NextInRotation(0, 8)), 1)
 }
 
-// Guards against records that are never told where there are many.
+// Guards against records that are never sent when there are many.
 func TestNextInRotationCoversAll(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -142,7 +142,8 @@
 	}
 }
 
-// Guards against an incarnation that has said that it leaves and says later, or elsewhere, that it does not.
+// Guards against an incarnation that has announced that it leaves and is used again, because a later response or
+// another VM says otherwise.
 func TestLeavingIsPermanent(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -155,7 +156,7 @@
 	is.Equal(other.Current(endpoint), Notice{Leaving: true})
 }
 
-// Guards against a rest that an answer that comes later, or another VM's word, ends sooner than any named.
+// Guards against a backoff that a later response, or a record of another VM, ends before the latest end named.
 func TestBackoffLastsToLatestEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -174,13 +175,13 @@
 			}
 			l.Expire(now, time.Second, func(uint64) bool { return true })
 			if own, _ := l.BackoffEnds(endpoint); own < end && end > now {
-				t.Fatalf("ends at %v in place of %v", own, end)
+				t.Fatalf("backoff ends at %v, want at least %v", own, end)
 			}
 		}
 	})
 }
 
-// Guards against a rest that grows as VMs tell each other of it again and again.
+// Guards against a backoff that grows because VMs relay it to each other again and again.
 func TestBackoffIsNotRelayed(t *testing.T) {
 	is := is.New(t)
 	a, b := New(), New()
@@ -192,7 +193,7 @@
 	is.Equal(b.NextInRotation(0, 1)[0].Backoff, time.Duration(0))
 }
 
-// Guards against an answer that does not tell whether there is a limit ending one.
+// Guards against lifting a limit on a response that does not tell whether there is one.
 func TestUnknownLimitDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -202,7 +203,7 @@
 	is.Equal(l.Current(endpoint), Notice{Limit: 2.5, HasLimit: true, Leaving: true})
 }
 
-// Guards against VMs that remind each other for ever of incarnations that are gone.
+// Guards against VMs that send each other records of terminated incarnations for ever.
 func TestGoneIncarnationsExpireEverywhere(t *testing.T) {
 	const gone = 30 * time.Second
 	var vms [3]*Tracker
@@ -226,13 +227,13 @@
 		for _, l := range vms {
 			l.Expire(now, time.Minute, func(uint64) bool { return listed })
 			if now == gone && !l.Current(endpoint).HasLimit {
-				t.Fatal("forgotten too soon")
+				t.Fatal("expired too early")
 			}
 		}
 	}
 	for _, l := range vms {
 		if len(l.entries) > 0 {
-			t.Errorf("%d incarnations are remembered", len(l.entries))
+			t.Errorf("%d incarnations have not expired", len(l.entries))
 		}
 	}
 }
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,18 +1,19 @@
-// Package notice keeps what incarnations of endpoints say of themselves in their answers. It is pure:
-// answers, what other VMs know, and the time come in.
+// Package notice tracks what incarnations of endpoints announce about themselves in their responses: rate limits,
+// backoff and that they leave. It performs no I/O: responses, records of other VMs and the current time are passed
+// in.
 package notice
 
 import "time"
 
-// Notice is what one answer of an incarnation says of it.
+// Notice is what one response of an incarnation announces about it.
 type Notice struct {
-	// Limit is how many requests a second the incarnation takes from all VMs together, if HasLimit.
+	// Limit is how many requests a second the incarnation accepts from all VMs together, if HasLimit is set.
 	Limit    float64
 	HasLimit bool
-	// LimitUnknown says that the answer does not tell whether there is a limit.
+	// LimitUnknown is set if the response does not tell whether there is a limit.
 	LimitUnknown bool
-	// Leaving says that it gets no new requests for the rest of its life.
+	// Leaving is set if the incarnation takes no new requests for the rest of its life.
 	Leaving bool
-	// Backoff is for how long it wants nothing from the VM that it turned away; 0 if it did not ask.
+	// Backoff is for how long it wants no requests from the VM that it refused; 0 if it did not ask for any.
 	Backoff time.Duration
 }
