--- a/core/limit/fleet_test.go
+++ b/core/limit/fleet_test.go
@@ -13,13 +13,13 @@
 	"github.com/chivefield/chivefield/core/notice"
 )
 
-// The bound on what reaches an endpoint that names a limit, over all VMs.
+// In each window at most factor times the limit plus slack requests may reach an endpoint from all VMs together.
 const (
 	window = 4 * time.Second
 	factor = 1.5
 	slack  = 5
-	// settleTime is how long after it first named a limit the bound holds, told how long after a VM got an answer
-	// that names it what that VM sends counts.
+	// settleTime is how long after an endpoint first named a limit the bound applies. Requests of a VM count from
+	// responseGrace after it got a response that names the limit.
 	settleTime    = 3 * time.Second
 	responseGrace = 500 * time.Millisecond
 
@@ -35,7 +35,7 @@
 	steps          = 500
 )
 
-// vm is a VM of the model with its process, if sched is not nil. Every VM places its own requests.
+// vm is a simulated VM; its process runs if sched is not nil. Every VM places its own requests.
 type vm struct {
 	name, domain string
 	listed       bool
@@ -43,23 +43,23 @@
 
 	sched  *dispatch.Scheduler
 	ledger *notice.Tracker
-	// known are the VMs that it knows, heard when each spoke last.
+	// known are the VMs that it knows, lastGossip is when each last sent a message.
 	known      map[int]bool
 	lastGossip map[int]time.Duration
 	started    time.Duration
-	// limitSeenAt is when it first got an answer that names a limit.
+	// limitSeenAt is when it first got a response that names a limit.
 	limitSeenAt  time.Duration
 	hasSeenLimit bool
 	process      int
 }
 
-// event is something that happens later.
+// event is an action scheduled for later.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// fleet plays VMs before one endpoint and counts what reaches it.
+// fleet simulates VMs that send to one endpoint, and counts the requests that reach it.
 type fleet struct {
 	t       *rapid.T
 	rand    *rand.Rand
@@ -67,7 +67,7 @@
 	vms     [maxVMs]vm
 	pending []event
 	handle  uint64
-	// limit is what the endpoint names, since when, if it does.
+	// limit is the limit that the endpoint names if hasLimit is set, limitSince the time of the last change.
 	limit      float64
 	hasLimit   bool
 	limitSince time.Duration
@@ -103,12 +103,12 @@
 	}
 }
 
-// randomDelay draws a delay.
+// randomDelay returns a random delay below limit.
 func (f *fleet) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(f.rand.Int64N(int64(limit)))
 }
 
-// schedule has something happen later, if the process of a VM still lives then.
+// schedule runs a function after a delay, if the process of the VM still runs then.
 func (f *fleet) schedule(delay time.Duration, i int, do func(v *vm)) {
 	process := f.vms[i].process
 	f.pending = append(f.pending, event{f.now + delay, func() {
@@ -118,7 +118,7 @@
 	}})
 }
 
-// gossip sends a VM's note to those on its side.
+// gossip sends a VM's message to the VMs in its partition that it knows.
 func (f *fleet) gossip(i int) {
 	from := &f.vms[i]
 	records := from.ledger.NextInRotation(f.now, 1)
@@ -148,7 +148,7 @@
 	v.sched.LiftLimit(name)
 }
 
-// reachable is how many VMs one hears, with itself.
+// reachable returns the number of VMs heard from recently, including itself.
 func (f *fleet) reachable(v *vm) int {
 	n := 1
 	for _, at := range v.lastGossip {
@@ -159,7 +159,7 @@
 	return n
 }
 
-// request has a caller's request placed and sent, if there is room at once.
+// request submits a caller's request and sends it, if it is placed at once.
 func (f *fleet) request(i int) {
 	v := &f.vms[i]
 	f.handle++
@@ -174,7 +174,7 @@
 	v.sched.Withdraw(f.now, service, handle)
 }
 
-// arrive counts a request at the endpoint, which answers later.
+// arrive counts a request at the endpoint, which responds later.
 func (f *fleet) arrive(i int, v *vm, handle uint64, sent time.Duration) {
 	if f.hasLimit && v.hasSeenLimit && f.now >= v.limitSeenAt+responseGrace {
 		f.arrivals = append(f.arrivals, f.now)
@@ -212,7 +212,7 @@
 	}
 }
 
-// setLimit has the endpoint setLimit a limit, or none: what was counted before is of another need.
+// setLimit makes the endpoint name a limit, or none. It resets the counts, which belong to the previous limit.
 func (f *fleet) setLimit(limit float64, hasLimit bool) {
 	f.limit, f.hasLimit, f.limitSince, f.arrivals = limit, hasLimit, f.now, nil
 	for i := range f.vms {
@@ -250,8 +250,8 @@
 	}
 }
 
-// Guards against VMs that together send more than an endpoint names, while they start, are cut off from each
-// other, die, learn late and send late.
+// Guards against VMs that together exceed the limit that an endpoint names, while they start, are partitioned, crash,
+// and receive and send messages late.
 func TestAllVMsTogetherStayWithinLimit(t *testing.T) {
 	counted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -277,14 +277,14 @@
 	})
 	t.Logf("%d requests counted", counted)
 	if counted == 0 {
-		t.Error("nothing was counted")
+		t.Error("no requests were counted")
 	}
 }
 
-// limits are those that the endpoint may name.
+// limits are the values that the endpoint may name.
 var limits = []float64{0, 0.1, 0.5, 1, 2.5, 4, 10, 60}
 
-// disturb may change something, and returns which VM may be added next.
+// disturb injects at most one random fault, and returns the index of the VM to add next.
 func (f *fleet) disturb(first, next int) int {
 	i := f.rand.IntN(first)
 	switch f.rand.IntN(100) {
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,38 +1,37 @@
-// Package limit bounds what all VMs together send to an endpoint that names how many requests a second
-// it takes.
+// Package limit enforces, over all VMs together, the rate limit in requests a second that an endpoint names.
 //
-// One VM sends at a time, the first of those that place requests, in an order by endpoint that all
-// agree on; a placer serves the VMs that ask it. So nothing is divided by a number of VMs, and
-// nothing is handed out that could be lost or held twice. VMs disagree on who is first for as long as
-// they do not hear each other: while words are under way, and for the length of a cut. Therefore one
-// uses fullPart of the limit only if it hears the placers of more than half of all VMs known, which
-// at most one side of a cut does; all others together use lesserPart. Lists of VMs differ while VMs are
-// added: even if two take themselves for the first on the larger side, they stay within one and a half
-// times the limit together.
+// For each endpoint one VM sends at a time: the first among the placers, in an order by endpoint that all VMs
+// agree on. A placer serves the VMs that request placements from it. No quota is therefore divided by the number of
+// VMs, and none is handed out that could be lost or held twice. VMs disagree on who is first for as long as
+// they do not receive each other's gossip: while messages are in transit, and during a partition. Therefore a VM
+// uses majorityShare of the limit only if it reaches the placers of more than half of all known VMs, which is
+// possible on at most one side of a partition; all others together use minorityShare. Lists of VMs differ while VMs
+// are added. Even if two VMs then both take themselves for the first on the larger side, they stay within one and a
+// half times the limit together.
 //
-// What is earned is not kept: a VM that begins to send starts with nothing, so that the bound holds
-// over any change of who sends.
+// Tokens are not carried over: a VM that begins to send starts with an empty bucket, so that the bound holds
+// across any change of sender.
 package limit
 
 import "time"
 
 const (
-	// majorityShare is the part of a limit that is used where more than half of the VMs are heard.
+	// majorityShare is the share of a limit that may be used by a VM that reaches more than half of the VMs.
 	majorityShare = 0.7
-	// minorityShare is what all VMs that hear fewer may use together.
+	// minorityShare is the share that all VMs that reach fewer may use together.
 	minorityShare = 0.2
-	// minRate is how many requests a second are sent at least, by who uses fullPart: an endpoint that
-	// is never asked cannot say that its need is over.
+	// minRate is the least rate in requests a second of a VM that uses majorityShare. An endpoint that never gets a
+	// request cannot announce that its limit no longer applies.
 	minRate = 0.1
-	// burstWindow is how long what is earned is kept, beside one request.
+	// burstWindow is for how long tokens accumulate, in addition to one request.
 	burstWindow = 100 * time.Millisecond
-	// maxRefillInterval is the longest time that is earned for at once: who was not asked for longer may not
+	// maxRefillInterval is the longest interval that one refill credits. A VM that was not refilled for longer may not
 	// have been the one to send.
 	maxRefillInterval = 250 * time.Millisecond
 )
 
-// Share is the part of each limit that a VM may use which is first in the order for it, if the
-// placers that it hears serve a number of the VMs that it knows; 0 if it does not know how many there are.
+// Share returns the share of each limit that a VM may use which is first in the order for the endpoint, if
+// the placers it reaches serve the given number of the known VMs. It returns 0 if either number is not known.
 func Share(reachable, known int) float64 {
 	switch {
 	case known <= 0 || reachable <= 0:
@@ -43,7 +42,7 @@
 	return minorityShare * float64(reachable) / float64(known)
 }
 
-// Bucket is what one VM may send to an endpoint. Times are by one clock that only advances. It is not safe for
+// Bucket is the token bucket of one VM for one endpoint. Times are of one monotonic clock. It is not safe for
 // concurrent use.
 type Bucket struct {
 	limit      float64
@@ -54,7 +53,7 @@
 // New returns an empty bucket for a limit in requests a second.
 func New(now time.Duration, limit float64) *Bucket { return &Bucket{limit: limit, refilledAt: now} }
 
-// Limit is the limit in requests a second.
+// Limit returns the limit in requests a second.
 func (b *Bucket) Limit() float64 { return b.limit }
 
 // SetLimit changes the limit.
@@ -65,7 +64,8 @@
 
 func (b *Bucket) capacity(rate float64) float64 { return 1 + rate*burstWindow.Seconds() }
 
-// Refill earns for the time since the last call, if the VM may use a part of the limit now.
+// Refill adds the tokens for the time since the last call, at the share of the limit that the VM may use now. A
+// share of 0 empties the bucket.
 func (b *Bucket) Refill(now time.Duration, share float64) {
 	step := min(now-b.refilledAt, maxRefillInterval)
 	b.refilledAt = now
@@ -80,11 +80,11 @@
 	b.tokens = min(b.tokens+rate*step.Seconds(), b.capacity(rate))
 }
 
-// roundingTolerance is the error of sums that is let pass.
+// roundingTolerance is the accepted floating-point error of sums.
 const roundingTolerance = 1e-9
 
-// Ready says whether a request may be sent.
+// Ready reports whether a request may be sent.
 func (b *Bucket) Ready() bool { return b.tokens >= 1-roundingTolerance }
 
-// Take notes that a request is sent.
+// Take removes the token of a request that is sent.
 func (b *Bucket) Take() { b.tokens = max(0, b.tokens-1) }
