--- a/core/members/incarnation_test.go
+++ b/core/members/incarnation_test.go
@@ -13,9 +13,8 @@
 	return c
 }
 
-// Symptom: an endpoint that had announced its leaving and started again under the same id
-// got no requests any more. Sequence: it leaves; it starts again; the registry lists it as
-// ready. Cause: what leaves was taken never to return, by id alone.
+// Guards against an endpoint that gets no requests after it has announced that it leaves, has restarted under the
+// same id and is listed as ready: an id must not be taken for an incarnation.
 func TestNextIncarnationServes(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -26,16 +25,16 @@
 	is.Equal(s.Usable("s")[0].Key(), "a@2000")
 }
 
-// Symptom: requests went to an incarnation that was gone. Sequence: an endpoint starts
-// again; a record from before it comes late, from a VM that lags or after a compaction.
-// Cause: the last record read counted, whatever start it told.
+// Guards against requests sent to a terminated incarnation. An endpoint restarts, and a record from before
+// the restart arrives late, from a VM that lags or after a compaction. The last record read must not
+// override one of a later start.
 func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Apply(0, born("a", 2000, true))
 	s.Apply(0, born("a", 1000, false))
 	is.Equal(len(ids(s)), 0)
-	// Also when the later one has been removed meanwhile.
+	// The same holds when the later incarnation has been removed in the meantime.
 	s.Apply(0, Change{ID: "a"})
 	s.Apply(0, born("a", 1000, false))
 	is.Equal(len(ids(s)), 0)
@@ -43,8 +42,8 @@
 	is.Equal(ids(s), []string{"b"})
 }
 
-// Symptom: an endpoint went on to get requests though another writer's record stood in
-// its place. The record names nobody; the others hold.
+// Guards against sending requests to an endpoint whose record has been replaced by another writer's. The
+// unreadable record removes that endpoint only.
 func TestUnreadableRecordRemovesEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := New()
--- a/core/members/leave_test.go
+++ b/core/members/leave_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against an incarnation that has said that it leaves and is used again by an older record, a copy of
-// the registry, or its return.
+// Guards against an incarnation that has announced that it leaves and is used again because of an older record,
+// a restored registry, or the end of a registry outage.
 func TestLeavingIncarnationStaysOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -52,7 +52,7 @@
 				s.Apply(now, record())
 			}
 			if step >= leaveStep && len(s.Usable("s")) > 0 {
-				t.Fatalf("used %d steps after it said that it leaves", step-leaveStep)
+				t.Fatalf("used %d steps after it announced that it leaves", step-leaveStep)
 			}
 		}
 		s.Apply(now, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Born: 7, Service: "s"}})
@@ -62,7 +62,7 @@
 	})
 }
 
-// Guards against requests that are cut off by a leaving endpoint passing for its end.
+// Guards against treating requests that a leaving endpoint cuts off as evidence of an unexpected termination.
 func TestAnnouncedDepartureIsLeaving(t *testing.T) {
 	s := New()
 	s.Apply(0, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Service: "s"}})
@@ -70,6 +70,6 @@
 	s.MarkLeaving(KeyHash("e"))
 	s.Apply(0, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Service: "s", Leaving: true}})
 	if d := s.TakeDepartures(); len(d) != 1 || !d[0].Leaving {
-		t.Fatalf("%v", d)
+		t.Fatalf("departures: %v, want one that is leaving", d)
 	}
 }
--- a/core/members/members.go
+++ b/core/members/members.go
@@ -1,6 +1,6 @@
-// Package members keeps the endpoints that the platform's registry lists, and
-// decides which of them may get new requests. It is pure: changes and the time
-// come in, and the list for each service is derived.
+// Package members tracks the endpoints that the platform's registry lists, and
+// decides which of them may get new requests. It performs no I/O: registry records and
+// the current time are passed in, and the list for each service is derived.
 package members
 
 import (
@@ -15,24 +15,24 @@
 // Endpoint is one incarnation of a server of a service.
 type Endpoint struct {
 	ID string
-	// Born is when this incarnation started, in ms since 1970 by its own clock; 0 if it
-	// does not say. Another start under the same id is another incarnation.
+	// Born is the start time of this incarnation in ms since 1970, by its own clock; 0 if
+	// unknown. Another start under the same id is another incarnation.
 	Born          int64
 	Service       string
 	Address       string
 	FailureDomain string
-	// Version is that of the software it runs.
+	// Version is the version of the software it runs.
 	Version string
 	Slots   int
 	Leaving bool
 	// SlowStart is how much longer the endpoint stays slow after its start.
 	SlowStart time.Duration
-	// Canary says that it gets only requests that are chosen to try its version.
+	// Canary endpoints only get requests that are chosen to test their version.
 	Canary bool
 }
 
-// Key names the incarnation: what is known of one, connections included, says nothing
-// of the next.
+// Key identifies the incarnation. State of one incarnation, such as its connections, does not
+// apply to the next.
 func (e *Endpoint) Key() string {
 	if e.Born == 0 {
 		return e.ID
@@ -40,80 +40,80 @@
 	return e.ID + "@" + strconv.FormatInt(e.Born, 10)
 }
 
-// KeyHash is the short name by which VMs tell each other of an incarnation, from its key.
+// KeyHash returns the hash by which VMs identify an incarnation in messages, from its key.
 func KeyHash(key string) uint64 { return xxhash.Sum64String(key) }
 
 // Change is one record of the registry: an endpoint, or its removal.
 type Change struct {
 	ID       string
 	Endpoint *Endpoint
-	// Unreadable says that the record names no endpoint that could be understood.
+	// Unreadable is set if no endpoint could be decoded from the record.
 	Unreadable bool
-	// Written is one more than the record's offset in the registry; 0 if that is not known.
+	// Written is the record's offset in the registry plus one; 0 if unknown.
 	Written uint64
 }
 
-// relistGrace is how long after the registry's return an entry that lapsed
-// while it was away may stay missing. The registry promises live entries back
-// within about two seconds.
+// relistGrace is how long after the registry becomes available again an entry that
+// lapsed during the outage may stay missing. The registry promises to list live
+// endpoints again within about two seconds.
 const relistGrace = 2500 * time.Millisecond
 
-// Set is the endpoints known to one VM.
+// Set is the set of endpoints known to one VM.
 type Set struct {
 	known map[string]*entry
-	// unavailable says that the registry cannot be read, returned is when it last came back;
-	// lapsed entries are kept until returnGrace after it.
+	// unavailable is set while the registry cannot be read, availableSince is when it last
+	// became readable again. Lapsed entries are kept until relistGrace after that.
 	unavailable     bool
 	availableSince  time.Duration
 	everUnavailable bool
 	byService       map[string][]*Endpoint
-	// keyHashes are the short keyHashes of those known; nil if they changed.
+	// keyHashes are the key hashes of the known incarnations; nil after a change.
 	keyHashes map[uint64]bool
 	version   uint64
-	// latestBorn is the last start known of each id, also of those that are gone: a record
-	// of an earlier incarnation may come late, from a VM that lags.
+	// latestBorn is the latest start known of each id, including ids that are gone. A record
+	// of an earlier incarnation may arrive late, from a VM that lags.
 	latestBorn map[string]int64
 	departures []Departure
-	// tombstones are incarnations that are gone, by id. A registry that comes back from a copy
-	// lists them again, as they were some seconds ago.
+	// tombstones are the incarnations that are gone, by id. A registry restored from a backup
+	// lists them again, in their state of some seconds ago.
 	tombstones map[string]tombstone
-	// announcedLeaving are the incarnations that said themselves that they leave, by their short names.
+	// announcedLeaving are the key hashes of the incarnations that announced that they leave.
 	announcedLeaving map[uint64]bool
-	// restores is how often it did, copied when it last did.
+	// restores counts the restores of the registry, restoredAt is the time of the last.
 	restores   int
 	restoredAt time.Duration
 }
 
-// tombstone is an incarnation that is gone.
+// tombstone marks an incarnation that is gone.
 type tombstone struct {
 	key string
-	// restores is how many restores there had been.
+	// restores is the number of restores that preceded its removal.
 	restores int
-	// relistedIn is the copy that was first seen to list it again, by number, and written where
-	// that lists it.
+	// relistedIn is the number of the restore after which it was first listed again, written
+	// the Written of that record.
 	relistedIn int
 	written    uint64
 }
 
-// Departure is an incarnation that may not get requests any more.
+// Departure is an incarnation that may no longer get requests.
 type Departure struct {
 	Key string
-	// Leaving says that it said so itself; else it is gone without a word.
+	// Leaving is set if it announced that it leaves; otherwise it vanished unannounced.
 	Leaving bool
 }
 
-// backupListWindow is how long after the registry came back from a copy a record whose offset is not known
-// may be the copy's: the registry drops what is silent for three heartbeats.
+// backupListWindow is how long after a restore a record whose offset is unknown may come from the
+// backup. The registry drops an endpoint that is silent for three heartbeats.
 const backupListWindow = 10 * time.Second
 
-// maxGoneIDs bounds the starts kept of ids that are gone: beyond it those are dropped,
-// which are long past any late record.
+// maxGoneIDs bounds the ids that are gone in latestBorn, and the tombstones. What is dropped beyond
+// it is older than any late record.
 const maxGoneIDs = 4096
 
 type entry struct {
 	Endpoint
-	// missing entries are not in the registry any more, and are dropped at
-	// expires unless they come back.
+	// missing entries are no longer in the registry, and are dropped at expires
+	// unless they are listed again.
 	missing bool
 	expires time.Duration
 	// warmAt is when the incarnation is no longer slow after its start.
@@ -125,8 +125,8 @@
 	return &Set{known: make(map[string]*entry), latestBorn: make(map[string]int64), tombstones: make(map[string]tombstone), announcedLeaving: make(map[uint64]bool)}
 }
 
-// MarkLeaving says that an incarnation has said itself that it leaves, by its short name. The registry may not
-// list it yet, lag, or come back from a copy.
+// MarkLeaving records that an incarnation, given by its key hash, has announced that it leaves. The registry
+// may not list it yet, may lag, or may be restored from a backup.
 func (s *Set) MarkLeaving(hash uint64) {
 	s.announcedLeaving[hash] = true
 	for _, e := range s.known {
@@ -138,23 +138,23 @@
 	}
 }
 
-// ClearLeaving ends what Leave said of an incarnation that is gone.
+// ClearLeaving deletes the record of MarkLeaving for an incarnation that is gone.
 func (s *Set) ClearLeaving(hash uint64) { delete(s.announcedLeaving, hash) }
 
-// Version grows whenever the usable endpoints change.
+// Version returns a number that increases whenever the usable endpoints change.
 func (s *Set) Version() uint64 { return s.version }
 
-// MarkRegistryUnavailable says that the registry cannot be read.
+// MarkRegistryUnavailable records that the registry cannot be read.
 func (s *Set) MarkRegistryUnavailable() { s.unavailable, s.everUnavailable = true, true }
 
-// MarkRegistryAvailable says that the registry can be read again.
+// MarkRegistryAvailable records that the registry can be read again.
 func (s *Set) MarkRegistryAvailable(now time.Duration) {
 	if s.unavailable {
 		s.unavailable, s.availableSince = false, now
 	}
 }
 
-// Apply takes in one record of the registry that was written since the last.
+// Apply applies one record that was written to the registry since the last one.
 func (s *Set) Apply(now time.Duration, c Change) {
 	delete(s.tombstones, c.ID)
 	s.apply(now, c)
@@ -179,8 +179,8 @@
 		return
 	}
 	if old != nil && old.Leaving && old.Born == e.Born {
-		// An endpoint that leaves never comes back as the same incarnation; a
-		// registry that lags could say so, and requests would be cut off.
+		// A leaving incarnation never becomes ready again. A lagging registry could list it
+		// as ready, and requests sent to it would be cut off.
 		e.Leaving = true
 	}
 	switch {
@@ -199,7 +199,7 @@
 	s.invalidate()
 }
 
-// recordBorn keeps the start of an incarnation.
+// recordBorn records the start of an incarnation.
 func (s *Set) recordBorn(e Endpoint) {
 	if e.Born == 0 {
 		return
@@ -215,8 +215,8 @@
 	}
 }
 
-// dropUnreadable forgets an entry whose record cannot be understood any more: another writer has
-// its place, and what stood there before may be gone.
+// dropUnreadable removes an entry whose record has become unreadable. Another writer has
+// replaced it, and the endpoint may be gone.
 func (s *Set) dropUnreadable(id string) {
 	if s.known[id] == nil {
 		return
@@ -225,18 +225,18 @@
 	s.invalidate()
 }
 
-// MarkRegistryRestored says that the registry came back from a copy of itself that is some seconds old. What
-// was known outlasts it: an incarnation that left stays out though it is listed again, and one
-// that lives is used though it is missing, until it has had time to be listed again, as after an
-// outage. What is there follows by Replace or ApplyCopied.
+// MarkRegistryRestored records that the registry was restored from a backup that is some seconds old.
+// The known state takes precedence: an incarnation that is gone stays out though it is listed
+// again, and a live one stays in use though it is missing, until it has had time to be listed again,
+// as after an outage. The restored records must follow through Replace or ApplyRestored.
 func (s *Set) MarkRegistryRestored(now time.Duration) {
 	s.unavailable, s.everUnavailable, s.availableSince = false, true, now
 	s.restoredAt = now
 	s.restores++
 }
 
-// listedByBackup says whether a record is of an incarnation that was gone before the last copy, as
-// that still lists it. What the incarnation writes itself since then lies at a later offset.
+// listedByBackup reports whether a record is the backup's of an incarnation that was gone before the
+// last restore. Records that the incarnation has written since then have a later offset.
 func (s *Set) listedByBackup(now time.Duration, c Change) bool {
 	d, ok := s.tombstones[c.ID]
 	if !ok || c.Endpoint == nil || d.key != c.Endpoint.Key() || d.restores == s.restores {
@@ -252,14 +252,14 @@
 	return c.Written <= d.written
 }
 
-// ApplyRestored takes in a record that may be as old as the copy from which the registry came back.
+// ApplyRestored applies a record that may be as old as the backup from which the registry was restored.
 func (s *Set) ApplyRestored(now time.Duration, c Change) {
 	if !s.listedByBackup(now, c) {
 		s.apply(now, c)
 	}
 }
 
-// Replace takes in the whole registry: what is not in list was removed.
+// Replace applies the complete registry: endpoints that are not in list are removed.
 func (s *Set) Replace(now time.Duration, list []Change) {
 	present := make(map[string]bool, len(list))
 	for _, c := range list {
@@ -275,10 +275,10 @@
 	}
 }
 
-// remove handles an entry that is gone from the registry. While the registry
-// was away entries lapse though the endpoints live; taking them all for gone
-// would leave nothing to serve with, so they stay in use until the registry has
-// had time to list them again.
+// remove handles an entry that is gone from the registry. During a registry outage
+// entries lapse although the endpoints are alive. Removing them all would leave no
+// endpoint to send requests to, so they stay in use until the registry has had time
+// to list them again.
 func (s *Set) remove(now time.Duration, id string) {
 	e := s.known[id]
 	if e == nil || e.missing {
@@ -297,7 +297,7 @@
 	s.invalidate()
 }
 
-// recordDeparture notes that an incarnation is gone. One that was leaving was noted then.
+// recordDeparture records that an incarnation is gone. One that was leaving has been reported before.
 func (s *Set) recordDeparture(e *entry) {
 	s.tombstones[e.ID] = tombstone{key: e.Key(), restores: s.restores}
 	if len(s.tombstones) > maxGoneIDs {
@@ -315,7 +315,7 @@
 	return list
 }
 
-// Contains says whether an incarnation is known, by its short name, also one that leaves.
+// Contains reports whether an incarnation is known, by its key hash. Leaving ones are included.
 func (s *Set) Contains(hash uint64) bool {
 	if s.keyHashes == nil {
 		s.keyHashes = make(map[uint64]bool, len(s.known))
@@ -326,19 +326,19 @@
 	return s.keyHashes[hash]
 }
 
-// Serving says whether the registry lists an incarnation that does not leave.
+// Serving reports whether an incarnation is listed and not leaving.
 func (s *Set) Serving(e *Endpoint) bool {
 	known := s.known[e.ID]
 	return known != nil && known.Key() == e.Key() && !known.Leaving
 }
 
-// Cold says whether an incarnation is still slow after its start.
+// Cold reports whether an incarnation is still slow after its start.
 func (s *Set) Cold(now time.Duration, e *Endpoint) bool {
 	known := s.known[e.ID]
 	return known != nil && known.Key() == e.Key() && now < known.warmAt
 }
 
-// Expire drops lapsed entries that did not come back in time.
+// Expire removes lapsed entries that were not listed again in time.
 func (s *Set) Expire(now time.Duration) {
 	for id, e := range s.known {
 		if e.missing && !s.unavailable && now >= e.expires && now >= s.availableSince+relistGrace {
@@ -354,8 +354,8 @@
 	s.byService, s.keyHashes = nil, nil
 }
 
-// Usable returns the endpoints of a service that may get new requests, by id.
-// The slice must not be changed.
+// Usable returns the endpoints of a service that may get new requests, ordered by id.
+// The slice must not be modified.
 func (s *Set) Usable(service string) []*Endpoint {
 	if s.byService == nil {
 		s.buildIndex()
--- a/core/members/members_test.go
+++ b/core/members/members_test.go
@@ -29,9 +29,9 @@
 	is.Equal(len(ids(s)), 0)
 }
 
-// Symptom: requests went to an endpoint that had announced its leaving. Sequence:
-// the announcement is read; then a record from before it is read, from a VM that
-// lags. Cause: the later reading replaced the newer state.
+// Guards against requests sent to an endpoint that has announced that it leaves, when
+// a record from before the announcement is read afterwards, from a VM that lags. The
+// record read last must not replace the newer state.
 func TestLeavingIsPermanent(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -40,8 +40,8 @@
 	is.Equal(len(ids(s)), 0)
 }
 
-// Entries that lapsed during an outage stay until the registry had time to list
-// them again; one that is still missing then is gone.
+// Entries that lapsed during an outage stay until the registry has had time to list
+// them again. An entry that is still missing then is removed.
 func TestLapsedEntriesAreKeptDuringOutage(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -60,7 +60,7 @@
 	is.Equal(ids(s), []string{"b"})
 }
 
-// Without an outage, an entry that is removed is gone at once.
+// Without an outage, a removed entry is gone immediately.
 func TestRemovalIsImmediate(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -69,7 +69,7 @@
 	is.Equal(len(ids(s)), 0)
 }
 
-// A changed sequence number alone is no change.
+// A record that differs only in its sequence number does not change the version.
 func TestSameEntryIsNoChange(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -79,8 +79,8 @@
 	is.Equal(s.Version(), v)
 }
 
-// What departs is told once, with whether it said so itself: an endpoint that leaves as it was
-// told to has not ended with what it ran.
+// Each departure is reported once, with whether it was announced: an endpoint that leaves as it
+// was told to has not crashed with the requests it ran.
 func TestDepartures(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -100,7 +100,7 @@
 	is.True(!s.Serving(&Endpoint{ID: "restarts", Born: 1}))
 	s.Apply(0, Change{ID: "leaves"})
 	is.Equal(len(s.TakeDepartures()), 0)
-	// While the registry is away nothing departs: entries lapse though their endpoints live.
+	// During a registry outage nothing departs: entries lapse although their endpoints are alive.
 	s.MarkRegistryUnavailable()
 	s.Apply(0, Change{ID: "restarts"})
 	is.Equal(len(s.TakeDepartures()), 0)
@@ -109,10 +109,10 @@
 	is.Equal(s.TakeDepartures(), []Departure{{Key: "restarts@2"}})
 }
 
-// Symptom: requests went to endpoints that had left, and none to others that lived, after the
-// registry came back from a copy of some seconds before. Sequence: one endpoint announces that it
-// leaves, one is gone, one is new; the copy lists the first two as ready and not the third.
-// Cause: what the registry said was taken for newer than what was known.
+// Guards against requests sent to endpoints that have left, and none sent to live ones, after the
+// registry was restored from a backup of some seconds before. One endpoint announced that it leaves,
+// one is gone, one is new; the backup lists the first two as ready and lacks the third. The
+// restored records must not be taken for newer than the known state.
 func TestRegistryRestoredFromBackup(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -126,16 +126,16 @@
 	is.Equal(ids(s), []string{"new", "stays"})
 	s.Expire(at + 2*time.Second)
 	is.Equal(ids(s), []string{"new", "stays"})
-	// Another whole list of that time says nothing new of those that are gone.
+	// Another complete list from the backup does not bring back endpoints that are gone.
 	s.Replace(at+time.Second, []Change{ep("gone", false), ep("stays", false), ep("new", false)})
 	is.Equal(ids(s), []string{"new", "stays"})
-	// What an endpoint writes itself since then holds.
+	// A record that an endpoint has written since the restore applies.
 	s.Apply(at+time.Second, ep("gone", false))
 	is.Equal(ids(s), []string{"gone", "new", "stays"})
 }
 
-// One that is still missing some seconds after a copy is gone, and one that is listed long after
-// it is not the copy's.
+// An entry that is still missing some seconds after a restore is removed. A record that is listed
+// long after it does not come from the backup.
 func TestEntryMissingFromBackupExpires(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -149,14 +149,14 @@
 	is.Equal(ids(s), []string{"a", "b"})
 }
 
-// written is a record at an offset of the registry.
+// written sets the offset of a record in the registry.
 func written(c Change, offset uint64) Change {
 	c.Written = offset + 1
 	return c
 }
 
-// Guards against an incarnation that left before a copy and is used for good once a whole list, long
-// after it, still holds the copy's record of it.
+// Guards against an incarnation that was gone before a restore and is used for good, because a
+// complete list long after the restore still contains the backup's record of it.
 func TestGoneIncarnationStaysOutUntilItReregisters(t *testing.T) {
 	is := is.New(t)
 	s := New()
