--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -1,6 +1,6 @@
-// Package mechanism names the mechanisms by which requests are placed, refused and
-// bounded that can be switched off one by one: to weigh what each is worth, and for an
-// operator who suspects one during an incident.
+// Package mechanism names the mechanisms for placing, refusing and limiting requests that
+// can be switched off one by one: to measure the benefit of each, and for an operator
+// who suspects one during an incident.
 package mechanism
 
 import (
@@ -8,57 +8,57 @@
 	"strings"
 )
 
-// Mechanism is one of them.
+// Mechanism identifies one of them.
 type Mechanism uint
 
-// Mechanisms, with what happens without them.
+// Mechanisms, with the behaviour when they are switched off.
 const (
-	// Turns: free slots that others may have taken are taken at once.
+	// Turns: free slots that other VMs may have taken are used immediately.
 	Turns Mechanism = iota
-	// StaleCost: endpoints whose load is known late count as if it were known well.
+	// StaleCost: endpoints with an old load report are ranked as if it were current.
 	StaleCost
-	// NearFirst: endpoints of other failure domains count as near ones.
+	// NearFirst: endpoints of other failure domains rank the same as those of the VM's own.
 	NearFirst
-	// ScarceSlowFirst: the fastest endpoints are taken first also when few have room.
+	// ScarceSlowFirst: the fastest endpoints are used first even when few have free slots.
 	ScarceSlowFirst
-	// ShortFirst: short jobs wait behind late jobs of the tier above.
+	// ShortFirst: short jobs wait behind late jobs of the next higher tier.
 	ShortFirst
-	// Hopeless: jobs that wait in vain are refused only when their time is over.
+	// Hopeless: jobs that cannot finish in time are refused only at their deadline.
 	Hopeless
-	// Ejection: endpoints that fail more than others are used as the others.
+	// Ejection: endpoints that fail more often than others are used like the others.
 	Ejection
-	// PeerDoubts: what other VMs cannot reach is found out by each VM alone.
+	// PeerDoubts: each VM detects unreachable endpoints on its own.
 	PeerDoubts
 	// Cells: each VM places its own requests.
 	Cells
-	// TierReserve: all tiers draw on their organisation's allowance alike.
+	// TierReserve: all tiers draw on their organisation's allowance without a reserve.
 	TierReserve
 	// RestartAllowance: restarted processes begin with no allowance.
 	RestartAllowance
-	// StartWait: requests are refused until a process knows its configuration.
+	// StartWait: requests are refused until a process has its configuration.
 	StartWait
-	// StallRetry: silent endpoints are waited for to the end.
+	// StallRetry: a silent endpoint is waited for until the request times out.
 	StallRetry
-	// Trials: requests that may end endpoints are placed as all others.
+	// Trials: requests that may crash endpoints are placed like all others.
 	Trials
 )
 
-// names are the mechanisms as settings name them, in order.
+// names are the names in settings, indexed by Mechanism.
 var names = [...]string{
 	"turns", "stale_cost", "near_first", "scarce_slow_first", "short_first", "hopeless", "ejection",
 	"peer_doubts", "cells", "tier_reserve", "restart_allowance", "start_wait", "stall_retry", "trials",
 }
 
-// String is the mechanism's name in settings.
+// String returns the name of the mechanism in settings.
 func (m Mechanism) String() string { return names[m] }
 
 // Off is the set of mechanisms that are switched off; the zero value switches off none.
 type Off uint
 
-// Has says whether a mechanism is switched off.
+// Has reports whether a mechanism is switched off.
 func (o Off) Has(m Mechanism) bool { return o&(1<<m) != 0 }
 
-// String lists their names.
+// String returns the names in the set, separated by commas.
 func (o Off) String() string {
 	var list []string
 	for m := range Mechanism(len(names)) {
@@ -69,15 +69,15 @@
 	return strings.Join(list, ",")
 }
 
-// UnknownError reports a name that is no mechanism's.
+// UnknownError reports a name that no mechanism has.
 type UnknownError struct{ Name string }
 
-// Error describes the failure, with the names there are.
+// Error lists the valid names.
 func (e *UnknownError) Error() string {
-	return "there is no mechanism " + e.Name + "; there are " + strings.Join(names[:], ", ")
+	return "unknown mechanism " + e.Name + "; known mechanisms: " + strings.Join(names[:], ", ")
 }
 
-// Parse reads a list of names. The error is an UnknownError.
+// Parse parses a list of names. The error is an *UnknownError.
 func Parse(list []string) (Off, error) {
 	var off Off
 	for _, name := range list {
--- a/core/mechanism/mechanism_test.go
+++ b/core/mechanism/mechanism_test.go
@@ -22,7 +22,7 @@
 	var ue *UnknownError
 	is.True(errors.As(err, &ue))
 	is.Equal(ue.Name, "cell")
-	// Each has a name of its own.
+	// Each mechanism has a name of its own.
 	all, err := Parse(names[:])
 	is.NoErr(err)
 	is.Equal(all, Off(1<<(Trials+1)-1))
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds a configuration as the operator published it and finds
+// Package routing holds a configuration as published by the operator and looks up
 // the route, the organisation and the service of a request. A Table is built
-// once per version and never changes, so that readers need no lock.
+// once per version and is immutable, so that readers need no lock.
 package routing
 
 import (
@@ -9,51 +9,51 @@
 	"time"
 )
 
-// RequestKind says what may be repeated of a request kind.
+// RequestKind is the kind of a route's requests, which determines whether they may be retried.
 type RequestKind int
 
-// Kinds of requests by what may be repeated.
+// Request kinds.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent RequestKind = iota
 	// NonIdempotent requests may run at most once.
 	NonIdempotent
-	// Stream answers are events as they come. They run at most once unless the
-	// route says that they may be resumed.
+	// Stream requests are answered with a stream of events. They may run at most once unless
+	// the route is resumable.
 	Stream
 )
 
-// Share is a service's part of a route's requests.
+// Share is the weight of a service among those of a route.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says what the operator wants of requests to one host and path prefix.
+// Route configures the requests to one host and path prefix.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               RequestKind
-	// Timeout is the longest time that a caller is kept waiting; 0 for none.
+	// Timeout is the longest time that a caller is kept waiting; 0 for no timeout.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event,
-	// is on time.
+	// Objective is the time within which a response, or the first event of a
+	// stream, is on time.
 	Objective time.Duration
 	// MaxPause is the longest pause between events of a stream that is on time.
 	MaxPause time.Duration
-	// Tier is the rank; 0 is the highest.
+	// Tier is the priority; 0 is the highest.
 	Tier   int
 	Shares []Share
 	// MaxEndpoints bounds the endpoints that one request may be sent to.
 	MaxEndpoints int
 	// Public routes need no API key.
 	Public bool
-	// PromptAffinity routes carry prompts whose parts are worth keeping together.
+	// PromptAffinity is set if requests carry prompts, and those that share parts are best sent to the same endpoint.
 	PromptAffinity bool
-	// Resumable streams may go on at another endpoint after the last event.
+	// Resumable streams may continue at another endpoint after the last event.
 	Resumable bool
 }
 
-// Retryable says whether a request of the route may run more than once.
+// Retryable reports whether a request of the route may run more than once.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
@@ -62,7 +62,7 @@
 type Engine struct {
 	Slots        int
 	MemoryTokens int
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
@@ -70,7 +70,7 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what each endpoint accepts from all callers together.
+	// MaxConnections is the number of connections that each endpoint accepts from all callers together.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
@@ -80,13 +80,13 @@
 type Organisation struct {
 	Name string
 	Keys []string
-	// Tier ranks before the route's tier; 0 is the highest.
+	// Tier takes precedence over the route's tier; 0 is the highest.
 	Tier int
-	// Rate in units a second and Burst in units; a Rate of 0 is unlimited.
+	// Rate is in units a second, Burst in units; a Rate of 0 is unlimited.
 	Rate, Burst float64
-	// CountsTokens says whether units are tokens rather than requests.
+	// CountsTokens is set if units are tokens rather than requests.
 	CountsTokens bool
-	// PlainTokens is what a request without token counts counts as.
+	// PlainTokens is the number of tokens charged for a request without token counts.
 	PlainTokens float64
 }
 
@@ -105,7 +105,7 @@
 	Limits        Limits
 }
 
-// Table finds routes, services and organisations of one document.
+// Table indexes the routes, services and organisations of one document.
 type Table struct {
 	Document      *Document
 	hosts         map[string][]*Route
@@ -114,7 +114,7 @@
 	organisations map[string]*Organisation
 }
 
-// NewTable prepares a document for lookups.
+// NewTable builds the lookup table of a document.
 func NewTable(d *Document) *Table {
 	t := &Table{
 		Document: d, hosts: make(map[string][]*Route), services: make(map[string]*Service),
@@ -139,8 +139,8 @@
 	return t
 }
 
-// Route finds the route with the longest prefix of the path; nil if none matches.
-// A port in host is not part of the name.
+// Route returns the route with the longest prefix that matches the path; nil if none does.
+// A port in host is ignored.
 func (t *Table) Route(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -153,20 +153,20 @@
 	return nil
 }
 
-// Service finds a service by name; nil if there is none.
+// Service returns a service by name; nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Organisation finds the owner of a key; nil if no organisation has it.
+// Organisation returns the owner of an API key; nil if the key is unknown.
 func (t *Table) Organisation(key string) *Organisation { return t.keys[key] }
 
-// OrganisationNamed finds an organisation by name; nil if there is none.
+// OrganisationNamed returns an organisation by name; nil if there is none.
 func (t *Table) OrganisationNamed(name string) *Organisation { return t.organisations[name] }
 
-// NeedsKeys says whether requests to routes that are not public need a key.
+// NeedsKeys reports whether requests to routes that are not public need an API key.
 func (t *Table) NeedsKeys() bool { return len(t.Document.Organisations) > 0 }
 
-// PickService chooses the service of a request by the weights of the route's shares.
-// The same spot, a uniform hash of the request, gives the same service.
+// PickService selects the service of a request by the weights of the route's shares.
+// The hash should be uniform over requests; the same hash selects the same service.
 func (r *Route) PickService(hash uint64) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/core/sse/sse.go
+++ b/core/sse/sse.go
@@ -1,6 +1,6 @@
-// Package sse cuts the bytes of an event stream into whole events, so that a
-// stream that breaks in the middle of an event can go on at another endpoint
-// without a torn event ever reaching the caller.
+// Package sse splits the bytes of an event stream into complete events, so that a
+// stream that breaks in the middle of an event can be resumed at another endpoint
+// without sending a partial event to the caller.
 package sse
 
 import (
@@ -8,25 +8,25 @@
 	"strings"
 )
 
-// Splitter collects bytes until events are whole.
+// Splitter buffers bytes until an event is complete.
 type Splitter struct {
 	pending []byte
-	// LastID is the id of the last whole event that had one.
+	// LastID is the id of the last complete event that had one.
 	LastID string
-	// IDCount is the number of events with an id that the last Write returned.
+	// IDCount is the number of events with an id among those that Write returned last.
 	IDCount int
 }
 
-// maxEvent bounds what is kept of an event that does not end, in bytes.
+// maxEvent bounds the buffered part of an incomplete event, in bytes.
 const maxEvent = 1 << 20
 
-// EventTooLongError reports an event that is longer than a VM keeps.
+// EventTooLongError reports an event that is longer than maxEvent.
 type EventTooLongError struct{ Bytes int }
 
-// Error describes the failure.
-func (e *EventTooLongError) Error() string { return "an event of a stream is too long" }
+// Error implements error.
+func (e *EventTooLongError) Error() string { return "stream event exceeds 1 MiB" }
 
-// Write takes in bytes and returns the whole events among them, as they came.
+// Write appends bytes and returns the events that are complete, unmodified.
 // The result is valid until the next call.
 func (s *Splitter) Write(p []byte) ([]byte, error) {
 	s.pending = append(s.pending, p...)
@@ -44,13 +44,13 @@
 	return whole, nil
 }
 
-// Pending returns the bytes after the last whole event.
+// Pending returns the bytes after the last complete event.
 func (s *Splitter) Pending() []byte { return s.pending }
 
-// Reset forgets a torn event, before another endpoint sends it again.
+// Reset discards a partial event before another endpoint sends it again.
 func (s *Splitter) Reset() { s.pending = s.pending[:0] }
 
-// completeEnd is the offset after the last blank line.
+// completeEnd returns the offset after the last blank line.
 func completeEnd(b []byte) int {
 	lf := bytes.LastIndex(b, []byte("\n\n"))
 	crlf := bytes.LastIndex(b, []byte("\r\n\r\n"))
@@ -64,7 +64,7 @@
 	return end
 }
 
-// recordIDs keeps the last id line. A line is an id line only if it starts one.
+// recordIDs counts the id lines and stores the last id. A field counts only at the start of a line.
 func (s *Splitter) recordIDs(events []byte) {
 	for len(events) > 0 {
 		line := events
--- a/core/sse/sse_test.go
+++ b/core/sse/sse_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// However the bytes are cut, only whole events come out, and all of them.
+// However the bytes are split, the output consists of all complete events and nothing else.
 func TestOnlyCompleteEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\ndata: torn"
