--- a/core/limit/fleet_test.go
+++ b/core/limit/fleet_test.go
@@ -41,8 +41,8 @@
 	listed       bool
 	partition    int
 
-	sched  *dispatch.Scheduler
-	ledger *notice.Tracker
+	sched   *dispatch.Scheduler
+	tracker *notice.Tracker
 	// known are the VMs that it knows, lastGossip is when each last sent a message.
 	known      map[int]bool
 	lastGossip map[int]time.Duration
@@ -89,7 +89,7 @@
 func (f *fleet) start(i int) {
 	v := &f.vms[i]
 	v.listed = true
-	v.sched, v.ledger, v.started = dispatch.New(v.name, v.domain), notice.New(), f.now
+	v.sched, v.tracker, v.started = dispatch.New(v.name, v.domain), notice.New(), f.now
 	v.known, v.lastGossip, v.hasSeenLimit, v.process = make(map[int]bool), make(map[int]time.Duration), false, v.process+1
 	v.sched.SetEndpoints(f.now, service, []*members.Endpoint{f.server}, false)
 	f.readList(v)
@@ -121,7 +121,7 @@
 // gossip sends a VM's message to the VMs in its partition that it knows.
 func (f *fleet) gossip(i int) {
 	from := &f.vms[i]
-	records := from.ledger.NextInRotation(f.now, 1)
+	records := from.tracker.NextInRotation(f.now, 1)
 	for k := range f.vms {
 		if k == i || f.vms[k].sched == nil || f.vms[k].partition != from.partition || !from.known[k] {
 			continue
@@ -131,7 +131,7 @@
 			v.lastGossip[i] = f.now
 			v.sched.PeerUses(f.now, from.name, from.domain, nil, true)
 			for _, r := range records {
-				if v.ledger.Merge(f.now, r, true) {
+				if v.tracker.Merge(f.now, r, true) {
 					f.apply(v)
 				}
 			}
@@ -141,7 +141,7 @@
 
 func (f *fleet) apply(v *vm) {
 	name := dispatch.NameOf(endpointID)
-	if n := v.ledger.Current(name); n.HasLimit {
+	if n := v.tracker.Current(name); n.HasLimit {
 		v.sched.SetLimit(f.now, name, n.Limit)
 		return
 	}
@@ -191,7 +191,7 @@
 		if response.HasLimit && !v.hasSeenLimit {
 			v.hasSeenLimit, v.limitSeenAt = true, f.now
 		}
-		if v.ledger.RecordResponse(f.now, sent, dispatch.NameOf(endpointID), response) {
+		if v.tracker.RecordResponse(f.now, sent, dispatch.NameOf(endpointID), response) {
 			f.apply(v)
 		}
 	})
@@ -271,7 +271,7 @@
 					}
 				}
 			}
-			next = f.disturb(first, next)
+			next = f.injectFault(first, next)
 		}
 		counted += f.counted
 	})
@@ -284,8 +284,8 @@
 // limits are the values that the endpoint may name.
 var limits = []float64{0, 0.1, 0.5, 1, 2.5, 4, 10, 60}
 
-// disturb injects at most one random fault, and returns the index of the VM to add next.
-func (f *fleet) disturb(first, next int) int {
+// injectFault injects at most one random fault, and returns the index of the VM to add next.
+func (f *fleet) injectFault(first, next int) int {
 	i := f.rand.IntN(first)
 	switch f.rand.IntN(100) {
 	case 0:
--- a/core/notice/bench_test.go
+++ b/core/notice/bench_test.go
@@ -7,11 +7,11 @@
 
 // filledTracker returns a tracker of many endpoints that all name limits.
 func filledTracker(endpoints uint64) *Tracker {
-	l := New()
+	tr := New()
 	for name := range endpoints {
-		l.RecordResponse(0, 0, name, limited(2.5))
+		tr.RecordResponse(0, 0, name, limited(2.5))
 	}
-	return l
+	return tr
 }
 
 // targetEndpoints is the number of endpoints that a VM of the largest deployment knows.
@@ -21,15 +21,15 @@
 // limit while all others do as well.
 func BenchmarkRecordResponse(b *testing.B) {
 	b.Run("nothing", func(b *testing.B) {
-		l := New()
+		tr := New()
 		for b.Loop() {
-			l.RecordResponse(time.Second, 0, endpoint, Notice{})
+			tr.RecordResponse(time.Second, 0, endpoint, Notice{})
 		}
 	})
 	b.Run("limit", func(b *testing.B) {
-		l := filledTracker(targetEndpoints)
+		tr := filledTracker(targetEndpoints)
 		for b.Loop() {
-			l.RecordResponse(time.Second, 0, endpoint, limited(2.5))
+			tr.RecordResponse(time.Second, 0, endpoint, limited(2.5))
 		}
 	})
 }
@@ -37,18 +37,18 @@
 // BenchmarkGossipRecords measures building the records of one gossip message: recent ones, ten times a second, and
 // those in rotation, once a second.
 func BenchmarkGossipRecords(b *testing.B) {
-	l := filledTracker(targetEndpoints)
+	tr := filledTracker(targetEndpoints)
 	for range maxSends {
-		l.Recent(time.Second, targetEndpoints)
+		tr.Recent(time.Second, targetEndpoints)
 	}
 	b.Run("hot", func(b *testing.B) {
 		for b.Loop() {
-			l.Recent(time.Second, 16)
+			tr.Recent(time.Second, 16)
 		}
 	})
 	b.Run("turn", func(b *testing.B) {
 		for b.Loop() {
-			l.NextInRotation(time.Second, 8)
+			tr.NextInRotation(time.Second, 8)
 		}
 	})
 }
--- a/core/notice/fleet_test.go
+++ b/core/notice/fleet_test.go
@@ -24,17 +24,17 @@
 func timeToSpread(t *testing.T, domains, perDomain, changes int) time.Duration {
 	t.Helper()
 	type vm struct {
-		ledger *notice.Tracker
-		peers  []cell.Peer
-		asks   bool
-		offset uint64
+		tracker *notice.Tracker
+		peers   []cell.Peer
+		asks    bool
+		offset  uint64
 	}
 	r := rand.New(rand.NewPCG(1, uint64(domains*perDomain)))
 	vms := make([]vm, domains*perDomain)
 	placers := max(1, perDomain/64)
 	for i := range vms {
 		v := &vms[i]
-		v.ledger, v.offset, v.asks = notice.New(), r.Uint64N(1<<16), i%perDomain >= placers
+		v.tracker, v.offset, v.asks = notice.New(), r.Uint64N(1<<16), i%perDomain >= placers
 		for k := range vms {
 			if k == i {
 				continue
@@ -46,16 +46,16 @@
 		}
 	}
 	source := &vms[len(vms)-1]
-	for name := range uint64(changes) {
-		source.ledger.RecordResponse(0, 0, name, notice.Notice{Limit: 2.5, HasLimit: true})
+	for endpoint := range uint64(changes) {
+		source.tracker.RecordResponse(0, 0, endpoint, notice.Notice{Limit: 2.5, HasLimit: true})
 	}
 	for n := uint64(1); n < 600; n++ {
 		now := time.Duration(n) * gossipInterval
 		for i := range vms {
 			v := &vms[i]
-			records := v.ledger.Recent(now, recentRecords)
+			records := v.tracker.Recent(now, recentRecords)
 			if n%rotationEvery == 0 {
-				records = append(records, v.ledger.NextInRotation(now, rotationRecords)...)
+				records = append(records, v.tracker.NextInRotation(now, rotationRecords)...)
 			}
 			if len(records) == 0 {
 				continue
@@ -69,7 +69,7 @@
 					}
 					for _, record := range records {
 						if r.IntN(lossEvery) > 0 {
-							vms[k].ledger.Merge(now, record, true)
+							vms[k].tracker.Merge(now, record, true)
 						}
 					}
 				}
@@ -77,8 +77,8 @@
 		}
 		all := true
 		for i := range vms {
-			for name := range uint64(changes) {
-				all = all && vms[i].ledger.Current(name).HasLimit
+			for endpoint := range uint64(changes) {
+				all = all && vms[i].tracker.Current(endpoint).HasLimit
 			}
 		}
 		if all {
--- a/core/notice/ledger.go
+++ b/core/notice/ledger.go
@@ -222,18 +222,18 @@
 // or have no active notice or backoff. It waits because the registry may list an incarnation here later than
 // elsewhere, or again. It returns the removed incarnations that had an active notice or backoff.
 func (t *Tracker) Expire(now, within time.Duration, listed func(endpoint uint64) bool) (expired []uint64) {
-	for name, e := range t.entries {
+	for endpoint, e := range t.entries {
 		active := e.current() != Notice{} || e.backoffUntil > now
-		if listed(name) {
+		if listed(endpoint) {
 			e.listed = stamp{now, true}
 		}
 		if now-e.changedAt <= within || active && e.listed.set && now-e.listed.at <= within {
 			continue
 		}
 		if active {
-			expired = append(expired, name)
+			expired = append(expired, endpoint)
 		}
-		delete(t.entries, name)
+		delete(t.entries, endpoint)
 	}
 	return expired
 }
@@ -272,36 +272,36 @@
 }
 
 func (t *Tracker) selectRecords(now time.Duration, n int, include func(*entry) bool) []Record {
-	var names []uint64
-	for name, e := range t.entries {
+	var endpoints []uint64
+	for endpoint, e := range t.entries {
 		if include(e) {
-			names = append(names, name)
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	slices.SortFunc(names, func(a, b uint64) int {
+	slices.SortFunc(endpoints, func(a, b uint64) int {
 		ea, eb := t.entries[a], t.entries[b]
 		return cmp.Or(cmp.Compare(eb.priority(), ea.priority()), cmp.Compare(ea.sends, eb.sends), cmp.Compare(eb.changedAt, ea.changedAt), cmp.Compare(a, b))
 	})
 	var list []Record
-	for _, name := range names[:min(n, len(names))] {
-		list = append(list, t.record(now, name))
+	for _, endpoint := range endpoints[:min(n, len(endpoints))] {
+		list = append(list, t.record(now, endpoint))
 	}
 	return list
 }
 
 // NextInRotation returns the next n records, so that all are sent equally often.
 func (t *Tracker) NextInRotation(now time.Duration, n int) []Record {
-	names := make([]uint64, 0, len(t.entries))
-	for name, e := range t.entries {
+	endpoints := make([]uint64, 0, len(t.entries))
+	for endpoint, e := range t.entries {
 		if e.gossiped(now) {
-			names = append(names, name)
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	slices.Sort(names)
-	from, _ := slices.BinarySearch(names, t.cursor)
+	slices.Sort(endpoints)
+	from, _ := slices.BinarySearch(endpoints, t.cursor)
 	var list []Record
-	for k := range min(n, len(names)) {
-		list = append(list, t.record(now, names[(from+k)%len(names)]))
+	for k := range min(n, len(endpoints)) {
+		list = append(list, t.record(now, endpoints[(from+k)%len(endpoints)]))
 	}
 	if len(list) > 0 {
 		t.cursor = list[len(list)-1].Endpoint + 1
--- a/core/notice/ledger_test.go
+++ b/core/notice/ledger_test.go
@@ -19,55 +19,55 @@
 
 func TestLimitHoldsWhileResponsesNameIt(t *testing.T) {
 	is := is.New(t)
-	l := New()
-	is.True(!l.RecordResponse(10*ms, 0, endpoint, Notice{}))
-	is.Equal(l.Current(endpoint), Notice{})
-	is.True(l.RecordResponse(20*ms, 10*ms, endpoint, limited(2.5)))
-	is.True(!l.RecordResponse(30*ms, 25*ms, endpoint, limited(2.5)))
-	is.Equal(l.Current(endpoint), limited(2.5))
-	is.True(l.RecordResponse(50*ms, 40*ms, endpoint, Notice{}))
-	is.Equal(l.Current(endpoint), Notice{})
-	is.True(l.RecordResponse(70*ms, 60*ms, endpoint, limited(0)))
-	is.Equal(l.Current(endpoint), limited(0))
+	tr := New()
+	is.True(!tr.RecordResponse(10*ms, 0, endpoint, Notice{}))
+	is.Equal(tr.Current(endpoint), Notice{})
+	is.True(tr.RecordResponse(20*ms, 10*ms, endpoint, limited(2.5)))
+	is.True(!tr.RecordResponse(30*ms, 25*ms, endpoint, limited(2.5)))
+	is.Equal(tr.Current(endpoint), limited(2.5))
+	is.True(tr.RecordResponse(50*ms, 40*ms, endpoint, Notice{}))
+	is.Equal(tr.Current(endpoint), Notice{})
+	is.True(tr.RecordResponse(70*ms, 60*ms, endpoint, limited(0)))
+	is.Equal(tr.Current(endpoint), limited(0))
 }
 
 // Guards against lifting a limit on an older response without a limit that arrives later.
 func TestOlderResponseDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
-	l := New()
-	l.RecordResponse(100*ms, 50*ms, endpoint, limited(2.5))
-	is.True(!l.RecordResponse(110*ms, 40*ms, endpoint, Notice{}))
-	is.True(!l.RecordResponse(120*ms, 90*ms, endpoint, Notice{}))
-	is.Equal(l.Current(endpoint), limited(2.5))
+	tr := New()
+	tr.RecordResponse(100*ms, 50*ms, endpoint, limited(2.5))
+	is.True(!tr.RecordResponse(110*ms, 40*ms, endpoint, Notice{}))
+	is.True(!tr.RecordResponse(120*ms, 90*ms, endpoint, Notice{}))
+	is.Equal(tr.Current(endpoint), limited(2.5))
 }
 
 // Guards against a limit that stays at the first value named when responses always overlap.
 func TestLimitFollowsChanges(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	for at := time.Duration(0); at < time.Second; at += 10 * ms {
-		l.RecordResponse(at+300*ms, at, endpoint, limited(2.5))
+		tr.RecordResponse(at+300*ms, at, endpoint, limited(2.5))
 	}
 	for at := time.Second; at < 2*time.Second; at += 10 * ms {
-		l.RecordResponse(at+300*ms, at, endpoint, limited(4))
+		tr.RecordResponse(at+300*ms, at, endpoint, limited(4))
 	}
-	is.Equal(l.Current(endpoint), limited(4))
+	is.Equal(tr.Current(endpoint), limited(4))
 	// The lower limit holds if the order of two is unknown.
-	l.RecordResponse(2400*ms, 1900*ms, endpoint, limited(1))
-	is.Equal(l.Current(endpoint), limited(1))
-	l.RecordResponse(2500*ms, 2450*ms, endpoint, limited(4))
-	is.Equal(l.Current(endpoint), limited(4))
+	tr.RecordResponse(2400*ms, 1900*ms, endpoint, limited(1))
+	is.Equal(tr.Current(endpoint), limited(1))
+	tr.RecordResponse(2500*ms, 2450*ms, endpoint, limited(4))
+	is.Equal(tr.Current(endpoint), limited(4))
 }
 
 // Guards against an older record of another VM that lifts a limit, or changes it.
 func TestStaleRecordChangesNothing(t *testing.T) {
 	is := is.New(t)
-	l := New()
-	l.RecordResponse(10*time.Second, 9900*ms, endpoint, limited(2.5))
-	is.True(!l.Merge(11*time.Second, Record{Endpoint: endpoint, Limit: 5, Asked: 3 * time.Second, Named: 3 * time.Second, Lifted: 2 * time.Second}, true))
-	is.Equal(l.Current(endpoint), limited(2.5))
-	is.True(l.Merge(12*time.Second, Record{Endpoint: endpoint, Limit: 5, Asked: 5 * time.Second, Named: 5 * time.Second, Lifted: 100 * ms}, true))
-	is.Equal(l.Current(endpoint), Notice{})
+	tr := New()
+	tr.RecordResponse(10*time.Second, 9900*ms, endpoint, limited(2.5))
+	is.True(!tr.Merge(11*time.Second, Record{Endpoint: endpoint, Limit: 5, Asked: 3 * time.Second, Named: 3 * time.Second, Lifted: 2 * time.Second}, true))
+	is.Equal(tr.Current(endpoint), limited(2.5))
+	is.True(tr.Merge(12*time.Second, Record{Endpoint: endpoint, Limit: 5, Asked: 5 * time.Second, Named: 5 * time.Second, Lifted: 100 * ms}, true))
+	is.Equal(tr.Current(endpoint), Notice{})
 }
 
 func TestInvalidRecords(t *testing.T) {
@@ -112,27 +112,27 @@
 
 func TestExpire(t *testing.T) {
 	is := is.New(t)
-	l := New()
-	l.RecordResponse(0, 0, 1, limited(1))
-	l.RecordResponse(0, 0, 2, limited(1))
-	l.RecordResponse(0, 0, 3, limited(1))
-	l.RecordResponse(20*ms, 10*ms, 3, Notice{})
-	is.Equal(len(l.Expire(time.Second, time.Minute, func(uint64) bool { return false })), 0)
-	is.Equal(l.Expire(2*time.Minute, time.Minute, func(name uint64) bool { return name != 2 }), []uint64{2})
-	is.Equal(l.Current(1), limited(1))
-	is.Equal(len(l.NextInRotation(0, 8)), 1)
+	tr := New()
+	tr.RecordResponse(0, 0, 1, limited(1))
+	tr.RecordResponse(0, 0, 2, limited(1))
+	tr.RecordResponse(0, 0, 3, limited(1))
+	tr.RecordResponse(20*ms, 10*ms, 3, Notice{})
+	is.Equal(len(tr.Expire(time.Second, time.Minute, func(uint64) bool { return false })), 0)
+	is.Equal(tr.Expire(2*time.Minute, time.Minute, func(name uint64) bool { return name != 2 }), []uint64{2})
+	is.Equal(tr.Current(1), limited(1))
+	is.Equal(len(tr.NextInRotation(0, 8)), 1)
 }
 
 // Guards against records that are never sent when there are many.
 func TestNextInRotationCoversAll(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	for name := range uint64(20) {
-		l.RecordResponse(0, 0, name, limited(1))
+		tr.RecordResponse(0, 0, name, limited(1))
 	}
 	seen := make(map[uint64]int)
 	for range 5 {
-		for _, r := range l.NextInRotation(0, 8) {
+		for _, r := range tr.NextInRotation(0, 8) {
 			seen[r.Endpoint]++
 		}
 	}
@@ -146,13 +146,13 @@
 // another VM says otherwise.
 func TestLeavingIsPermanent(t *testing.T) {
 	is := is.New(t)
-	l := New()
-	is.True(l.RecordResponse(20*ms, 10*ms, endpoint, Notice{Leaving: true}))
-	is.True(!l.RecordResponse(40*ms, 30*ms, endpoint, Notice{}))
-	is.True(!l.Merge(50*ms, Record{Endpoint: endpoint, Asked: Never, Named: Never, Lifted: 0}, true))
-	is.Equal(l.Current(endpoint), Notice{Leaving: true})
+	tr := New()
+	is.True(tr.RecordResponse(20*ms, 10*ms, endpoint, Notice{Leaving: true}))
+	is.True(!tr.RecordResponse(40*ms, 30*ms, endpoint, Notice{}))
+	is.True(!tr.Merge(50*ms, Record{Endpoint: endpoint, Asked: Never, Named: Never, Lifted: 0}, true))
+	is.Equal(tr.Current(endpoint), Notice{Leaving: true})
 	other := New()
-	is.True(other.Merge(0, l.NextInRotation(50*ms, 1)[0], true))
+	is.True(other.Merge(0, tr.NextInRotation(50*ms, 1)[0], true))
 	is.Equal(other.Current(endpoint), Notice{Leaving: true})
 }
 
@@ -160,21 +160,21 @@
 func TestBackoffLastsToLatestEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		l := New()
+		tr := New()
 		var now, end time.Duration
 		for range 100 {
 			now += time.Duration(r.IntN(500)) * ms
 			n := Notice{Backoff: time.Duration(max(0, r.IntN(8000)-4000)) * ms, HasLimit: r.IntN(3) == 0}
 			if r.IntN(2) == 0 {
-				l.RecordResponse(now, now-time.Duration(r.IntN(1000))*ms, endpoint, n)
+				tr.RecordResponse(now, now-time.Duration(r.IntN(1000))*ms, endpoint, n)
 				if n.Backoff > 0 {
 					end = max(end, now+n.Backoff)
 				}
 			} else {
-				l.Merge(now, Record{Endpoint: endpoint, Asked: Never, Named: Never, Lifted: 0, Backoff: n.Backoff}, true)
+				tr.Merge(now, Record{Endpoint: endpoint, Asked: Never, Named: Never, Lifted: 0, Backoff: n.Backoff}, true)
 			}
-			l.Expire(now, time.Second, func(uint64) bool { return true })
-			if own, _ := l.BackoffEnds(endpoint); own < end && end > now {
+			tr.Expire(now, time.Second, func(uint64) bool { return true })
+			if own, _ := tr.BackoffEnds(endpoint); own < end && end > now {
 				t.Fatalf("backoff ends at %v, want at least %v", own, end)
 			}
 		}
@@ -196,11 +196,11 @@
 // Guards against lifting a limit on a response that does not tell whether there is one.
 func TestUnknownLimitDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
-	l := New()
-	l.RecordResponse(20*ms, 10*ms, endpoint, limited(2.5))
-	is.True(!l.RecordResponse(40*ms, 30*ms, endpoint, Notice{LimitUnknown: true}))
-	is.True(l.RecordResponse(60*ms, 50*ms, endpoint, Notice{LimitUnknown: true, Leaving: true}))
-	is.Equal(l.Current(endpoint), Notice{Limit: 2.5, HasLimit: true, Leaving: true})
+	tr := New()
+	tr.RecordResponse(20*ms, 10*ms, endpoint, limited(2.5))
+	is.True(!tr.RecordResponse(40*ms, 30*ms, endpoint, Notice{LimitUnknown: true}))
+	is.True(tr.RecordResponse(60*ms, 50*ms, endpoint, Notice{LimitUnknown: true, Leaving: true}))
+	is.Equal(tr.Current(endpoint), Notice{Limit: 2.5, HasLimit: true, Leaving: true})
 }
 
 // Guards against VMs that send each other records of terminated incarnations for ever.
@@ -224,16 +224,16 @@
 				}
 			}
 		}
-		for _, l := range vms {
-			l.Expire(now, time.Minute, func(uint64) bool { return listed })
-			if now == gone && !l.Current(endpoint).HasLimit {
+		for _, tr := range vms {
+			tr.Expire(now, time.Minute, func(uint64) bool { return listed })
+			if now == gone && !tr.Current(endpoint).HasLimit {
 				t.Fatal("expired too early")
 			}
 		}
 	}
-	for _, l := range vms {
-		if len(l.entries) > 0 {
-			t.Errorf("%d incarnations have not expired", len(l.entries))
+	for _, tr := range vms {
+		if len(tr.entries) > 0 {
+			t.Errorf("%d incarnations have not expired", len(tr.entries))
 		}
 	}
 }
--- a/core/suspect/changes.go
+++ b/core/suspect/changes.go
@@ -47,9 +47,9 @@
 	case v.Level >= ConvictionLevel:
 		c.Kind = Convicted
 	}
-	for name, s := range e.sightings {
+	for endpoint, s := range e.sightings {
 		if s.ended() && s.relevant(e.cleared) {
-			c.Endpoints = append(c.Endpoints, name)
+			c.Endpoints = append(c.Endpoints, endpoint)
 		}
 	}
 	slices.Sort(c.Endpoints)
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -62,21 +62,21 @@
 		records []Record
 	}
 	var messages []message
-	for i, l := range f.vms {
-		hot := l.Recent(f.now, recordsPerMessage)
-		if len(hot) == 0 {
+	for i, tr := range f.vms {
+		records := tr.Recent(f.now, recordsPerMessage)
+		if len(records) == 0 {
 			continue
 		}
 		for range gossipFanout {
 			if to := f.rnd.IntN(len(f.vms)); f.rnd.Float64() >= lossRate && !f.separated(i, to) {
-				messages = append(messages, message{to, hot})
+				messages = append(messages, message{to, records})
 			}
 		}
 	}
 	f.now += gossipInterval
-	for _, n := range messages {
-		for _, r := range n.records {
-			f.vms[n.to].Merge(f.now, r)
+	for _, m := range messages {
+		for _, r := range m.records {
+			f.vms[m.to].Merge(f.now, r)
 		}
 	}
 }
@@ -104,9 +104,9 @@
 		f.vms[c.vm].RecordEnd(f.now, f.nextEndpoint)
 		for range neighbours {
 			f.innocents++
-			l := f.vms[f.rnd.IntN(len(f.vms))]
-			l.RecordCut(f.now, f.now-runTime, digestOf(f.innocents), f.nextEndpoint, 0)
-			l.RecordEnd(f.now, f.nextEndpoint)
+			tr := f.vms[f.rnd.IntN(len(f.vms))]
+			tr.RecordCut(f.now, f.now-runTime, digestOf(f.innocents), f.nextEndpoint, 0)
+			tr.RecordEnd(f.now, f.nextEndpoint)
 		}
 	}
 	f.running = kept
@@ -184,8 +184,8 @@
 		f.partitioned = true
 		d := digestOf(0)
 		f.simulate(d, 2, 40)
-		for i, l := range f.vms {
-			if !l.Status(d).Convicted() {
+		for i, tr := range f.vms {
+			if !tr.Status(d).Convicted() {
 				t.Fatalf("seed %d: VM %d still admits the request", seed, i)
 			}
 		}
@@ -225,25 +225,25 @@
 // BenchmarkNotes measures building the records of one gossip message while many requests are
 // recent, and looking up the status of a request with 1,000 suspects known.
 func BenchmarkNotes(b *testing.B) {
-	l := New()
+	tr := New()
 	for i := range maxEntries {
-		cutAndEnd(l, 0, digestOf(i), uint64(i/12))
+		cutAndEnd(tr, 0, digestOf(i), uint64(i/12))
 	}
 	b.Run("hot", func(b *testing.B) {
 		for b.Loop() {
-			_ = l.Recent(0, recordsPerMessage)
+			_ = tr.Recent(0, recordsPerMessage)
 		}
 	})
 	b.Run("turn", func(b *testing.B) {
 		for b.Loop() {
-			_ = l.NextInRotation(0, recordsPerMessage)
+			_ = tr.NextInRotation(0, recordsPerMessage)
 		}
 	})
 	for _, n := range []int{0, maxEntries} {
 		b.Run("look/"+strconv.Itoa(n), func(b *testing.B) {
 			k := New()
 			if n > 0 {
-				k = l
+				k = tr
 			}
 			d := digestOf(5)
 			for b.Loop() {
--- a/core/suspect/ledger.go
+++ b/core/suspect/ledger.go
@@ -311,9 +311,9 @@
 func (t *Tracker) rebuildWatched() {
 	clear(t.watched)
 	for _, e := range t.entries {
-		for name, s := range e.sightings {
+		for endpoint, s := range e.sightings {
 			if s.relevant(e.cleared) {
-				t.watched[name] = true
+				t.watched[endpoint] = true
 			}
 		}
 	}
@@ -322,18 +322,18 @@
 // Expire removes sightings and requests whose TTL has passed.
 func (t *Tracker) Expire(now time.Duration) {
 	for d, e := range t.entries {
-		for name, s := range e.sightings {
+		for endpoint, s := range e.sightings {
 			if !s.ended() && s.relevant(e.cleared) && now-s.cutAt >= cutTTL {
-				delete(e.sightings, name)
+				delete(e.sightings, endpoint)
 			}
 		}
 		if now-e.lastSighting >= e.ttl() {
 			t.evict(d)
 		}
 	}
-	for name, at := range t.firstCutAt {
+	for endpoint, at := range t.firstCutAt {
 		if now-at >= cutTTL {
-			delete(t.firstCutAt, name)
+			delete(t.firstCutAt, endpoint)
 		}
 	}
 	t.watchedStale = true
--- a/core/suspect/ledger_test.go
+++ b/core/suspect/ledger_test.go
@@ -15,24 +15,24 @@
 }
 
 // cutAndEnd cuts a request off at an incarnation that terminates with it.
-func cutAndEnd(l *Tracker, now time.Duration, d Digest, endpoint uint64) {
-	l.RecordCut(now, now, d, endpoint, l.Status(d).Generation)
-	l.RecordEnd(now, endpoint)
+func cutAndEnd(tr *Tracker, now time.Duration, d Digest, endpoint uint64) {
+	tr.RecordCut(now, now, d, endpoint, tr.Status(d).Generation)
+	tr.RecordEnd(now, endpoint)
 }
 
 // Three endpoints that terminate one after the other convict a request; two do not.
 func TestConvictedAfterThreeEnds(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(1)
 	for i := range 3 {
-		is.True(!l.Status(d).Convicted())
-		is.Equal(l.Status(d).OnTrial(), i == 2)
-		cutAndEnd(l, time.Duration(i)*time.Second, d, uint64(i))
+		is.True(!tr.Status(d).Convicted())
+		is.Equal(tr.Status(d).OnTrial(), i == 2)
+		cutAndEnd(tr, time.Duration(i)*time.Second, d, uint64(i))
 	}
-	is.True(l.Status(d).Convicted())
+	is.True(tr.Status(d).Convicted())
 	kinds := []Kind{}
-	for _, c := range l.TakeChanges() {
+	for _, c := range tr.TakeChanges() {
 		kinds = append(kinds, c.Kind)
 	}
 	is.Equal(kinds, []Kind{Suspected, Suspected, Convicted})
@@ -43,15 +43,15 @@
 // once.
 func TestSimultaneousEndsCountOnce(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(1)
 	for i := range 4 {
-		l.RecordCut(0, 0, d, uint64(i), 0)
+		tr.RecordCut(0, 0, d, uint64(i), 0)
 	}
 	for i := range 4 {
-		l.RecordEnd(0, uint64(i))
+		tr.RecordEnd(0, uint64(i))
 	}
-	is.Equal(l.Status(d).Level, 1)
+	is.Equal(tr.Status(d).Level, 1)
 }
 
 // A termination counts once, whichever VMs observed it and however many copies ran there.
@@ -72,15 +72,15 @@
 // later, or are at least still listed.
 func TestCutsAloneDoNotCount(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(1)
 	for i := range 6 {
-		l.RecordCut(0, 0, d, uint64(i), l.Status(d).Generation)
+		tr.RecordCut(0, 0, d, uint64(i), tr.Status(d).Generation)
 	}
-	is.Equal(l.Status(d).Level, 0)
-	is.True(!l.Status(d).OnTrial())
-	l.Expire(cutTTL)
-	is.Equal(l.Len(), 0)
+	is.Equal(tr.Status(d).Level, 0)
+	is.True(!tr.Status(d).OnTrial())
+	tr.Expire(cutTTL)
+	is.Equal(tr.Len(), 0)
 }
 
 // Guards against a VM whose own link refuses connections and that therefore takes endpoints for
@@ -115,46 +115,46 @@
 // An endpoint that announces that it leaves was not terminated by the requests cut off there.
 func TestLeavingIsNotAnEnd(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(1)
-	l.RecordCut(0, 0, d, 1, 0)
-	l.RecordLeaving(time.Second, 1)
-	l.RecordEnd(2*time.Second, 1)
-	is.Equal(l.Status(d).Level, 0)
+	tr.RecordCut(0, 0, d, 1, 0)
+	tr.RecordLeaving(time.Second, 1)
+	tr.RecordEnd(2*time.Second, 1)
+	is.Equal(tr.Status(d).Level, 0)
 }
 
 // A cut that a later response explains does not hide the next cut at the same incarnation.
 func TestEndAfterInterruptedResponse(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(1)
-	l.RecordCut(0, 0, d, 1, 0)
-	l.RecordResponse(2*time.Second, time.Second, 1)
-	is.Equal(l.Status(d).PossibleLevel, 0)
-	l.RecordCut(3*time.Second, 3*time.Second, d, 1, l.Status(d).Generation)
-	is.Equal(l.Status(d).PossibleLevel, 1)
-	is.Equal(l.Status(d).Level, 0)
-	l.RecordEnd(3*time.Second, 1)
-	is.Equal(l.Status(d).Level, 1)
+	tr.RecordCut(0, 0, d, 1, 0)
+	tr.RecordResponse(2*time.Second, time.Second, 1)
+	is.Equal(tr.Status(d).PossibleLevel, 0)
+	tr.RecordCut(3*time.Second, 3*time.Second, d, 1, tr.Status(d).Generation)
+	is.Equal(tr.Status(d).PossibleLevel, 1)
+	is.Equal(tr.Status(d).Level, 0)
+	tr.RecordEnd(3*time.Second, 1)
+	is.Equal(tr.Status(d).Level, 1)
 	// A copy of the next generation at the same terminated incarnation adds nothing.
-	l.RecordCut(3*time.Second, 3*time.Second, d, 1, l.Status(d).Generation)
-	is.Equal(l.Status(d).Level, 1)
+	tr.RecordCut(3*time.Second, 3*time.Second, d, 1, tr.Status(d).Generation)
+	is.Equal(tr.Status(d).Level, 1)
 }
 
 // When many callers send the same body, some copies succeed, however many endpoints terminate one
 // after the other. A response clears the body and exempts it from suspicion for a while.
 func TestSuccessClears(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(1)
 	for i := range 10 {
 		now := time.Duration(i) * 2 * exemptFor
-		cutAndEnd(l, now, d, uint64(i))
-		is.Equal(l.Status(d).Level, 1)
-		l.RecordSuccess(now, d)
-		is.Equal(l.Status(d).Level, 0)
-		cutAndEnd(l, now+exemptFor/2, d, uint64(100+i))
-		is.Equal(l.Status(d).Level, 0)
+		cutAndEnd(tr, now, d, uint64(i))
+		is.Equal(tr.Status(d).Level, 1)
+		tr.RecordSuccess(now, d)
+		is.Equal(tr.Status(d).Level, 0)
+		cutAndEnd(tr, now+exemptFor/2, d, uint64(100+i))
+		is.Equal(tr.Status(d).Level, 0)
 	}
 }
 
@@ -164,58 +164,58 @@
 // terminations in a row without a response in between, since no engine was left to respond.
 func TestServiceOutageDoesNotConvict(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	page := digestOf(1)
-	l.RecordSuccess(0, page)
+	tr.RecordSuccess(0, page)
 	for i := range 4 {
 		now := time.Second + time.Duration(i)*150*time.Millisecond
-		cutAndEnd(l, now, page, uint64(i))
+		cutAndEnd(tr, now, page, uint64(i))
 	}
-	is.Equal(l.Status(page).Level, 0)
+	is.Equal(tr.Status(page).Level, 0)
 	// A request that never got a response is retried while no endpoint is left to terminate.
 	other := digestOf(2)
-	cutAndEnd(l, 2*time.Second, other, 10)
+	cutAndEnd(tr, 2*time.Second, other, 10)
 	for i := range 5 {
 		now := 2*time.Second + time.Duration(i+1)*100*time.Millisecond
-		l.RecordCut(now, now-time.Millisecond, other, 10, l.Status(other).Generation)
-		l.RecordCut(now, now-time.Millisecond, other, uint64(3), l.Status(other).Generation)
-		l.RecordEnd(now, 3)
+		tr.RecordCut(now, now-time.Millisecond, other, 10, tr.Status(other).Generation)
+		tr.RecordCut(now, now-time.Millisecond, other, uint64(3), tr.Status(other).Generation)
+		tr.RecordEnd(now, 3)
 	}
-	is.Equal(l.Status(other).Level, 1)
+	is.Equal(tr.Status(other).Level, 1)
 }
 
 // A released request runs whatever is known against it.
 func TestRelease(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(1)
 	for i := range 4 {
-		cutAndEnd(l, 0, d, uint64(i))
+		cutAndEnd(tr, 0, d, uint64(i))
 	}
-	l.SetReleased([]Digest{d})
-	is.True(!l.Status(d).Convicted())
-	is.True(!l.Status(d).OnTrial())
-	l.SetReleased(nil)
-	is.True(l.Status(d).Convicted())
+	tr.SetReleased([]Digest{d})
+	is.True(!tr.Status(d).Convicted())
+	is.True(!tr.Status(d).OnTrial())
+	tr.SetReleased(nil)
+	is.True(tr.Status(d).Convicted())
 }
 
 // An entry whose TTL has passed is removed at every VM; records of other VMs do not bring it back.
 func TestExpiry(t *testing.T) {
 	is := is.New(t)
-	l, other := New(), New()
+	tr, other := New(), New()
 	d, s := digestOf(1), digestOf(2)
 	for i := range 3 {
-		cutAndEnd(l, 0, d, uint64(i))
+		cutAndEnd(tr, 0, d, uint64(i))
 	}
-	cutAndEnd(l, 0, s, 0)
-	l.Expire(suspectTTL)
-	is.Equal(l.Status(s).Level, 0)
-	is.True(l.Status(d).Convicted())
-	r, _ := l.RecordOf(convictedTTL-time.Minute, d)
+	cutAndEnd(tr, 0, s, 0)
+	tr.Expire(suspectTTL)
+	is.Equal(tr.Status(s).Level, 0)
+	is.True(tr.Status(d).Convicted())
+	r, _ := tr.RecordOf(convictedTTL-time.Minute, d)
 	is.True(other.Merge(0, r))
 	other.Expire(time.Minute)
 	is.Equal(other.Len(), 0)
-	old, _ := l.RecordOf(convictedTTL, d)
+	old, _ := tr.RecordOf(convictedTTL, d)
 	is.True(!other.Merge(time.Minute, old))
 }
 
@@ -223,28 +223,28 @@
 // one is evicted. Convicted requests stay, and memory is bounded.
 func TestManyBodiesDoNotEvictConvicted(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	d := digestOf(0)
 	for i := range 3 {
-		cutAndEnd(l, 0, d, uint64(i))
+		cutAndEnd(tr, 0, d, uint64(i))
 	}
 	for i := range 5 * maxEntries {
-		cutAndEnd(l, time.Second, digestOf(1+i), uint64(100+i))
+		cutAndEnd(tr, time.Second, digestOf(1+i), uint64(100+i))
 	}
-	is.Equal(l.Len(), maxEntries)
-	is.True(l.Status(d).Convicted())
+	is.Equal(tr.Len(), maxEntries)
+	is.True(tr.Status(d).Convicted())
 	for i := range 5 * maxSightings {
-		cutAndEnd(l, 2*time.Second, d, uint64(1e6+i))
+		cutAndEnd(tr, 2*time.Second, d, uint64(1e6+i))
 	}
-	r, _ := l.RecordOf(2*time.Second, d)
+	r, _ := tr.RecordOf(2*time.Second, d)
 	is.Equal(len(r.Sightings), maxSightings)
-	is.True(l.Status(d).Convicted())
+	is.True(tr.Status(d).Convicted())
 }
 
 // Inconsistent records are ignored: a corrupt one could convict a request, or clear it for ever.
 func TestImplausibleRecords(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	good := Sighting{Endpoint: 1, Generation: 1}
 	for _, r := range []Record{
 		{Sightings: []Sighting{good}},
@@ -255,21 +255,21 @@
 		{Digest: digestOf(1), Sightings: []Sighting{good}, Age: -1},
 		{Digest: digestOf(1), Sightings: make([]Sighting, maxSightings+1)},
 	} {
-		is.True(!l.Merge(0, r))
+		is.True(!tr.Merge(0, r))
 	}
-	is.Equal(l.Len(), 0)
+	is.Equal(tr.Len(), 0)
 }
 
 // NextInRotation covers all entries that matter, however few records fit into a message.
 func TestNextInRotationCoversAll(t *testing.T) {
 	is := is.New(t)
-	l := New()
+	tr := New()
 	for i := range 20 {
-		cutAndEnd(l, 0, digestOf(i), uint64(i))
+		cutAndEnd(tr, 0, digestOf(i), uint64(i))
 	}
 	seen := make(map[Digest]bool)
 	for range 4 {
-		for _, r := range l.NextInRotation(0, 6) {
+		for _, r := range tr.NextInRotation(0, 6) {
 			seen[r.Digest] = true
 		}
 	}
--- a/core/suspect/merge_test.go
+++ b/core/suspect/merge_test.go
@@ -22,11 +22,11 @@
 }
 
 func merged(list []Record) Status {
-	l := New()
+	tr := New()
 	for _, r := range list {
-		l.Merge(10*time.Second, r)
+		tr.Merge(10*time.Second, r)
 	}
-	return l.Status(digestOf(1))
+	return tr.Status(digestOf(1))
 }
 
 // Merging is independent of the order and duplication of records, and of the VMs that relay them.
@@ -41,11 +41,11 @@
 		half := rapid.IntRange(0, len(list)).Draw(t, "half")
 		var detour []Record
 		for _, part := range [][]Record{list[:half], list[half:]} {
-			l := New()
+			tr := New()
 			for _, r := range part {
-				l.Merge(10*time.Second, r)
+				tr.Merge(10*time.Second, r)
 			}
-			if r, ok := l.RecordOf(10*time.Second, digestOf(1)); ok {
+			if r, ok := tr.RecordOf(10*time.Second, digestOf(1)); ok {
 				detour = append(detour, r)
 			}
 		}
@@ -59,18 +59,18 @@
 // from an incarnation that was taken for terminated.
 func TestMergeNeverLowersLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New()
+		tr := New()
 		for _, r := range rapid.SliceOfN(rapid.Custom(genRecord), 0, 4).Draw(t, "known") {
-			l.Merge(10*time.Second, r)
+			tr.Merge(10*time.Second, r)
 		}
-		before := l.Status(digestOf(1))
+		before := tr.Status(digestOf(1))
 		more := genRecord(t)
 		more.Cleared = 0
 		for i := range more.Sightings {
 			more.Sightings[i].AliveAt = 0
 		}
-		l.Merge(10*time.Second, more)
-		if after := l.Status(digestOf(1)); after.Level < before.Level || after.PossibleLevel < before.PossibleLevel {
+		tr.Merge(10*time.Second, more)
+		if after := tr.Status(digestOf(1)); after.Level < before.Level || after.PossibleLevel < before.PossibleLevel {
 			t.Fatalf("level lowered: %+v after %+v", after, before)
 		}
 	})
--- a/core/suspect/telling.go
+++ b/core/suspect/telling.go
@@ -31,8 +31,8 @@
 		return cmp.Or(cmp.Compare(b.status.Level, a.status.Level), cmp.Compare(b.status.PossibleLevel, a.status.PossibleLevel), cmp.Compare(b.changed, a.changed), bytes.Compare(a.d[:], b.d[:]))
 	})
 	records := make([]Record, 0, n)
-	for _, h := range recent[:min(n, len(recent))] {
-		records = append(records, t.entries[h.d].record(now, h.d))
+	for _, c := range recent[:min(n, len(recent))] {
+		records = append(records, t.entries[c.d].record(now, c.d))
 	}
 	return records
 }
