--- a/core/dispatch/limits.go
+++ b/core/dispatch/limits.go
@@ -25,11 +25,11 @@
 // SetCoverage sets how many of the known VMs are served by reachable placers, this one
 // included. It must be called several times a second.
 func (s *Scheduler) SetCoverage(now time.Duration, reachable, known int) {
-	s.limitShare = limit.Part(reachable, known)
+	s.limitShare = limit.Share(reachable, known)
 	s.removeExpiredBackoffs(now)
 	for hash, b := range s.limits {
 		if e := s.byHash[hash]; e != nil {
-			b.Fill(now, s.limitShareAt(now, e))
+			b.Refill(now, s.limitShareAt(now, e))
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	if b == nil {
 		return true
 	}
-	b.Fill(now, s.limitShareAt(now, e))
+	b.Refill(now, s.limitShareAt(now, e))
 	return b.Ready()
 }
 
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -51,7 +51,7 @@
 func (s *Scheduler) openEndpoints(now time.Duration, sv *service) []openEndpoint {
 	var open []openEndpoint
 	accepts := (*endpoint).eligible
-	if !slices.ContainsFunc(sv.list, func(e *endpoint) bool { return !e.Trial && e.reachable(now) && !e.health.ejection.active }) {
+	if !slices.ContainsFunc(sv.list, func(e *endpoint) bool { return !e.Canary && e.reachable(now) && !e.health.ejection.active }) {
 		accepts = (*endpoint).usable
 	}
 	for _, e := range sv.list {
--- a/core/dispatch/trial.go
+++ b/core/dispatch/trial.go
@@ -10,7 +10,7 @@
 const canaryPreference = 2 * lateCost
 
 // admitsVersion reports whether a job may run on an endpoint's version.
-func admitsVersion(j *Job, e *endpoint) bool { return j.Canary || !e.Trial }
+func admitsVersion(j *Job, e *endpoint) bool { return j.Canary || !e.Canary }
 
 // canaryCost returns the cost of an endpoint's version for a job; negative for a canary.
 func canaryCost(j *Job, e *endpoint) float64 {
@@ -22,4 +22,4 @@
 
 // isCanaryRun reports whether a job is a canary at an endpoint under test. Such a job is placed
 // at once, whether it will be late or not, since its purpose is to test the version.
-func isCanaryRun(j *Job, e *endpoint) bool { return j.Canary && e.Trial }
+func isCanaryRun(j *Job, e *endpoint) bool { return j.Canary && e.Canary }
--- a/core/notice/fleet_test.go
+++ b/core/notice/fleet_test.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	noteEvery = 100 * time.Millisecond
-	// hot and turn are how many records a note tells, wholeEvery which notes tell those in turn.
-	hot, turn  = 16, 8
-	wholeEvery = 10
-	lossEvery  = 50
+	gossipInterval = 100 * time.Millisecond
+	// recentRecords and rotationRecords are the numbers of records in a message; one message in rotationEvery carries
+	// the latter. One in lossEvery records is lost.
+	recentRecords, rotationRecords = 16, 8
+	rotationEvery                  = 10
+	lossEvery                      = 50
 )
 
-// spread plays how many notes it takes until all VMs of a number of failure domains know what one of them
-// was told by its endpoints; each failure domain has as many placers as it needs.
-func spread(t *testing.T, domains, perDomain, changes int) time.Duration {
+// timeToSpread simulates gossip and returns how long it takes until all VMs of a number of failure domains have
+// received the limits that one VM learned from its endpoints. Each failure domain has as many placers as it needs.
+func timeToSpread(t *testing.T, domains, perDomain, changes int) time.Duration {
 	t.Helper()
 	type vm struct {
-		ledger *notice.Ledger
-		peers  []cell.Peer
-		asks   bool
-		offset uint64
+		tracker *notice.Tracker
+		peers   []cell.Peer
+		asks    bool
+		offset  uint64
 	}
 	r := rand.New(rand.NewPCG(1, uint64(domains*perDomain)))
 	vms := make([]vm, domains*perDomain)
 	placers := max(1, perDomain/64)
 	for i := range vms {
 		v := &vms[i]
-		v.ledger, v.offset, v.asks = notice.New(), r.Uint64N(1<<16), i%perDomain >= placers
+		v.tracker, v.offset, v.asks = notice.New(), r.Uint64N(1<<16), i%perDomain >= placers
 		for k := range vms {
 			if k == i {
 				continue
@@ -45,16 +46,16 @@
 		}
 	}
 	source := &vms[len(vms)-1]
-	for name := range uint64(changes) {
-		source.ledger.Hear(0, 0, name, notice.Notice{Limit: 2.5, HasLimit: true})
+	for endpoint := range uint64(changes) {
+		source.tracker.RecordResponse(0, 0, endpoint, notice.Notice{Limit: 2.5, HasLimit: true})
 	}
 	for n := uint64(1); n < 600; n++ {
-		now := time.Duration(n) * noteEvery
+		now := time.Duration(n) * gossipInterval
 		for i := range vms {
 			v := &vms[i]
-			records := v.ledger.Hot(now, hot)
-			if n%wholeEvery == 0 {
-				records = append(records, v.ledger.Turn(now, turn)...)
+			records := v.tracker.Recent(now, recentRecords)
+			if n%rotationEvery == 0 {
+				records = append(records, v.tracker.NextInRotation(now, rotationRecords)...)
 			}
 			if len(records) == 0 {
 				continue
@@ -68,7 +69,7 @@
 					}
 					for _, record := range records {
 						if r.IntN(lossEvery) > 0 {
-							vms[k].ledger.Merge(now, record, true)
+							vms[k].tracker.Merge(now, record, true)
 						}
 					}
 				}
@@ -76,29 +77,29 @@
 		}
 		all := true
 		for i := range vms {
-			for name := range uint64(changes) {
-				all = all && vms[i].ledger.Holds(name).HasLimit
+			for endpoint := range uint64(changes) {
+				all = all && vms[i].tracker.Current(endpoint).HasLimit
 			}
 		}
 		if all {
 			return now
 		}
 	}
-	t.Fatal("some never hear of it")
+	t.Fatal("some VMs never received the limits")
 	return 0
 }
 
-// settles is how long after an endpoint first names a limit it holds.
-const settles = 3 * time.Second
+// convergenceLimit is the time after an endpoint first names a limit from which all VMs must respect it.
+const convergenceLimit = 3 * time.Second
 
-// Guards against VMs that hear too late of a limit that an endpoint names.
-func TestAllVMsHearOfALimitInTime(t *testing.T) {
+// Guards against VMs that receive a limit named by an endpoint too late.
+func TestLimitReachesAllVMsInTime(t *testing.T) {
 	for _, c := range []struct{ domains, perDomain, changes int }{
 		{3, 3, 1}, {4, 17, 1}, {6, 50, 1}, {13, 138, 1}, {3, 3, 100}, {4, 17, 100}, {6, 50, 100},
 	} {
-		took := spread(t, c.domains, c.perDomain, c.changes)
+		took := timeToSpread(t, c.domains, c.perDomain, c.changes)
 		t.Logf("%d VMs, %d endpoints: %v", c.domains*c.perDomain, c.changes, took)
-		if took > settles {
+		if took > convergenceLimit {
 			t.Errorf("%v at %d VMs, %d endpoints", took, c.domains*c.perDomain, c.changes)
 		}
 	}
--- a/core/notice/ledger.go
+++ b/core/notice/ledger.go
@@ -8,126 +8,128 @@
 )
 
 const (
-	// settle is by how much what another VM saw counts as older: the word of it may have been under way for
-	// as long, and must not pass for later than what was said since.
-	settle = 500 * time.Millisecond
-	// mostTells is how many notes tell of a change before it is told in turn alone: few datagrams are lost.
-	mostTells = 3
-	// mostRecords bounds the incarnations that are remembered.
-	mostRecords = 1 << 14
-	// toldFor is how long after an incarnation was last listed or heard here others are told of it. Else VMs would
-	// remind each other for ever of those that are gone.
-	toldFor = 20 * time.Second
-	// oldest bounds ages.
-	oldest = 365 * 24 * time.Hour
+	// transitAllowance is subtracted from the times that another VM reports: its message may have been in transit
+	// for that long, and must not override a response that was received here in the meantime.
+	transitAllowance = 500 * time.Millisecond
+	// maxSends is the number of gossip messages that carry a change before it is only sent in rotation. Few
+	// datagrams are lost.
+	maxSends = 3
+	// maxEntries bounds the number of tracked incarnations.
+	maxEntries = 1 << 14
+	// gossipFor is how long an incarnation is gossiped after it was last listed, or last responded, here. Without
+	// this bound VMs would send each other records of terminated incarnations for ever.
+	gossipFor = 20 * time.Second
+	// maxAge bounds the ages in received records.
+	maxAge = 365 * 24 * time.Hour
 )
 
-// Never is the age of what did not happen.
+// Never is the age of an event that has not happened.
 const Never time.Duration = -1
 
-// Record is what one VM tells others of an incarnation. Ages are as of when it is told.
+// Record is what one VM gossips about an incarnation. Ages are relative to when it is sent.
 type Record struct {
-	// Endpoint is the short name of the incarnation.
+	// Endpoint is the hash of the incarnation's key.
 	Endpoint uint64
-	// Limit is the limit that was named in answer to the request that was sent last of those whose answer
-	// named one, Asked how long ago that was sent. Named is how long ago the last such answer came, Lifted how
-	// long ago the last request was sent whose answer named none.
+	// Limit is the limit, in requests a second, from the response to the latest request whose response named one.
+	// Asked is the time since that request was sent, Named the time since the last response that named a limit
+	// arrived, and Lifted the time since the latest request was sent whose response named none.
 	Limit                float64
 	Asked, Named, Lifted time.Duration
-	// Leaving says that the incarnation said that it leaves, which holds for the rest of its life.
+	// Leaving is set if the incarnation announced that it leaves. That is permanent.
 	Leaving bool
-	// Rest is for how much longer it wants nothing from the VM that tells.
-	Rest time.Duration
+	// Backoff is for how much longer the incarnation wants no requests from the VM that sends the record.
+	Backoff time.Duration
 }
 
-// Valid says whether a record can be.
+// Valid reports whether the limit is a finite number that is not negative.
 func (r Record) Valid() bool { return r.Limit >= 0 && !math.IsInf(r.Limit, 0) }
 
-// stamp is a moment of the VM's process, if it ever was.
+// stamp is a time of the VM's process, if set.
 type stamp struct {
 	at  time.Duration
-	was bool
+	set bool
 }
 
-// after says whether it is the later one.
-func (s stamp) after(o stamp) bool { return s.was && (!o.was || s.at > o.at) }
+// after reports whether s is later than o.
+func (s stamp) after(o stamp) bool { return s.set && (!o.set || s.at > o.at) }
 
-// settled is the moment as others take it.
-func (s stamp) settled() stamp {
-	s.at -= settle
+// lessTransit returns the stamp of another VM, adjusted by transitAllowance.
+func (s stamp) lessTransit() stamp {
+	s.at -= transitAllowance
 	return s
 }
 
-// ago is its age.
-func (s stamp) ago(now time.Duration) time.Duration {
-	if !s.was {
+// age returns the time since the stamp, or Never.
+func (s stamp) age(now time.Duration) time.Duration {
+	if !s.set {
 		return Never
 	}
 	return max(0, now-s.at)
 }
 
-// stampOf is the moment of an age.
-func stampOf(now, ago time.Duration) stamp {
-	if ago < 0 {
+// stampFromAge converts an age to a stamp.
+func stampFromAge(now, age time.Duration) stamp {
+	if age < 0 {
 		return stamp{}
 	}
-	return stamp{at: now - min(ago, oldest), was: true}
+	return stamp{at: now - min(age, maxAge), set: true}
 }
 
-// entry is what is known of one incarnation.
+// entry is the state of one incarnation.
 type entry struct {
 	limit                float64
 	asked, named, lifted stamp
 	leaving              bool
-	// rest is when the rest for which it asked this VM ends, others when that for which it asked
-	// another does.
-	rest, others time.Duration
-	// changed is when what holds changed last, tells how many notes told of that.
-	changed time.Duration
-	tells   int
-	// listed is when the registry was last seen to list it, heard when an answer of it last came here.
-	listed, heard stamp
+	// backoffUntil is when the backoff ends that the incarnation asked of this VM, othersBackoffUntil the latest end
+	// of those that it asked of other VMs.
+	backoffUntil, othersBackoffUntil time.Duration
+	// changedAt is when the notice or a backoff last changed, sends the number of messages that carried the change.
+	changedAt time.Duration
+	sends     int
+	// listed is when the registry was last seen to list the incarnation, responded when its last response arrived here.
+	listed, responded stamp
 }
 
-func (e *entry) holds() Notice {
+func (e *entry) current() Notice {
 	n := Notice{Leaving: e.leaving}
-	if e.named.was && !e.lifted.after(e.named) {
+	if e.named.set && !e.lifted.after(e.named) {
 		n.Limit, n.HasLimit = e.limit, true
 	}
 	return n
 }
 
-// Ledger is what one VM knows. Times are those of its process; it is not safe for concurrent use. Records of
-// other VMs may come in any order and again.
-type Ledger struct {
+// Tracker holds the notices that one VM knows. Times are those of its process. It is not safe for concurrent use.
+// Records of other VMs may arrive in any order and repeatedly.
+type Tracker struct {
 	entries map[uint64]*entry
-	// turn is the short name at which the next Turn begins.
-	turn uint64
+	// cursor is the hash at which the next NextInRotation begins.
+	cursor uint64
 }
 
-// New returns an empty ledger.
-func New() *Ledger { return &Ledger{entries: make(map[uint64]*entry)} }
+// New returns an empty tracker.
+func New() *Tracker { return &Tracker{entries: make(map[uint64]*entry)} }
 
-// Hear takes in an answer of an incarnation to a request that was sent at a time, and reports whether what
-// holds has changed. Answers on different connections overtake each other: a limit holds until an answer
-// names none whose request was sent after the last one that named it had come, and of two limits that of the
-// request that was sent later, or the lower one if its answer came later.
-func (l *Ledger) Hear(now, sent time.Duration, endpoint uint64, n Notice) bool {
-	e := l.entries[endpoint]
-	if e == nil && !n.HasLimit && !n.Leaving && n.Rest == 0 {
+// RecordResponse records a response of an incarnation to a request that was sent at the given time, and reports
+// whether its notice or a backoff changed. Responses on different connections overtake each other. A limit
+// therefore holds until a response names none to a request that was sent after the last response with a limit had
+// arrived. Of two limits, that of the later request holds, or the lower one if the response to the earlier request
+// arrives last.
+func (t *Tracker) RecordResponse(now, sent time.Duration, endpoint uint64, n Notice) bool {
+	e := t.entries[endpoint]
+	if e == nil && !n.HasLimit && !n.Leaving && n.Backoff == 0 {
 		return false
 	}
-	return l.change(now, endpoint, func(e *entry) {
-		e.heard = stamp{now, true}
+	return t.update(now, endpoint, func(e *entry) {
+		e.responded = stamp{now, true}
 		e.leaving = e.leaving || n.Leaving
-		if n.Rest > 0 {
-			e.rest = max(e.rest, now+n.Rest)
+		if n.Backoff > 0 {
+			e.backoffUntil = max(e.backoffUntil, now+n.Backoff)
 		}
 		switch {
 		case n.LimitUnknown:
 			return
 		case !n.HasLimit:
-			e.lift(stamp{sent, true})
+			e.setLifted(stamp{sent, true})
 			return
 		}
 		asked := stamp{sent, true}
@@ -136,172 +138,173 @@
 		} else {
 			e.asked, e.limit = asked, n.Limit
 		}
-		e.name(stamp{now, true})
+		e.setNamed(stamp{now, true})
 	})
 }
 
-func (e *entry) name(at stamp) {
+func (e *entry) setNamed(at stamp) {
 	if at.after(e.named) {
 		e.named = at
 	}
 }
 
-func (e *entry) lift(at stamp) {
+func (e *entry) setLifted(at stamp) {
 	if at.after(e.lifted) {
 		e.lifted = at
 	}
 }
 
-// change changes an entry and reports whether what holds has changed.
-func (l *Ledger) change(now time.Duration, endpoint uint64, do func(*entry)) bool {
-	e := l.entries[endpoint]
+// update applies a change to an entry and reports whether its notice or a backoff changed.
+func (t *Tracker) update(now time.Duration, endpoint uint64, apply func(*entry)) bool {
+	e := t.entries[endpoint]
 	if e == nil {
-		if len(l.entries) >= mostRecords {
+		if len(t.entries) >= maxEntries {
 			return false
 		}
-		e = &entry{changed: now}
-		l.entries[endpoint] = e
+		e = &entry{changedAt: now}
+		t.entries[endpoint] = e
 	}
-	before, rest, others := e.holds(), e.rest, e.others
-	do(e)
-	if e.holds() == before && e.rest == rest && e.others == others {
+	before, own, others := e.current(), e.backoffUntil, e.othersBackoffUntil
+	apply(e)
+	if e.current() == before && e.backoffUntil == own && e.othersBackoffUntil == others {
 		return false
 	}
-	e.changed, e.tells = now, 0
+	e.changedAt, e.sends = now, 0
 	return true
 }
 
-// holds says whether something does by a record.
-func (r Record) holds() bool {
+// active reports whether the record contains a limit, a backoff or that the incarnation leaves.
+func (r Record) active() bool {
 	limited := r.Named >= 0 && (r.Lifted < 0 || r.Lifted >= r.Named)
-	return limited || r.Leaving || r.Rest > 0
+	return limited || r.Leaving || r.Backoff > 0
 }
 
-// Merge takes in what another VM knows, and reports whether what holds has changed. listed says that the
+// Merge merges a record of another VM, and reports whether the notice or a backoff changed. listed is whether the
 // registry lists the incarnation, as far as this VM knows.
-func (l *Ledger) Merge(now time.Duration, r Record, listed bool) bool {
-	if l.entries[r.Endpoint] == nil && !listed && !r.holds() {
+func (t *Tracker) Merge(now time.Duration, r Record, listed bool) bool {
+	if t.entries[r.Endpoint] == nil && !listed && !r.active() {
 		return false
 	}
-	return l.change(now, r.Endpoint, func(e *entry) {
+	return t.update(now, r.Endpoint, func(e *entry) {
 		if listed {
 			e.listed = stamp{now, true}
 		}
-		if asked := stampOf(now, r.Asked).settled(); asked.after(e.asked) {
+		if asked := stampFromAge(now, r.Asked).lessTransit(); asked.after(e.asked) {
 			e.asked, e.limit = asked, r.Limit
 		}
 		e.leaving = e.leaving || r.Leaving
-		if r.Rest > 0 {
-			e.others = max(e.others, now+min(r.Rest, oldest))
+		if r.Backoff > 0 {
+			e.othersBackoffUntil = max(e.othersBackoffUntil, now+min(r.Backoff, maxAge))
 		}
-		e.name(stampOf(now, r.Named))
-		e.lift(stampOf(now, r.Lifted).settled())
+		e.setNamed(stampFromAge(now, r.Named))
+		e.setLifted(stampFromAge(now, r.Lifted).lessTransit())
 	})
 }
 
-// Holds is what an incarnation says of itself now.
-func (l *Ledger) Holds(endpoint uint64) Notice {
-	if e := l.entries[endpoint]; e != nil {
-		return e.holds()
+// Current returns the notice that holds for an incarnation now.
+func (t *Tracker) Current(endpoint uint64) Notice {
+	if e := t.entries[endpoint]; e != nil {
+		return e.current()
 	}
 	return Notice{}
 }
 
-// Rests are when the rest ends for which an incarnation asked this VM, and that for which it asked another.
-// Each is the latest that was named: an answer that comes later ends none.
-func (l *Ledger) Rests(endpoint uint64) (own, others time.Duration) {
-	if e := l.entries[endpoint]; e != nil {
-		return e.rest, e.others
+// BackoffEnds returns when the backoff ends that an incarnation asked of this VM, and the latest end of those that it
+// asked of other VMs. Each is the latest end that was named: a later response ends no backoff early.
+func (t *Tracker) BackoffEnds(endpoint uint64) (own, others time.Duration) {
+	if e := t.entries[endpoint]; e != nil {
+		return e.backoffUntil, e.othersBackoffUntil
 	}
 	return 0, 0
 }
 
-// Forget drops incarnations that were not listed for a time, or of which nothing holds since then: the registry
-// may list them later here than elsewhere, or again. It returns those by which something held.
-func (l *Ledger) Forget(now, within time.Duration, listed func(endpoint uint64) bool) (held []uint64) {
-	for name, e := range l.entries {
-		holds := e.holds() != Notice{} || e.rest > now
-		if listed(name) {
+// Expire removes incarnations that have not changed for the time within, and that either were not listed for as long
+// or have no active notice or backoff. It waits because the registry may list an incarnation here later than
+// elsewhere, or again. It returns the removed incarnations that had an active notice or backoff.
+func (t *Tracker) Expire(now, within time.Duration, listed func(endpoint uint64) bool) (expired []uint64) {
+	for endpoint, e := range t.entries {
+		active := e.current() != Notice{} || e.backoffUntil > now
+		if listed(endpoint) {
 			e.listed = stamp{now, true}
 		}
-		if now-e.changed <= within || holds && e.listed.was && now-e.listed.at <= within {
+		if now-e.changedAt <= within || active && e.listed.set && now-e.listed.at <= within {
 			continue
 		}
-		if holds {
-			held = append(held, name)
+		if active {
+			expired = append(expired, endpoint)
 		}
-		delete(l.entries, name)
+		delete(t.entries, endpoint)
 	}
-	return held
+	return expired
 }
 
-func (l *Ledger) record(now time.Duration, endpoint uint64) Record {
-	e := l.entries[endpoint]
-	return Record{Endpoint: endpoint, Limit: e.limit, Asked: e.asked.ago(now), Named: e.named.ago(now), Lifted: e.lifted.ago(now), Leaving: e.leaving, Rest: max(0, e.rest-now)}
+func (t *Tracker) record(now time.Duration, endpoint uint64) Record {
+	e := t.entries[endpoint]
+	return Record{Endpoint: endpoint, Limit: e.limit, Asked: e.asked.age(now), Named: e.named.age(now), Lifted: e.lifted.age(now), Leaving: e.leaving, Backoff: max(0, e.backoffUntil-now)}
 }
 
-// Hot are at most n records that changed lately, for one note: those by which something holds for all VMs
-// first, then those that fewer notes told.
-func (l *Ledger) Hot(now time.Duration, n int) []Record {
-	list := l.first(now, n, func(e *entry) bool { return e.tells < mostTells && e.told(now) })
+// Recent returns at most n records that changed recently, for one gossip message. Records with a notice that holds
+// for all VMs come first, then those that fewer messages have carried.
+func (t *Tracker) Recent(now time.Duration, n int) []Record {
+	list := t.selectRecords(now, n, func(e *entry) bool { return e.sends < maxSends && e.gossiped(now) })
 	for _, r := range list {
-		l.entries[r.Endpoint].tells++
+		t.entries[r.Endpoint].sends++
 	}
 	return list
 }
 
-// Holding are at most n records by which something holds.
-func (l *Ledger) Holding(now time.Duration, n int) []Record {
-	return l.first(now, n, func(e *entry) bool { return (e.holds() != Notice{} || e.rest > now) && e.told(now) })
+// Active returns at most n records with an active notice or backoff.
+func (t *Tracker) Active(now time.Duration, n int) []Record {
+	return t.selectRecords(now, n, func(e *entry) bool { return (e.current() != Notice{} || e.backoffUntil > now) && e.gossiped(now) })
 }
 
-// told says whether others are told of it.
-func (e *entry) told(now time.Duration) bool {
-	return e.listed.was && now-e.listed.at <= toldFor || e.heard.was && now-e.heard.at <= toldFor
+// gossiped reports whether the entry is still sent to other VMs.
+func (e *entry) gossiped(now time.Duration) bool {
+	return e.listed.set && now-e.listed.at <= gossipFor || e.responded.set && now-e.responded.at <= gossipFor
 }
 
-// weight is 1 where something holds for all VMs, 0 for a rest.
-func (e *entry) weight() int {
-	if e.holds() == (Notice{}) {
+// priority is 1 for a notice that holds for all VMs, and 0 for a backoff alone.
+func (e *entry) priority() int {
+	if e.current() == (Notice{}) {
 		return 0
 	}
 	return 1
 }
 
-func (l *Ledger) first(now time.Duration, n int, which func(*entry) bool) []Record {
-	var names []uint64
-	for name, e := range l.entries {
-		if which(e) {
-			names = append(names, name)
+func (t *Tracker) selectRecords(now time.Duration, n int, include func(*entry) bool) []Record {
+	var endpoints []uint64
+	for endpoint, e := range t.entries {
+		if include(e) {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	slices.SortFunc(names, func(a, b uint64) int {
-		ea, eb := l.entries[a], l.entries[b]
-		return cmp.Or(cmp.Compare(eb.weight(), ea.weight()), cmp.Compare(ea.tells, eb.tells), cmp.Compare(eb.changed, ea.changed), cmp.Compare(a, b))
+	slices.SortFunc(endpoints, func(a, b uint64) int {
+		ea, eb := t.entries[a], t.entries[b]
+		return cmp.Or(cmp.Compare(eb.priority(), ea.priority()), cmp.Compare(ea.sends, eb.sends), cmp.Compare(eb.changedAt, ea.changedAt), cmp.Compare(a, b))
 	})
 	var list []Record
-	for _, name := range names[:min(n, len(names))] {
-		list = append(list, l.record(now, name))
+	for _, endpoint := range endpoints[:min(n, len(endpoints))] {
+		list = append(list, t.record(now, endpoint))
 	}
 	return list
 }
 
-// Turn are the next n records, so that all come up equally often.
-func (l *Ledger) Turn(now time.Duration, n int) []Record {
-	names := make([]uint64, 0, len(l.entries))
-	for name, e := range l.entries {
-		if e.told(now) {
-			names = append(names, name)
+// NextInRotation returns the next n records, so that all are sent equally often.
+func (t *Tracker) NextInRotation(now time.Duration, n int) []Record {
+	endpoints := make([]uint64, 0, len(t.entries))
+	for endpoint, e := range t.entries {
+		if e.gossiped(now) {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	slices.Sort(names)
-	from, _ := slices.BinarySearch(names, l.turn)
+	slices.Sort(endpoints)
+	from, _ := slices.BinarySearch(endpoints, t.cursor)
 	var list []Record
-	for k := range min(n, len(names)) {
-		list = append(list, l.record(now, names[(from+k)%len(names)]))
+	for k := range min(n, len(endpoints)) {
+		list = append(list, t.record(now, endpoints[(from+k)%len(endpoints)]))
 	}
 	if len(list) > 0 {
-		l.turn = list[len(list)-1].Endpoint + 1
+		t.cursor = list[len(list)-1].Endpoint + 1
 	}
 	return list
 }
--- a/core/suspect/changes.go
+++ b/core/suspect/changes.go
@@ -2,61 +2,64 @@
 
 import "slices"
 
-// Change is a step of what is known against a request, for logs.
+// Change is a change of a request's conviction level, for logging.
 type Change struct {
 	Digest Digest
 	Kind   Kind
-	// Level is how many generations have ended endpoints now, Was how many had before.
-	Level, Was int
-	// Endpoints are the short names of the incarnations that ended.
+	// Level is the number of generations that have terminated endpoints now, PreviousLevel the
+	// number before the change.
+	Level, PreviousLevel int
+	// Endpoints are the hashes of the incarnations that terminated.
 	Endpoints []uint64
 }
 
-// WasConvicted says that the request was convicted before and is not any more.
-func (c Change) WasConvicted() bool { return c.Was >= ConvictedAt && c.Level < ConvictedAt }
+// WasConvicted reports whether the change ends a conviction.
+func (c Change) WasConvicted() bool {
+	return c.PreviousLevel >= ConvictionLevel && c.Level < ConvictionLevel
+}
 
-// Kind says what kind of step a Change is.
+// Kind is the kind of a Change.
 type Kind int
 
 // Kinds of changes.
 const (
-	// Suspected: one more generation has ended endpoints.
+	// Suspected: one more generation has terminated endpoints.
 	Suspected Kind = iota
-	// Convicted: it is not sent to endpoints any more.
+	// Convicted: the request is no longer sent to endpoints.
 	Convicted
-	// Cleared: an answer speaks for it, or its endpoints live.
+	// Cleared: a response cleared the request, or its endpoints turned out to be alive.
 	Cleared
-	// Forgotten: its time is over, or others took its place.
+	// Forgotten: the entry expired or was evicted.
 	Forgotten
 )
 
-// tell notes a change of level for logs.
-func (l *Ledger) tell(d Digest, e *entry) {
-	v := e.view()
-	v.Level = min(v.Level, ConvictedAt)
-	if v.Level == e.told {
+// recordChange appends a Change if the request's level differs from the last one reported.
+func (t *Tracker) recordChange(d Digest, e *entry) {
+	v := e.status()
+	v.Level = min(v.Level, ConvictionLevel)
+	if v.Level == e.reportedLevel {
 		return
 	}
-	c := Change{Digest: d, Kind: Suspected, Level: v.Level, Was: e.told}
+	c := Change{Digest: d, Kind: Suspected, Level: v.Level, PreviousLevel: e.reportedLevel}
 	switch {
-	case v.Level < e.told:
+	case v.Level < e.reportedLevel:
 		c.Kind = Cleared
-	case v.Level >= ConvictedAt:
+	case v.Level >= ConvictionLevel:
 		c.Kind = Convicted
 	}
-	for name, s := range e.sightings {
-		if s.ended() && s.counts(e.cleared) {
-			c.Endpoints = append(c.Endpoints, name)
+	for endpoint, s := range e.sightings {
+		if s.ended() && s.relevant(e.cleared) {
+			c.Endpoints = append(c.Endpoints, endpoint)
 		}
 	}
 	slices.Sort(c.Endpoints)
-	e.told = v.Level
-	l.changes = append(l.changes, c)
+	e.reportedLevel = v.Level
+	t.changes = append(t.changes, c)
 }
 
-// Changes returns what changed since the last call.
-func (l *Ledger) Changes() []Change {
-	list := l.changes
-	l.changes = nil
+// TakeChanges returns the changes since the last call.
+func (t *Tracker) TakeChanges() []Change {
+	list := t.changes
+	t.changes = nil
 	return list
 }
--- a/core/suspect/digest_test.go
+++ b/core/suspect/digest_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Each part of the identity counts, and none can pass for another.
+// Each part of the identity changes the digest, and no two parts can be confused.
 func TestDigest(t *testing.T) {
 	is := is.New(t)
 	base := Identity{Organisation: "org", Method: "POST", Host: "app", Target: "/a/b", Body: []byte("text")}
@@ -24,17 +24,17 @@
 	for _, o := range others {
 		is.True(o.Digest() != base.Digest())
 	}
-	got, err := Parse(base.Digest().String())
+	got, err := ParseDigest(base.Digest().String())
 	is.NoErr(err)
 	is.Equal(got, base.Digest())
 	for _, bad := range []string{"", "00", "zz", base.Digest().String() + "00"} {
-		_, err := Parse(bad)
+		_, err := ParseDigest(bad)
 		is.True(err != nil)
 	}
 }
 
-// BenchmarkDigest measures the cost for a request without a body, of the usual sizes and of
-// 1 MB.
+// BenchmarkDigest measures hashing a request with no body, with bodies of usual sizes and with
+// one of 1 MB.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range []int{0, 830, 12000, 1 << 20} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// fleet is VMs that tell each other what they know, in virtual time.
+// fleet simulates VMs that gossip, in virtual time.
 type fleet struct {
-	rnd  *rand.Rand
-	vms  []*Ledger
-	now  time.Duration
-	next uint64
-	// cut keeps the first half of the VMs from the others.
-	cut bool
-	// running are copies of the request at endpoints.
+	rnd          *rand.Rand
+	vms          []*Tracker
+	now          time.Duration
+	nextEndpoint uint64
+	// partitioned separates the first half of the VMs from the second.
+	partitioned bool
+	// running are the copies of the request that run at endpoints.
 	running []copyRun
 	runs    []time.Duration
 	ends    []time.Duration
-	// innocents are neighbours that were cut with it.
+	// innocents counts the other requests that were cut off with it.
 	innocents int
 }
 
@@ -30,17 +30,17 @@
 }
 
 const (
-	// noteEvery, noteTo and hotMost are how VMs tell each other: each tenth of a second
-	// five others, of the eight that matter most.
-	noteEvery = 100 * time.Millisecond
-	noteTo    = 5
-	hotMost   = 8
-	// lost is the share of notes that are lost.
-	lost = 0.02
-	// neighbours are what else an endpoint runs.
+	// gossipInterval, gossipFanout and recordsPerMessage describe the gossip: every 100 ms each VM
+	// sends its eight most important records to five others.
+	gossipInterval    = 100 * time.Millisecond
+	gossipFanout      = 5
+	recordsPerMessage = 8
+	// lossRate is the share of messages that are lost.
+	lossRate = 0.02
+	// neighbours is the number of other requests that an endpoint runs.
 	neighbours = 11
-	// runsFor is how long an endpoint runs the request before it ends.
-	runsFor = 100 * time.Millisecond
+	// runTime is how long an endpoint runs the request before it terminates.
+	runTime = 100 * time.Millisecond
 )
 
 func newFleet(seed uint64, n int) *fleet {
@@ -51,43 +51,46 @@
 	return f
 }
 
-func (f *fleet) apart(a, b int) bool { return f.cut && (a < len(f.vms)/2) != (b < len(f.vms)/2) }
+func (f *fleet) separated(a, b int) bool {
+	return f.partitioned && (a < len(f.vms)/2) != (b < len(f.vms)/2)
+}
 
-// round lets each VM send one note.
-func (f *fleet) round() {
-	type told struct {
-		to int
-		r  []Record
+// gossip lets each VM send one message to each of gossipFanout others.
+func (f *fleet) gossip() {
+	type message struct {
+		to      int
+		records []Record
 	}
-	var notes []told
-	for i, l := range f.vms {
-		hot := l.Hot(f.now, hotMost)
-		if len(hot) == 0 {
+	var messages []message
+	for i, tr := range f.vms {
+		records := tr.Recent(f.now, recordsPerMessage)
+		if len(records) == 0 {
 			continue
 		}
-		for range noteTo {
-			if to := f.rnd.IntN(len(f.vms)); f.rnd.Float64() >= lost && !f.apart(i, to) {
-				notes = append(notes, told{to, hot})
+		for range gossipFanout {
+			if to := f.rnd.IntN(len(f.vms)); f.rnd.Float64() >= lossRate && !f.separated(i, to) {
+				messages = append(messages, message{to, records})
 			}
 		}
 	}
-	f.now += noteEvery
-	for _, n := range notes {
-		for _, r := range n.r {
-			f.vms[n.to].Merge(f.now, r)
+	f.now += gossipInterval
+	for _, m := range messages {
+		for _, r := range m.records {
+			f.vms[m.to].Merge(f.now, r)
 		}
 	}
 }
 
-// send sends a copy of the request by way of a VM, if that one lets it pass.
+// send sends a copy of the request through a VM, unless that VM refuses it.
 func (f *fleet) send(d Digest, vm int) {
-	if v := f.vms[vm].Look(d); !v.Convicted() {
+	if v := f.vms[vm].Status(d); !v.Convicted() {
 		f.runs = append(f.runs, f.now)
-		f.running = append(f.running, copyRun{vm, v.Generation, f.now + runsFor})
+		f.running = append(f.running, copyRun{vm, v.Generation, f.now + runTime})
 	}
 }
 
-// end ends the endpoints of copies that have run for their time, with their neighbours.
+// end terminates the endpoints of copies that have run for runTime, together with their
+// neighbours.
 func (f *fleet) end(d Digest) {
 	kept := f.running[:0]
 	for _, c := range f.running {
@@ -95,152 +98,156 @@
 			kept = append(kept, c)
 			continue
 		}
-		f.next++
+		f.nextEndpoint++
 		f.ends = append(f.ends, f.now)
-		f.vms[c.vm].Cut(f.now, f.now-runsFor, d, f.next, c.generation)
-		f.vms[c.vm].Ended(f.now, f.next)
+		f.vms[c.vm].RecordCut(f.now, f.now-runTime, d, f.nextEndpoint, c.generation)
+		f.vms[c.vm].RecordEnd(f.now, f.nextEndpoint)
 		for range neighbours {
 			f.innocents++
-			l := f.vms[f.rnd.IntN(len(f.vms))]
-			l.Cut(f.now, f.now-runsFor, digestOf(f.innocents), f.next, 0)
-			l.Ended(f.now, f.next)
+			tr := f.vms[f.rnd.IntN(len(f.vms))]
+			tr.RecordCut(f.now, f.now-runTime, digestOf(f.innocents), f.nextEndpoint, 0)
+			tr.RecordEnd(f.now, f.nextEndpoint)
 		}
 	}
 	f.running = kept
 }
 
-// play sends the request some times each round for a time.
-func (f *fleet) play(d Digest, perRound int, rounds int) {
+// simulate sends the request perRound times in each of a number of rounds.
+func (f *fleet) simulate(d Digest, perRound int, rounds int) {
 	for range rounds {
 		for range perRound {
 			f.send(d, f.rnd.IntN(len(f.vms)))
 		}
-		f.round()
+		f.gossip()
 		f.end(d)
 	}
 }
 
-// late is how many runs came later than a time after the third endpoint had ended.
-func (f *fleet) late(window time.Duration) int {
-	if len(f.ends) < ConvictedAt {
+// lateRuns returns the number of runs that began later than window after the third endpoint
+// terminated.
+func (f *fleet) lateRuns(window time.Duration) int {
+	if len(f.ends) < ConvictionLevel {
 		return 0
 	}
 	n := 0
 	for _, r := range f.runs {
-		if r > f.ends[ConvictedAt-1]+window {
+		if r > f.ends[ConvictionLevel-1]+window {
 			n++
 		}
 	}
 	return n
 }
 
-// Symptom: each VM let the request pass anew. Sequence: each sending arrives at another VM,
-// and endpoints end at one VM's sending each. Well inside the three seconds after the third
-// end no VM sends it any more, at any number of VMs and rates, though notes are lost.
-func TestAllVMsKnowInTime(t *testing.T) {
+// Guards against each VM admitting the request anew, when each retry arrives at another VM and
+// each VM sees only the terminations that its own copies caused. All VMs must refuse the request
+// well within three seconds of the third termination, at any number of VMs and any request rate,
+// although messages are lost.
+func TestConvictionReachesAllVMsInTime(t *testing.T) {
 	for n, seeds := range map[int]uint64{3: 10, 8: 10, 66: 2, 300: 1, 1800: 1} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds {
 				for _, perRound := range []int{1, 4} {
-					knowInTime(t, n, perRound, seed)
+					checkConvictionSpreads(t, n, perRound, seed)
 				}
 			}
 		})
 	}
 }
 
-// knownWithin is the time after the third end within which all VMs must know, half of the
-// shortest time after which those in touch have to.
-const knownWithin = 1500 * time.Millisecond
+// convergenceLimit is the time after the third termination within which all VMs must refuse the
+// request. It is half of the shortest time that connected VMs are allowed.
+const convergenceLimit = 1500 * time.Millisecond
 
-func knowInTime(t *testing.T, n, perRound int, seed uint64) {
+func checkConvictionSpreads(t *testing.T, n, perRound int, seed uint64) {
 	t.Helper()
 	f := newFleet(seed, n)
 	d := digestOf(0)
-	// With one sending a round the third end comes after 0.4 s.
-	f.play(d, perRound, 24)
-	if late := f.late(knownWithin); late != 0 || len(f.ends) < ConvictedAt {
-		t.Errorf("%d VMs, %d sendings a round, seed %d: %d runs later than %v after the third end; %d ended in all",
-			n, perRound, seed, late, knownWithin, len(f.ends))
+	// At one copy per round the third termination comes after 0.4 s.
+	f.simulate(d, perRound, 24)
+	if late := f.lateRuns(convergenceLimit); late != 0 || len(f.ends) < ConvictionLevel {
+		t.Errorf("%d VMs, %d copies per round, seed %d: %d runs later than %v after the third termination; %d terminations in all",
+			n, perRound, seed, late, convergenceLimit, len(f.ends))
 	}
 	for i := 1; i <= f.innocents; i++ {
-		if v := f.vms[i%n].Look(digestOf(i)); v.Level > 1 {
-			t.Fatalf("%d VMs, seed %d: a neighbour counts %d", n, seed, v.Level)
+		if v := f.vms[i%n].Status(digestOf(i)); v.Level > 1 {
+			t.Fatalf("%d VMs, seed %d: a neighbour has level %d", n, seed, v.Level)
 		}
 	}
 }
 
-// In a cut each side bounds itself by what it saw; what it learns afterwards lowers nothing.
-func TestEachSideOfACutBoundsItself(t *testing.T) {
+// During a partition each side convicts on its own sightings. After it has healed, the records of
+// the other side lower no level.
+func TestEachPartitionSideConvicts(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 8)
-		f.cut = true
+		f.partitioned = true
 		d := digestOf(0)
-		f.play(d, 2, 40)
-		for i, l := range f.vms {
-			if !l.Look(d).Convicted() {
-				t.Fatalf("seed %d: VM %d still lets it pass", seed, i)
+		f.simulate(d, 2, 40)
+		for i, tr := range f.vms {
+			if !tr.Status(d).Convicted() {
+				t.Fatalf("seed %d: VM %d still admits the request", seed, i)
 			}
 		}
-		f.cut = false
+		f.partitioned = false
 		before := len(f.runs)
-		f.play(d, 2, 40)
+		f.simulate(d, 2, 40)
 		if len(f.runs) != before {
-			t.Errorf("seed %d: %d runs after the cut", seed, len(f.runs)-before)
+			t.Errorf("seed %d: %d runs after the partition healed", seed, len(f.runs)-before)
 		}
 	}
 }
 
-// A VM that starts after all that is told in turn.
-func TestStartedVMIsTold(t *testing.T) {
+// A VM that starts later receives the convictions, both among the first records sent to it and in
+// rotation.
+func TestStartedVMReceivesConvictions(t *testing.T) {
 	f := newFleet(1, 8)
 	d := digestOf(0)
-	f.play(d, 2, 60)
+	f.simulate(d, 2, 60)
 	started := New()
-	for _, r := range f.vms[3].Worst(f.now, hotMost) {
+	for _, r := range f.vms[3].HighestLevel(f.now, recordsPerMessage) {
 		started.Merge(0, r)
 	}
-	if !started.Look(d).Convicted() {
-		t.Error("what matters most is not told first")
+	if !started.Status(d).Convicted() {
+		t.Error("HighestLevel does not return the convicted request")
 	}
 	fresh := New()
 	for range 20 {
-		for _, r := range f.vms[3].Turn(f.now, hotMost) {
+		for _, r := range f.vms[3].NextInRotation(f.now, recordsPerMessage) {
 			fresh.Merge(0, r)
 		}
 	}
-	if !fresh.Look(d).Convicted() {
-		t.Error("it still lets the request pass")
+	if !fresh.Status(d).Convicted() {
+		t.Error("VM still admits the request after a full rotation")
 	}
 }
 
-// BenchmarkNotes measures what the records of one note take: those of the ends of many
-// endpoints at once, and a look where 1,000 suspects are known.
+// BenchmarkNotes measures building the records of one gossip message while many requests are
+// recent, and looking up the status of a request with 1,000 suspects known.
 func BenchmarkNotes(b *testing.B) {
-	l := New()
+	tr := New()
 	for i := range maxEntries {
-		ends(l, 0, digestOf(i), uint64(i/12))
+		cutAndEnd(tr, 0, digestOf(i), uint64(i/12))
 	}
 	b.Run("hot", func(b *testing.B) {
 		for b.Loop() {
-			_ = l.Hot(0, hotMost)
+			_ = tr.Recent(0, recordsPerMessage)
 		}
 	})
 	b.Run("turn", func(b *testing.B) {
 		for b.Loop() {
-			_ = l.Turn(0, hotMost)
+			_ = tr.NextInRotation(0, recordsPerMessage)
 		}
 	})
 	for _, n := range []int{0, maxEntries} {
 		b.Run("look/"+strconv.Itoa(n), func(b *testing.B) {
 			k := New()
 			if n > 0 {
-				k = l
+				k = tr
 			}
 			d := digestOf(5)
 			for b.Loop() {
-				_ = k.Look(d)
+				_ = k.Status(d)
 			}
 		})
 	}
--- a/core/suspect/merge_test.go
+++ b/core/suspect/merge_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// genRecord is what a VM may know of one request, at few incarnations.
+// genRecord generates a record of one request at a few incarnations.
 func genRecord(t *rapid.T) Record {
 	n := rapid.IntRange(0, 5).Draw(t, "sightings")
-	r := Record{Digest: digestOf(1), Cleared: rapid.IntRange(0, 3).Draw(t, "cleared"), Quiet: time.Duration(rapid.IntRange(0, 5).Draw(t, "quiet")) * time.Second}
+	r := Record{Digest: digestOf(1), Cleared: rapid.IntRange(0, 3).Draw(t, "cleared"), Age: time.Duration(rapid.IntRange(0, 5).Draw(t, "quiet")) * time.Second}
 	for range n {
 		g := rapid.IntRange(1, 5).Draw(t, "generation")
 		r.Sightings = append(r.Sightings, Sighting{
@@ -21,57 +21,57 @@
 	return r
 }
 
-func merged(list []Record) View {
-	l := New()
+func merged(list []Record) Status {
+	tr := New()
 	for _, r := range list {
-		l.Merge(10*time.Second, r)
+		tr.Merge(10*time.Second, r)
 	}
-	return l.Look(digestOf(1))
+	return tr.Status(digestOf(1))
 }
 
-// Order, repeats and detours of what VMs tell each other do not matter.
+// Merging is independent of the order and duplication of records, and of the VMs that relay them.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(genRecord), 1, 6).Draw(t, "records")
 		want := merged(list)
 		shuffled := rapid.Permutation(append(append([]Record(nil), list...), list...)).Draw(t, "order")
 		if got := merged(shuffled); got != want {
-			t.Fatalf("in another order, with repeats: %+v, else %+v", got, want)
+			t.Fatalf("merged in another order, with duplicates: %+v; in order: %+v", got, want)
 		}
 		half := rapid.IntRange(0, len(list)).Draw(t, "half")
 		var detour []Record
 		for _, part := range [][]Record{list[:half], list[half:]} {
-			l := New()
+			tr := New()
 			for _, r := range part {
-				l.Merge(10*time.Second, r)
+				tr.Merge(10*time.Second, r)
 			}
-			if r, ok := l.Record(10*time.Second, digestOf(1)); ok {
+			if r, ok := tr.RecordOf(10*time.Second, digestOf(1)); ok {
 				detour = append(detour, r)
 			}
 		}
 		if got := merged(detour); got != want {
-			t.Fatalf("by way of two VMs: %+v, else %+v", got, want)
+			t.Fatalf("merged through two VMs: %+v; directly: %+v", got, want)
 		}
 	})
 }
 
-// Hearing more never lowers what is known against a request, but for an answer: of the
-// request itself, or of an incarnation that was taken for ended.
-func TestMergingLowersNothing(t *testing.T) {
+// Merging never lowers the level of a request, except after a response: to the request itself, or
+// from an incarnation that was taken for terminated.
+func TestMergeNeverLowersLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New()
+		tr := New()
 		for _, r := range rapid.SliceOfN(rapid.Custom(genRecord), 0, 4).Draw(t, "known") {
-			l.Merge(10*time.Second, r)
+			tr.Merge(10*time.Second, r)
 		}
-		before := l.Look(digestOf(1))
+		before := tr.Status(digestOf(1))
 		more := genRecord(t)
 		more.Cleared = 0
 		for i := range more.Sightings {
 			more.Sightings[i].AliveAt = 0
 		}
-		l.Merge(10*time.Second, more)
-		if after := l.Look(digestOf(1)); after.Level < before.Level || after.Possible < before.Possible {
-			t.Fatalf("%+v after %+v", after, before)
+		tr.Merge(10*time.Second, more)
+		if after := tr.Status(digestOf(1)); after.Level < before.Level || after.PossibleLevel < before.PossibleLevel {
+			t.Fatalf("level lowered: %+v after %+v", after, before)
 		}
 	})
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -39,7 +39,7 @@
 	urgent chan struct{}
 
 	mu     sync.Mutex
-	ledger *notice.Ledger
+	ledger *notice.Tracker
 	// unreadableAt is when an unreadable header was last logged, evictedAt when records were last
 	// evicted.
 	unreadableAt, evictedAt time.Duration
@@ -63,13 +63,13 @@
 	received.LimitUnknown = received.LimitUnknown || reply.ID == "" && !received.HasLimit
 	n.count(received)
 	hash := dispatch.EndpointHash(ep.Key())
-	before := n.ledger.Holds(hash)
-	if !n.ledger.Hear(n.d.now(), sent, hash, received) {
+	before := n.ledger.Current(hash)
+	if !n.ledger.RecordResponse(n.d.now(), sent, hash, received) {
 		return
 	}
 	n.updateScheduler(hash)
 	n.logChange(hash, ep.ID, noticeObserved)
-	if n.ledger.Holds(hash) == before {
+	if n.ledger.Current(hash) == before {
 		// A backoff binds only this VM: others receive it with the next note.
 		return
 	}
@@ -87,7 +87,7 @@
 	if received.Leaving {
 		n.d.count("answers_saying_leaving")
 	}
-	if received.Rest > 0 {
+	if received.Backoff > 0 {
 		n.d.count("answers_asking_for_rest")
 	}
 }
@@ -105,12 +105,12 @@
 			n.d.countImpossible(1)
 			continue
 		}
-		before := n.ledger.Holds(r.Endpoint)
+		before := n.ledger.Current(r.Endpoint)
 		if !n.ledger.Merge(n.d.now(), r, n.d.sched.lists(r.Endpoint)) {
 			continue
 		}
 		n.updateScheduler(r.Endpoint)
-		if n.ledger.Holds(r.Endpoint) != before {
+		if n.ledger.Current(r.Endpoint) != before {
 			n.logChange(r.Endpoint, "", noticeReceived)
 		}
 	}
@@ -119,8 +119,8 @@
 // updateScheduler passes the current notice of an incarnation to the scheduler. The caller holds
 // the lock.
 func (n *notices) updateScheduler(hash uint64) {
-	current := n.ledger.Holds(hash)
-	ownEnd, othersEnd := n.ledger.Rests(hash)
+	current := n.ledger.Current(hash)
+	ownEnd, othersEnd := n.ledger.BackoffEnds(hash)
 	n.d.sched.setLimit(hash, current)
 	n.d.sched.setRest(hash, n.jitteredBackoffEnd(hash, ownEnd), othersEnd)
 	if current.Leaving {
@@ -131,8 +131,8 @@
 // logChange logs the current notice of an incarnation; id is empty if unknown. The caller holds the
 // lock.
 func (n *notices) logChange(hash uint64, id, learned string) {
-	current := n.ledger.Holds(hash)
-	own, _ := n.ledger.Rests(hash)
+	current := n.ledger.Current(hash)
+	own, _ := n.ledger.BackoffEnds(hash)
 	n.d.log.Info().Str("endpoint", id).Uint64("endpoint_hash", hash).Str("learned", learned).
 		Dur("rest", max(0, own-n.d.now())).Bool("limited", current.HasLimit).Float64("per_second", current.Limit).Bool("leaving", current.Leaving).Msg("endpoint_notice")
 }
@@ -158,7 +158,7 @@
 		return
 	}
 	n.evictedAt = now
-	for _, hash := range n.ledger.Forget(now, unlistedTTL, n.d.sched.lists) {
+	for _, hash := range n.ledger.Expire(now, unlistedTTL, n.d.sched.lists) {
 		n.d.sched.forget(hash)
 	}
 }
@@ -168,9 +168,9 @@
 func (n *notices) forNote(inRotation bool) []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	list := n.ledger.Hot(n.d.now(), maxRecentNotices)
+	list := n.ledger.Recent(n.d.now(), maxRecentNotices)
 	if inRotation {
-		list = append(list, n.ledger.Turn(n.d.now(), maxRotatedNotices)...)
+		list = append(list, n.ledger.NextInRotation(n.d.now(), maxRotatedNotices)...)
 	}
 	return noticesToWire(list)
 }
@@ -179,21 +179,21 @@
 func (n *notices) forNewProcess() []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return noticesToWire(n.ledger.Holding(n.d.now(), maxStartNotices))
+	return noticesToWire(n.ledger.Active(n.d.now(), maxStartNotices))
 }
 
 func noticesToWire(list []notice.Record) []*schema.EndpointNotice {
 	var encoded []*schema.EndpointNotice
 	for _, r := range list {
 		encoded = append(encoded, &schema.EndpointNotice{
-			Endpoint: r.Endpoint, Limit: r.Limit, AskedMs: ageToWire(r.Asked), NamedMs: ageToWire(r.Named), LiftedMs: ageToWire(r.Lifted), Leaving: r.Leaving, RestMs: uint64(r.Rest.Milliseconds()),
+			Endpoint: r.Endpoint, Limit: r.Limit, AskedMs: ageToWire(r.Asked), NamedMs: ageToWire(r.Named), LiftedMs: ageToWire(r.Lifted), Leaving: r.Leaving, RestMs: uint64(r.Backoff.Milliseconds()),
 		})
 	}
 	return encoded
 }
 
 func noticeFromWire(m *schema.EndpointNotice) notice.Record {
-	return notice.Record{Endpoint: m.Endpoint, Limit: m.Limit, Asked: ageFromWire(m.AskedMs), Named: ageFromWire(m.NamedMs), Lifted: ageFromWire(m.LiftedMs), Leaving: m.Leaving, Rest: durationFromWire(m.RestMs)}
+	return notice.Record{Endpoint: m.Endpoint, Limit: m.Limit, Asked: ageFromWire(m.AskedMs), Named: ageFromWire(m.NamedMs), Lifted: ageFromWire(m.LiftedMs), Leaving: m.Leaving, Backoff: durationFromWire(m.RestMs)}
 }
 
 // ageToWire encodes an age for notes: milliseconds plus one, 0 for never.
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -181,7 +181,7 @@
 		if err != nil {
 			d.registryLostAt.Store(int64(d.now()))
 			d.registry.invalidate()
-			d.sched.update(func(_ time.Duration, m *members.Set) { m.Away() })
+			d.sched.update(func(_ time.Duration, m *members.Set) { m.MarkRegistryUnavailable() })
 			read.Reset(jitter(delay.next(d.maxRetryPause())))
 			continue
 		}
@@ -334,9 +334,9 @@
 	}
 	var logged []members.Change
 	d.sched.update(func(now time.Duration, m *members.Set) {
-		m.Back(now)
+		m.MarkRegistryAvailable(now)
 		if got.restored {
-			m.Restore(now)
+			m.MarkRegistryRestored(now)
 		}
 		if got.full {
 			m.Replace(now, changes)
@@ -344,7 +344,7 @@
 		}
 		apply := m.Apply
 		if got.restored {
-			apply = m.ApplyCopied
+			apply = m.ApplyRestored
 		}
 		for i, c := range changes {
 			before := m.Version()
--- a/entry/rollout_versions.go
+++ b/entry/rollout_versions.go
@@ -94,7 +94,7 @@
 	marked := make([]*members.Endpoint, 0, len(list))
 	for _, e := range list {
 		canary := *e
-		canary.Trial = true
+		canary.Canary = true
 		marked = append(marked, &canary)
 	}
 	return marked
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -30,7 +30,7 @@
 )
 
 func suspectToWire(r suspect.Record) *schema.Suspect {
-	m := &schema.Suspect{Digest: r.Digest[:], Cleared: uint32(r.Cleared), QuietMs: uint64(r.Quiet.Milliseconds())}
+	m := &schema.Suspect{Digest: r.Digest[:], Cleared: uint32(r.Cleared), QuietMs: uint64(r.Age.Milliseconds())}
 	for _, s := range r.Sightings {
 		m.Sightings = append(m.Sightings, &schema.Sighting{
 			Endpoint: s.Endpoint, Generation: uint32(s.Generation), EndedAt: uint32(s.EndedAt), AliveAt: uint32(s.AliveAt),
@@ -57,7 +57,7 @@
 }
 
 func suspectFromWire(m *schema.Suspect) suspect.Record {
-	r := suspect.Record{Digest: digestFromWire(m.Digest), Cleared: int(m.Cleared), Quiet: durationFromWire(m.QuietMs)}
+	r := suspect.Record{Digest: digestFromWire(m.Digest), Cleared: int(m.Cleared), Age: durationFromWire(m.QuietMs)}
 	for _, s := range m.Sightings {
 		r.Sightings = append(r.Sightings, suspect.Sighting{
 			Endpoint: s.Endpoint, Generation: int(s.Generation), EndedAt: int(s.EndedAt), AliveAt: int(s.AliveAt),
@@ -79,9 +79,9 @@
 func (s *suspects) forNote(inRotation bool) []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.ledger.Hot(s.d.now(), maxRecentSuspects)
+	list := s.ledger.Recent(s.d.now(), maxRecentSuspects)
 	if inRotation {
-		list = append(list, s.ledger.Turn(s.d.now(), maxRecentSuspects)...)
+		list = append(list, s.ledger.NextInRotation(s.d.now(), maxRecentSuspects)...)
 	}
 	return suspectsToWire(list)
 }
@@ -90,7 +90,7 @@
 func (s *suspects) forNewProcess() []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return suspectsToWire(s.ledger.Worst(s.d.now(), maxStartSuspects))
+	return suspectsToWire(s.ledger.HighestLevel(s.d.now(), maxStartSuspects))
 }
 
 // mergeRemote merges records received from another VM.
@@ -177,7 +177,7 @@
 // for its failure domain. The VM that saw one may be lost before it has written it, and the
 // conviction with it if all VMs are killed while the store is away. The caller holds the lock.
 func (s *suspects) storeConvicted() {
-	convicted := s.ledger.Convicted()
+	convicted := s.ledger.ConvictedDigests()
 	if len(convicted) == 0 || !s.d.peers.reads() {
 		return
 	}
@@ -244,12 +244,12 @@
 // storeValue encodes the store's record of a request, nil if the request is no longer convicted.
 func (s *suspects) storeValue(d suspect.Digest) ([]byte, error) {
 	s.mu.Lock()
-	r, ok := s.ledger.Record(s.d.now(), d)
-	convicted := ok && s.ledger.Look(d).Level >= suspect.ConvictedAt
+	r, ok := s.ledger.RecordOf(s.d.now(), d)
+	convicted := ok && s.ledger.Status(d).Level >= suspect.ConvictionLevel
 	s.mu.Unlock()
 	if !convicted {
 		return nil, nil
 	}
-	r.Quiet = 0
+	r.Age = 0
 	return proto.Marshal(suspectToWire(r))
 }
--- a/entry/suspect_notes_test.go
+++ b/entry/suspect_notes_test.go
@@ -13,7 +13,7 @@
 
 // recordWithEnds returns the record of a request under which n endpoints ended.
 func recordWithEnds(n int) suspect.Record {
-	r := suspect.Record{Digest: suspect.Identity{Target: "/a"}.Digest(), Cleared: 1, Quiet: 90 * time.Second}
+	r := suspect.Record{Digest: suspect.Identity{Target: "/a"}.Digest(), Cleared: 1, Age: 90 * time.Second}
 	for i := range n {
 		r.Sightings = append(r.Sightings, suspect.Sighting{Endpoint: 1<<63 + uint64(i), Generation: 2 + i, EndedAt: 2 + i, AliveAt: 1})
 	}
@@ -31,7 +31,7 @@
 	is.Equal(suspectFromWire(&m), want)
 	is.Equal(digestFromWire([]byte("short")), suspect.Digest{})
 	is.True(!suspect.New().Merge(0, suspectFromWire(&schema.Suspect{Digest: []byte("short"), Sightings: m.Sightings})))
-	is.True(suspectFromWire(&schema.Suspect{QuietMs: 1 << 63}).Quiet == maxWireDuration)
+	is.True(suspectFromWire(&schema.Suspect{QuietMs: 1 << 63}).Age == maxWireDuration)
 }
 
 // The records in each note fit beside its loads, and those sent to a newly started VM fit into one
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -42,7 +42,7 @@
 	d *Daemon
 
 	mu     sync.Mutex
-	ledger *suspect.Ledger
+	ledger *suspect.Tracker
 	// unanswered holds the requests here that no endpoint has answered yet. When a digest is
 	// convicted its other requests are stopped: those in an endpoint's queue have not run yet, and
 	// closing their connections may spare the endpoint.
@@ -70,25 +70,25 @@
 		d: d, ledger: suspect.New(), unanswered: make(map[suspect.Digest]map[*caller]context.CancelFunc),
 		stored: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), storeQueue: make(chan suspect.Digest, storeQueueSize), urgent: make(chan struct{}, 1),
 	}
-	s.ledger.Release(d.set.Released)
+	s.ledger.SetReleased(d.set.Released)
 	return s
 }
 
 func (s *suspects) setReleased(list []suspect.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Release(list)
+	s.ledger.SetReleased(list)
 }
 
 // status returns what is known against a request.
-func (s *suspects) status(d suspect.Digest) suspect.View {
+func (s *suspects) status(d suspect.Digest) suspect.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Look(d)
+	return s.ledger.Status(d)
 }
 
 // suspicionFor returns how carefully a request is placed.
-func suspicionFor(v suspect.View) dispatch.Suspicion {
+func suspicionFor(v suspect.Status) dispatch.Suspicion {
 	switch {
 	case v.OnTrial():
 		return dispatch.Quarantined
@@ -103,7 +103,7 @@
 func (s *suspects) admit(c *caller, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ledger.Look(c.digest).Convicted() {
+	if s.ledger.Status(c.digest).Convicted() {
 		return false
 	}
 	if s.unanswered[c.digest] == nil {
@@ -139,7 +139,7 @@
 	if !reply.NotRun {
 		s.unregisterLocked(c)
 	}
-	s.ledger.Answered(s.d.now(), sent, dispatch.EndpointHash(ep.Key()))
+	s.ledger.RecordResponse(s.d.now(), sent, dispatch.EndpointHash(ep.Key()))
 	s.handleChanges(learnedSeen)
 }
 
@@ -151,7 +151,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Success(s.d.now(), d)
+	s.ledger.RecordSuccess(s.d.now(), d)
 	s.handleChanges(learnedSeen)
 }
 
@@ -188,9 +188,9 @@
 	hash := dispatch.EndpointHash(ep.Key())
 	s.mu.Lock()
 	now := s.d.now()
-	s.ledger.Cut(now, sent, d, hash, generation)
+	s.ledger.RecordCut(now, sent, d, hash, generation)
 	if _, ok := s.ended[hash]; ok {
-		s.ledger.Ended(now, hash)
+		s.ledger.RecordEnd(now, hash)
 	}
 	s.handleChanges(learnedSeen)
 	s.mu.Unlock()
@@ -258,7 +258,7 @@
 		s.d.count("endpoints_ended")
 		s.d.log.Info().Str("endpoint", key).Uint64("endpoint_hash", hash).Str("how", how).Msg("endpoint_ended")
 	}
-	s.ledger.Ended(now, hash)
+	s.ledger.RecordEnd(now, hash)
 	s.handleChanges(learnedSeen)
 }
 
@@ -278,7 +278,7 @@
 			continue
 		}
 		s.mu.Lock()
-		s.ledger.Leaving(s.d.now(), dispatch.EndpointHash(dep.Key))
+		s.ledger.RecordLeaving(s.d.now(), dispatch.EndpointHash(dep.Key))
 		s.handleChanges(learnedSeen)
 		s.mu.Unlock()
 	}
@@ -311,8 +311,8 @@
 
 // handleChanges logs the ledger's latest changes and acts on them. The caller holds the lock.
 func (s *suspects) handleChanges(learned string) {
-	for _, c := range s.ledger.Changes() {
-		if learned == learnedSeen && c.Level > c.Was {
+	for _, c := range s.ledger.TakeChanges() {
+		if learned == learnedSeen && c.Level > c.PreviousLevel {
 			select {
 			case s.urgent <- struct{}{}:
 			default:
@@ -332,7 +332,7 @@
 		for _, hash := range c.Endpoints {
 			hashes = append(hashes, strconv.FormatUint(hash, 10))
 		}
-		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.Was).Str("endpoint_hashes", strings.Join(hashes, ",")).
+		s.d.log.Info().Stringer("digest", c.Digest).Int("ends", c.Level).Int("ends_before", c.PreviousLevel).Str("endpoint_hashes", strings.Join(hashes, ",")).
 			Str("learned", learned).Msg(changeEvents[c.Kind])
 	}
 }
@@ -340,7 +340,7 @@
 // stopUnanswered stops the requests of a digest that no endpoint has answered. The caller holds the
 // lock.
 func (s *suspects) stopUnanswered(d suspect.Digest) {
-	if s.ledger.Look(d).Released {
+	if s.ledger.Status(d).Released {
 		return
 	}
 	for c, stop := range s.unanswered[d] {
