--- a/core/allowance/allowance.go
+++ b/core/allowance/allowance.go
@@ -15,8 +15,8 @@
 
 import "time"
 
-// Terms are what an organisation may spend, over all VMs.
-type Terms struct {
+// Limit are what an organisation may spend, over all VMs.
+type Limit struct {
 	Organisation string
 	// Rate in units a second; 0 is unlimited.
 	Rate, Burst float64
@@ -29,9 +29,9 @@
 	Over, Slack float64
 }
 
-// reserve is the part of the tolerance that is left unused, for the moments in
+// headroomShare is the part of the tolerance that is left unused, for the moments in
 // which a VM that was just added is not known to all others.
-const reserve = 0.15
+const headroomShare = 0.15
 
 // restartShare is the part of the tolerance that is kept for processes that start again.
 // After all VMs are killed their organisations' balances are at nothing: without it requests of
@@ -39,126 +39,126 @@
 // The rest of it is for organisations that ask for more than their allowance anyway.
 const restartShare = 0.6
 
-// holdOver is how long a balance may pass the bound: the time in which a waiting
+// overCapacityPeriod is how long a balance may pass the bound: the time in which a waiting
 // request spends it or gives up.
-const holdOver = 100 * time.Millisecond
+const overCapacityPeriod = 100 * time.Millisecond
 
-// giveShare is the part of its balance that a VM gives to one that lacks.
-const giveShare = 0.7
+// maxGrantShare is the part of its balance that a VM gives to one that lacks.
+const maxGrantShare = 0.7
 
-// reserveSize bounds what a request must leave over, in multiples of its own
+// maxReserveMultiple bounds what a request must leave over, in multiples of its own
 // size: a small request takes little from what is kept for others.
-const reserveSize = 10
+const maxReserveMultiple = 10
 
-// Ledger is one VM's balances. It is not safe for concurrent use.
-type Ledger struct {
+// Limiter is one VM's balances. It is not safe for concurrent use.
+type Limiter struct {
 	tol Tolerance
-	// part is this VM's part of an organisation's allowance, 0 to 1.
-	part     func(organisation string) float64
-	accounts map[string]*account
-}
-
-type account struct {
-	terms   Terms
-	part    float64
-	balance float64
-	at      time.Duration
-	// earned is what was earned since the account began here, up to the bound.
-	earned float64
-	// overUntil is until when the balance may pass the bound, for a request that
+	// shareOf is this VM's shareOf of an organisation's allowance, 0 to 1.
+	shareOf func(organisation string) float64
+	buckets map[string]*bucket
+}
+
+type bucket struct {
+	limit      Limit
+	share      float64
+	balance    float64
+	refilledAt time.Duration
+	// accrued is what was accrued since the account began here, up to the bound.
+	accrued float64
+	// overCapacityUntil is until when the balance may pass the bound, for a request that
 	// waits for what others gave.
-	overUntil time.Duration
+	overCapacityUntil time.Duration
 }
 
 // New returns a ledger without any balance.
-func New(tol Tolerance) *Ledger {
-	return &Ledger{tol: tol, accounts: make(map[string]*account), part: func(string) float64 { return 0 }}
+func New(tol Tolerance) *Limiter {
+	return &Limiter{tol: tol, buckets: make(map[string]*bucket), shareOf: func(string) float64 { return 0 }}
 }
 
-// SetParts says which part of each organisation's allowance this VM keeps; 0 where
+// SetShares says which part of each organisation's allowance this VM keeps; 0 where
 // it keeps none or does not know yet.
-func (l *Ledger) SetParts(now time.Duration, part func(organisation string) float64) {
-	l.part = part
-	for name, a := range l.accounts {
-		l.accrue(now, a)
-		a.part = part(name)
-		a.balance = min(a.balance, l.bound(a))
+func (l *Limiter) SetShares(now time.Duration, shareOf func(organisation string) float64) {
+	l.shareOf = shareOf
+	for name, b := range l.buckets {
+		l.refill(now, b)
+		b.share = shareOf(name)
+		b.balance = min(b.balance, l.capacity(b))
 	}
 }
 
-// SetTerms puts the organisations' terms in force.
-func (l *Ledger) SetTerms(now time.Duration, terms []Terms) {
-	present := make(map[string]bool, len(terms))
-	for _, t := range terms {
-		present[t.Organisation] = true
-		a := l.accounts[t.Organisation]
-		if a == nil {
-			l.accounts[t.Organisation] = &account{terms: t, part: l.part(t.Organisation), at: now}
+// SetLimits puts the organisations' terms in force.
+func (l *Limiter) SetLimits(now time.Duration, limits []Limit) {
+	present := make(map[string]bool, len(limits))
+	for _, limit := range limits {
+		present[limit.Organisation] = true
+		b := l.buckets[limit.Organisation]
+		if b == nil {
+			l.buckets[limit.Organisation] = &bucket{limit: limit, share: l.shareOf(limit.Organisation), refilledAt: now}
 			continue
 		}
-		l.accrue(now, a)
-		a.terms = t
-		a.balance = min(a.balance, l.bound(a))
+		l.refill(now, b)
+		b.limit = limit
+		b.balance = min(b.balance, l.capacity(b))
 	}
-	for name := range l.accounts {
+	for name := range l.buckets {
 		if !present[name] {
-			delete(l.accounts, name)
+			delete(l.buckets, name)
 		}
 	}
 }
 
-// bound is the most that this VM may hold.
-func (l *Ledger) bound(a *account) float64 {
-	return a.part * (a.terms.Burst + (1-reserve-restartShare)*l.tolerated(a))
+// capacity is the most that this VM may hold.
+func (l *Limiter) capacity(b *bucket) float64 {
+	return b.share * (b.limit.Burst + (1-headroomShare-restartShare)*l.toleratedUnits(b))
 }
 
-// tolerated is by how much all VMs together may pass what rate and burst allow.
-func (l *Ledger) tolerated(a *account) float64 {
-	return l.tol.Over*(a.terms.Rate*l.tol.Window.Seconds()+a.terms.Burst) + l.tol.Slack
+// toleratedUnits is by how much all VMs together may pass what rate and burst allow.
+func (l *Limiter) toleratedUnits(b *bucket) float64 {
+	return l.tol.Over*(b.limit.Rate*l.tol.Window.Seconds()+b.limit.Burst) + l.tol.Slack
 }
 
-// Restarted gives this VM its part of what is kept for restarts. It must not be called
+// AddRestartGrant gives this VM its part of what is kept for restarts. It must not be called
 // twice within the window for one VM, over all its processes.
-func (l *Ledger) Restarted(now time.Duration) {
-	for _, a := range l.accounts {
-		l.accrue(now, a)
-		grant := a.part * restartShare * l.tolerated(a)
-		a.balance += grant
-		a.earned += grant
+func (l *Limiter) AddRestartGrant(now time.Duration) {
+	for _, b := range l.buckets {
+		l.refill(now, b)
+		grant := b.share * restartShare * l.toleratedUnits(b)
+		b.balance += grant
+		b.accrued += grant
 	}
 }
 
-func (l *Ledger) accrue(now time.Duration, a *account) {
-	if a.part == 0 {
-		a.at = now
-		if now > a.overUntil {
-			a.balance = 0
+func (l *Limiter) refill(now time.Duration, b *bucket) {
+	if b.share == 0 {
+		b.refilledAt = now
+		if now > b.overCapacityUntil {
+			b.balance = 0
 		}
 		return
 	}
-	bound := l.bound(a)
-	earned := a.terms.Rate * a.part * max(0, (now-a.at).Seconds())
-	a.at = now
-	a.earned = min(bound, a.earned+earned)
-	if a.balance > bound && now <= a.overUntil {
+	capacity := l.capacity(b)
+	accrued := b.limit.Rate * b.share * max(0, (now-b.refilledAt).Seconds())
+	b.refilledAt = now
+	b.accrued = min(capacity, b.accrued+accrued)
+	if b.balance > capacity && now <= b.overCapacityUntil {
 		return
 	}
-	a.balance = min(bound, a.balance+earned)
+	b.balance = min(capacity, b.balance+accrued)
 }
 
-// Verdict is the outcome of Spend.
-type Verdict struct {
+// SpendResult is the outcome of Spend.
+type SpendResult struct {
 	OK bool
-	// Lacking is what the balance is short of, in units.
-	Lacking float64
-	// Wait is the time in which one keeper earns what is lacking.
-	Wait time.Duration
+	// Shortfall is what the balance is short of, in units.
+	Shortfall float64
+	// RetryAfter is the time in which one keeper earns what is lacking.
+	RetryAfter time.Duration
 	// Balance is what was there before.
 	Balance float64
 }
 
-// maxWait bounds Verdict.Wait.
-const maxWait = time.Minute
+// maxRetryAfter bounds Verdict.Wait.
+const maxRetryAfter = time.Minute
 
 // Request is what a request takes of an allowance.
 type Request struct {
@@ -175,25 +175,25 @@
 
 // Spend takes an amount off the organisation's balance if it is there.
 // Organisations without a limit, or unknown here, spend freely.
-func (l *Ledger) Spend(now time.Duration, r Request) Verdict {
-	a := l.accounts[r.Organisation]
-	if a == nil || a.terms.Rate <= 0 {
-		return Verdict{OK: true}
+func (l *Limiter) Spend(now time.Duration, r Request) SpendResult {
+	b := l.buckets[r.Organisation]
+	if b == nil || b.limit.Rate <= 0 {
+		return SpendResult{OK: true}
 	}
-	l.accrue(now, a)
-	need := r.Units + r.Reserve*min(a.earned, reserveSize*r.Units)
-	v := Verdict{OK: a.balance >= need, Balance: a.balance}
+	l.refill(now, b)
+	need := r.Units + r.Reserve*min(b.accrued, maxReserveMultiple*r.Units)
+	v := SpendResult{OK: b.balance >= need, Balance: b.balance}
 	if v.OK {
-		a.balance -= r.Units
+		b.balance -= r.Units
 		return v
 	}
-	v.Lacking = need - a.balance
-	part := a.part
-	if part == 0 {
-		part = 1.0 / keeperCount
+	v.Shortfall = need - b.balance
+	share := b.share
+	if share == 0 {
+		share = 1.0 / targetHolderCount
 	}
-	seconds := v.Lacking / part / a.terms.Rate
-	v.Wait = min(maxWait, time.Duration(seconds*float64(time.Second)))
+	seconds := v.Shortfall / share / b.limit.Rate
+	v.RetryAfter = min(maxRetryAfter, time.Duration(seconds*float64(time.Second)))
 	return v
 }
 
@@ -203,35 +203,35 @@
 	Units        float64
 }
 
-// Give takes off what this VM can spare for a VM that lacks an amount. It keeps
+// Grant takes off what this VM can spare for a VM that lacks an amount. It keeps
 // the same reserve.
-func (l *Ledger) Give(now time.Duration, want Request) float64 {
-	a := l.accounts[want.Organisation]
-	if a == nil || a.terms.Rate <= 0 {
+func (l *Limiter) Grant(now time.Duration, want Request) float64 {
+	b := l.buckets[want.Organisation]
+	if b == nil || b.limit.Rate <= 0 {
 		return 0
 	}
-	l.accrue(now, a)
-	give := min(want.Units, a.balance*giveShare, a.balance-want.Reserve*a.earned)
-	if give <= 0 {
+	l.refill(now, b)
+	granted := min(want.Units, b.balance*maxGrantShare, b.balance-want.Reserve*b.accrued)
+	if granted <= 0 {
 		return 0
 	}
-	a.balance -= give
-	return give
+	b.balance -= granted
+	return granted
 }
 
-// Receive takes in what another VM gave, and returns what it cannot use, which goes
+// Credit takes in what another VM gave, and returns what it cannot use, which goes
 // back. A balance passes this VM's bound only by what a waiting request lacks, given
 // in waiting: hoarded amounts would add up to more than the operator's burst.
-func (l *Ledger) Receive(now time.Duration, got Amount, waiting float64) (back float64) {
-	a := l.accounts[got.Organisation]
-	if a == nil || a.terms.Rate <= 0 {
+func (l *Limiter) Credit(now time.Duration, received Amount, waiting float64) (excess float64) {
+	b := l.buckets[received.Organisation]
+	if b == nil || b.limit.Rate <= 0 {
 		return 0
 	}
-	l.accrue(now, a)
-	if waiting > l.bound(a) {
-		a.overUntil = now + holdOver
+	l.refill(now, b)
+	if waiting > l.capacity(b) {
+		b.overCapacityUntil = now + overCapacityPeriod
 	}
-	before := a.balance
-	a.balance = min(max(l.bound(a), a.balance, waiting), a.balance+got.Units)
-	return got.Units - (a.balance - before)
+	before := b.balance
+	b.balance = min(max(l.capacity(b), b.balance, waiting), b.balance+received.Units)
+	return received.Units - (b.balance - before)
 }
--- a/core/allowance/allowance_test.go
+++ b/core/allowance/allowance_test.go
@@ -15,21 +15,21 @@
 
 // Over any window all VMs together stay within what the operator tolerates,
 // whatever VMs ask of each other, lose, and forget in restarts.
-func TestVMsTogetherStayWithinTheBound(t *testing.T) {
+func TestTotalSpendingStaysWithinTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tol := Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: float64(rapid.IntRange(0, 140000).Draw(t, "slack"))}
-		terms := Terms{Organisation: "o", Rate: float64(rapid.IntRange(1000, 300000).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 300000).Draw(t, "burst"))}
+		terms := Limit{Organisation: "o", Rate: float64(rapid.IntRange(1000, 300000).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 300000).Draw(t, "burst"))}
 		n := rapid.IntRange(1, 6).Draw(t, "vms")
-		keepers := rapid.IntRange(1, n).Draw(t, "keepers")
-		start := func(i int, now time.Duration) *Ledger {
+		holders := rapid.IntRange(1, n).Draw(t, "keepers")
+		start := func(i int, now time.Duration) *Limiter {
 			l := New(tol)
-			if i < keepers {
-				l.SetParts(now, equal(keepers))
+			if i < holders {
+				l.SetShares(now, equalShares(holders))
 			}
-			l.SetTerms(now, []Terms{terms})
+			l.SetLimits(now, []Limit{terms})
 			return l
 		}
-		vms := make([]*Ledger, n)
+		vms := make([]*Limiter, n)
 		for i := range vms {
 			vms[i] = start(i, longAgo)
 		}
@@ -38,9 +38,9 @@
 			units float64
 		}
 		var spent []spending
-		granted := make([]time.Duration, n)
-		for i := range granted {
-			granted[i] = -tol.Window
+		lastRestartGrant := make([]time.Duration, n)
+		for i := range lastRestartGrant {
+			lastRestartGrant[i] = -tol.Window
 		}
 		var now time.Duration
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -51,18 +51,18 @@
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				vms[i] = start(i, now)
-				if now-granted[i] >= tol.Window {
-					granted[i] = now
-					vms[i].Restarted(now)
+				if now-lastRestartGrant[i] >= tol.Window {
+					lastRestartGrant[i] = now
+					vms[i].AddRestartGrant(now)
 				}
 			case 1:
 				// An answer to a request for an amount that is lost on the way.
-				vms[i].Give(now, Request{Amount: Amount{"o", units}})
+				vms[i].Grant(now, Request{Amount: Amount{"o", units}})
 			case 2, 3:
 				j := rapid.IntRange(0, n-1).Draw(t, "from")
-				if got := vms[j].Give(now, Request{Amount: Amount{"o", units}}); got > 0 {
-					back := vms[i].Receive(now, Amount{"o", got}, 0)
-					vms[j].Receive(now, Amount{"o", back}, 0)
+				if got := vms[j].Grant(now, Request{Amount: Amount{"o", units}}); got > 0 {
+					back := vms[i].Credit(now, Amount{"o", got}, 0)
+					vms[j].Credit(now, Amount{"o", back}, 0)
 				}
 			default:
 				r := Request{Amount{"o", units}, reserve}
@@ -71,8 +71,8 @@
 					if j == i {
 						continue
 					}
-					back := vms[i].Receive(now, Amount{"o", vms[j].Give(now, Request{Amount{"o", v.Lacking}, reserve})}, units)
-					vms[j].Receive(now, Amount{"o", back}, 0)
+					back := vms[i].Credit(now, Amount{"o", vms[j].Grant(now, Request{Amount{"o", v.Shortfall}, reserve})}, units)
+					vms[j].Credit(now, Amount{"o", back}, 0)
 					v = vms[i].Spend(now, r)
 				}
 				if v.OK {
@@ -95,39 +95,39 @@
 // Symptom: large requests of a small organisation were always refused, though it
 // spent next to nothing. Cause: one VM's part of the allowance is less than such
 // a request. The amounts of other VMs must reach it.
-func TestLargeRequestIsServedFromOtherVMsParts(t *testing.T) {
+func TestLargeRequestUsesGrantsFromOtherVMs(t *testing.T) {
 	is := is.New(t)
 	tol := Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000}
-	terms := []Terms{{Organisation: "o", Rate: 36000, Burst: 36000}}
-	vms := make([]*Ledger, 8)
+	terms := []Limit{{Organisation: "o", Rate: 36000, Burst: 36000}}
+	vms := make([]*Limiter, 8)
 	for i := range vms {
 		vms[i] = New(tol)
-		vms[i].SetParts(longAgo, equal(len(vms)))
-		vms[i].SetTerms(longAgo, terms)
+		vms[i].SetShares(longAgo, equalShares(len(vms)))
+		vms[i].SetLimits(longAgo, terms)
 	}
 	const large = 54600
 	v := vms[0].Spend(0, Request{Amount: Amount{"o", large}})
 	is.True(!v.OK)
 	for _, other := range vms[1:] {
-		vms[0].Receive(0, Amount{"o", other.Give(0, Request{Amount: Amount{"o", v.Lacking}})}, large)
+		vms[0].Credit(0, Amount{"o", other.Grant(0, Request{Amount: Amount{"o", v.Shortfall}})}, large)
 	}
 	is.True(vms[0].Spend(0, Request{Amount: Amount{"o", large}}).OK)
 }
 
 // Guards against parts that add up to more than the whole, as VMs start one after the other and know
 // those alone that came before.
-func TestVMsThatStartApartStayWithinTheBound(t *testing.T) {
+func TestStaggeredStartsStayWithinTolerance(t *testing.T) {
 	tol := Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 1000}
-	terms := Terms{Organisation: "o", Rate: 100, Burst: 5000}
-	var vms []*Ledger
+	terms := Limit{Organisation: "o", Rate: 100, Burst: 5000}
+	var vms []*Limiter
 	spent := 0.0
 	for now := time.Duration(0); now < tol.Window; now += 10 * time.Millisecond {
 		if now%(300*time.Millisecond) == 0 && len(vms) < 8 {
 			vms = append(vms, New(tol))
 			for _, l := range vms {
-				l.SetParts(now, equal(len(vms)))
+				l.SetShares(now, equalShares(len(vms)))
 			}
-			vms[len(vms)-1].SetTerms(now, []Terms{terms})
+			vms[len(vms)-1].SetLimits(now, []Limit{terms})
 		}
 		for _, l := range vms {
 			if l.Spend(now, Request{Amount: Amount{"o", 50}}).OK {
@@ -142,12 +142,12 @@
 
 // A process that starts again spends nothing at first, and learns the number of
 // VMs before it spends anything.
-func TestRestartedProcessStartsWithNothing(t *testing.T) {
+func TestRestartedProcessStartsWithZeroBalance(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second})
-	l.SetTerms(0, []Terms{{Organisation: "o", Rate: 800, Burst: 800}})
+	l.SetLimits(0, []Limit{{Organisation: "o", Rate: 800, Burst: 800}})
 	is.True(!l.Spend(time.Second, Request{Amount: Amount{"o", 1}}).OK)
-	l.SetParts(time.Second, equal(8))
+	l.SetShares(time.Second, equalShares(8))
 	is.True(!l.Spend(time.Second, Request{Amount: Amount{"o", 1}}).OK)
 	is.True(l.Spend(2*time.Second, Request{Amount: Amount{"o", 100}}).OK)
 	is.True(!l.Spend(2*time.Second, Request{Amount: Amount{"o", 1}}).OK)
@@ -158,12 +158,12 @@
 // Sequence: all start again; each balance is at nothing, and what is earned until then is
 // less than one request. Cause: nothing was kept for that case. Of twenty requests in the
 // first half second, at half of the rate, none was served before.
-func TestRestartedProcessesServeAtOnce(t *testing.T) {
+func TestRestartGrantServesRequestsImmediately(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000})
-	l.SetParts(0, equal(9))
-	l.SetTerms(0, []Terms{{Organisation: "o", Rate: 200000, Burst: 200000}})
-	l.Restarted(0)
+	l.SetShares(0, equalShares(9))
+	l.SetLimits(0, []Limit{{Organisation: "o", Rate: 200000, Burst: 200000}})
+	l.AddRestartGrant(0)
 	served := 0
 	for i := range 20 {
 		// 11,100 units a half second are earned here; 6,000 are asked for.
@@ -178,11 +178,11 @@
 // requests refused, one in eight, and next to none of the least urgent ones. Cause:
 // the balance was always near nothing, where only small requests fit, and those of
 // lower tiers were smaller. Now lower tiers leave a reserve.
-func TestUrgentRequestsFindSomethingLeft(t *testing.T) {
+func TestReserveKeepsBalanceForUrgentRequests(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000})
-	l.SetParts(longAgo, equal(8))
-	l.SetTerms(longAgo, []Terms{{Organisation: "o", Rate: 40000, Burst: 40000}})
+	l.SetShares(longAgo, equalShares(8))
+	l.SetLimits(longAgo, []Limit{{Organisation: "o", Rate: 40000, Burst: 40000}})
 	served := map[string]int{}
 	const steps = 2000
 	for i := range steps {
@@ -211,8 +211,8 @@
 func TestReserveAfterARestart(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000})
-	l.SetParts(0, equal(8))
-	l.SetTerms(0, []Terms{{Organisation: "o", Rate: 40000, Burst: 40000}})
+	l.SetShares(0, equalShares(8))
+	l.SetLimits(0, []Limit{{Organisation: "o", Rate: 40000, Burst: 40000}})
 	served := 0
 	for i := 1; i <= 20; i++ {
 		// Half of what is earned here is asked for.
@@ -223,8 +223,8 @@
 	is.True(served >= 18)
 }
 
-// equal is the part of one of n keepers.
-func equal(n int) func(string) float64 { return func(string) float64 { return 1 / float64(n) } }
+// equalShares is the part of one of n keepers.
+func equalShares(n int) func(string) float64 { return func(string) float64 { return 1 / float64(n) } }
 
 // Symptom: on a quiet day of a deployment of 66 VMs one request in five was refused
 // for its organisation's allowance. Cause: each VM kept a 66th of it, less than one
@@ -236,14 +236,14 @@
 	for i := range n {
 		all = append(all, VM{Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: fmt.Sprint(i % domains)})
 	}
-	keepers := Keepers("o", all)
-	is.Equal(len(keepers), keeperCount)
-	vms := make(map[string]*Ledger)
+	holders := Holders("o", all)
+	is.Equal(len(holders), targetHolderCount)
+	vms := make(map[string]*Limiter)
 	for _, v := range all {
 		l := New(Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000})
-		l.SetTerms(longAgo, []Terms{{Organisation: "o", Rate: 36000, Burst: 36000}})
-		if slices.Contains(keepers, v) {
-			l.SetParts(longAgo, equal(len(keepers)))
+		l.SetLimits(longAgo, []Limit{{Organisation: "o", Rate: 36000, Burst: 36000}})
+		if slices.Contains(holders, v) {
+			l.SetShares(longAgo, equalShares(len(holders)))
 		}
 		vms[v.Address] = l
 	}
@@ -255,9 +255,9 @@
 		r := Request{Amount{"o", 1500}, 0.5}
 		v := at.Spend(now, r)
 		for k := 0; !v.OK && k < 3; k++ {
-			keeper := vms[keepers[(i+k)%len(keepers)].Address]
-			back := at.Receive(now, Amount{"o", keeper.Give(now, Request{Amount{"o", v.Lacking}, r.Reserve})}, r.Units+v.Lacking)
-			keeper.Receive(now, Amount{"o", back}, 0)
+			holder := vms[holders[(i+k)%len(holders)].Address]
+			back := at.Credit(now, Amount{"o", holder.Grant(now, Request{Amount{"o", v.Shortfall}, r.Reserve})}, r.Units+v.Shortfall)
+			holder.Credit(now, Amount{"o", back}, 0)
 			v = at.Spend(now, r)
 		}
 		if v.OK {
@@ -267,19 +267,19 @@
 	is.True(served > 295)
 }
 
-func TestKeepersAreInEveryDomainAndTheSameForAll(t *testing.T) {
+func TestHoldersCoverEveryDomainInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	var all []VM
 	for i := range 40 {
 		all = append(all, VM{Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: fmt.Sprint(i % 5)})
 	}
-	k := Keepers("o", all)
+	k := Holders("o", all)
 	in := map[string]int{}
 	for _, v := range k {
 		in[v.Domain]++
 	}
 	is.Equal(len(in), 5)
 	slices.Reverse(all)
-	is.Equal(Keepers("o", all), k)
-	is.Equal(len(Keepers("o", all[:3])), 3)
+	is.Equal(Holders("o", all), k)
+	is.Equal(len(Holders("o", all[:3])), 3)
 }
--- a/core/allowance/keepers.go
+++ b/core/allowance/keepers.go
@@ -10,25 +10,25 @@
 // VM is one of those that share the allowances.
 type VM struct{ Address, Domain string }
 
-// keeperCount is how many VMs keep parts of one organisation's allowance. If all
+// targetHolderCount is how many VMs keep parts of one organisation's allowance. If all
 // of a large deployment did, each part would be smaller than one request; if few
 // did, the loss of one would cost much.
-const keeperCount = 12
+const targetHolderCount = 12
 
-// Keepers are the VMs that keep an organisation's allowance, in equal parts: as
+// Holders are the VMs that keep an organisation's allowance, in equal parts: as
 // many in each failure domain, so that a domain that is cut off has some, and there
 // the first by rendezvous hashing. vms are all VMs ever heard of.
-func Keepers(organisation string, vms []VM) []VM {
+func Holders(organisation string, vms []VM) []VM {
 	domains := make(map[string][]VM)
 	for _, v := range vms {
 		domains[v.Domain] = append(domains[v.Domain], v)
 	}
-	each := max(1, keeperCount/max(1, len(domains)))
-	var keepers []VM
+	each := max(1, targetHolderCount/max(1, len(domains)))
+	var holders []VM
 	for _, list := range domains {
 		slices.SortFunc(list, func(a, b VM) int { return rendezvous.Compare(organisation, a.Address, b.Address) })
-		keepers = append(keepers, list[:min(each, len(list))]...)
+		holders = append(holders, list[:min(each, len(list))]...)
 	}
-	slices.SortFunc(keepers, func(a, b VM) int { return strings.Compare(a.Address, b.Address) })
-	return keepers
+	slices.SortFunc(holders, func(a, b VM) int { return strings.Compare(a.Address, b.Address) })
+	return holders
 }
--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -14,103 +14,103 @@
 
 import "time"
 
-// slices is into how many parts a window is divided; what was earned in one expires as a whole.
-const slices = 20
+// windowSlices is into how many parts a window is divided; what was earned in one expires as a whole.
+const windowSlices = 20
 
-// earnedPart is the part of the share that a request earns: it may be sent in this window or the next.
-const earnedPart = 0.5
+// earnedShare is the part of the share that a request earns: it may be sent in this window or the next.
+const earnedShare = 0.5
 
 const (
-	// fixedPart is the part of the fixed number that VMs have, and mostFixed the most that one has.
-	fixedPart = 0.25
-	mostFixed = 2
+	// fixedShare is the part of the fixed number that VMs have, and mostFixed the most that one has.
+	fixedShare = 0.25
+	maxFixed   = 2
 )
 
-// Fixed is how many repeats of the fixed number one VM may send in a window, if it knows a number of
+// FixedRetries is how many repeats of the fixed number one VM may send in a window, if it knows a number of
 // VMs. A VM knows at least those that came before it, so only the first of all VMs have any, in
 // whatever order they start and whatever they know of those that came after: together at most half of it.
-func Fixed(slack float64, vms int) int {
+func FixedRetries(slack float64, vms int) int {
 	if vms == 0 {
 		return 0
 	}
-	return min(mostFixed, int(fixedPart*slack/float64(vms)))
+	return min(maxFixed, int(fixedShare*slack/float64(vms)))
 }
 
-// rounding is the error of sums that is let pass.
-const rounding = 1e-9
+// roundingError is the error of sums that is let pass.
+const roundingError = 1e-9
 
 // Counts are what a budget counted since it was made.
 type Counts struct {
-	// Requests earned. Repeats were Paid, or Refused as too little was held; of those paid, Sent
-	// left for an endpoint and GivenBack did not. Expired could not be paid anew when they were
+	// Requests earned. Repeats were Acquired, or Refused as too little was held; of those paid, Sent
+	// left for an endpoint and Refunded did not. Expired could not be paid anew when they were
 	// to leave.
-	Requests, Paid, Refused, Sent, GivenBack, Expired int
+	Requests, Acquired, Refused, Sent, Refunded, Expired int
 }
 
 // Budget is what one process may repeat of one service's requests. Times are by one clock that only
 // advances. It is not safe for concurrent use.
 type Budget struct {
-	earns float64
-	slice time.Duration
+	creditPerRequest float64
+	sliceDuration    time.Duration
 	// credit is what was earned in each slice and not paid, by number modulo slices.
-	credit [slices]float64
-	// newest is the number of the slice that was last looked at.
-	newest int64
-	window time.Duration
+	credit [windowSlices]float64
+	// newestSlice is the number of the slice that was last looked at.
+	newestSlice int64
+	window      time.Duration
 	// fixed is how many of the places for repeats of the fixed number may be taken.
-	fixed  int
-	places [mostFixed]place
-	counts Counts
+	fixed      int
+	fixedSlots [maxFixed]fixedSlot
+	counts     Counts
 }
 
-// place is one repeat of the fixed number, free again a window after it was sent.
-type place struct {
-	taken bool
-	until time.Duration
+// fixedSlot is one repeat of the fixed number, free again a window after it was sent.
+type fixedSlot struct {
+	taken  bool
+	freeAt time.Duration
 }
 
 // New returns an empty budget for the share of requests that all VMs together may repeat in a window.
 func New(share float64, window time.Duration) *Budget {
-	return &Budget{earns: earnedPart * share, slice: max(1, window/slices), window: window}
+	return &Budget{creditPerRequest: earnedShare * share, sliceDuration: max(1, window/windowSlices), window: window}
 }
 
-// SetFixed sets how many repeats of the fixed number may be sent in a window.
-func (b *Budget) SetFixed(n int) { b.fixed = min(n, mostFixed) }
+// SetFixedRetries sets how many repeats of the fixed number may be sent in a window.
+func (b *Budget) SetFixedRetries(n int) { b.fixed = min(n, maxFixed) }
 
-// Repeat is one repeat that was paid.
-type Repeat struct {
-	// earned is the number of the oldest slice that it was paid from.
-	earned int64
+// Permit is one repeat that was paid.
+type Permit struct {
+	// oldestSlice is the number of the oldest slice that it was paid from.
+	oldestSlice int64
 	// fixed says that it is one of the fixed number, at a place.
 	fixed bool
-	place int
+	slot  int
 }
 
 // advance forgets what has expired.
 func (b *Budget) advance(now time.Duration) {
-	n := int64(now / b.slice)
-	if n-b.newest >= slices {
+	n := int64(now / b.sliceDuration)
+	if n-b.newestSlice >= windowSlices {
 		clear(b.credit[:])
-		b.newest = n
+		b.newestSlice = n
 	}
-	for b.newest < n {
-		b.newest++
-		b.credit[b.newest%slices] = 0
+	for b.newestSlice < n {
+		b.newestSlice++
+		b.credit[b.newestSlice%windowSlices] = 0
 	}
 }
 
-// oldest is the number of the oldest slice that has not expired.
-func (b *Budget) oldest() int64 { return max(0, b.newest-slices+1) }
+// oldestSlice is the number of the oldestSlice slice that has not expired.
+func (b *Budget) oldestSlice() int64 { return max(0, b.newestSlice-windowSlices+1) }
 
-// Request earns for one request of a caller.
-func (b *Budget) Request(now time.Duration) {
+// RecordRequest earns for one request of a caller.
+func (b *Budget) RecordRequest(now time.Duration) {
 	b.advance(now)
 	b.counts.Requests++
-	b.credit[b.newest%slices] += b.earns
+	b.credit[b.newestSlice%windowSlices] += b.creditPerRequest
 }
 
-// Held is how many repeats may be paid.
-func (b *Budget) Held(now time.Duration) float64 {
+// Balance is how many repeats may be paid.
+func (b *Budget) Balance(now time.Duration) float64 {
 	b.advance(now)
 	sum := 0.0
 	for _, c := range b.credit {
@@ -119,80 +119,80 @@
 	return sum
 }
 
-// Pay takes one repeat off what was earned, the oldest first, or off the fixed number, and reports
+// Acquire takes one repeat off what was earned, the oldest first, or off the fixed number, and reports
 // whether there was enough.
-func (b *Budget) Pay(now time.Duration) (Repeat, bool) {
-	r, ok := b.take(now)
+func (b *Budget) Acquire(now time.Duration) (Permit, bool) {
+	r, ok := b.acquireEarned(now)
 	if !ok {
-		r, ok = b.takePlace(now)
+		r, ok = b.acquireFixed(now)
 	}
 	if ok {
-		b.counts.Paid++
+		b.counts.Acquired++
 	} else {
 		b.counts.Refused++
 	}
 	return r, ok
 }
 
-func (b *Budget) take(now time.Duration) (Repeat, bool) {
-	if b.Held(now) < 1-rounding {
-		return Repeat{}, false
+func (b *Budget) acquireEarned(now time.Duration) (Permit, bool) {
+	if b.Balance(now) < 1-roundingError {
+		return Permit{}, false
 	}
-	r := Repeat{earned: -1}
-	lacking := 1.0
-	for n := b.oldest(); n <= b.newest && lacking > rounding; n++ {
-		part := min(lacking, b.credit[n%slices])
-		if part > 0 && r.earned < 0 {
-			r.earned = n
+	r := Permit{oldestSlice: -1}
+	missing := 1.0
+	for n := b.oldestSlice(); n <= b.newestSlice && missing > roundingError; n++ {
+		used := min(missing, b.credit[n%windowSlices])
+		if used > 0 && r.oldestSlice < 0 {
+			r.oldestSlice = n
 		}
-		lacking -= part
-		b.credit[n%slices] -= part
+		missing -= used
+		b.credit[n%windowSlices] -= used
 	}
 	return r, true
 }
 
-func (b *Budget) takePlace(now time.Duration) (Repeat, bool) {
+func (b *Budget) acquireFixed(now time.Duration) (Permit, bool) {
 	for i := range b.fixed {
-		if p := &b.places[i]; !p.taken && now >= p.until {
+		if p := &b.fixedSlots[i]; !p.taken && now >= p.freeAt {
 			p.taken = true
-			return Repeat{fixed: true, place: i}, true
+			return Permit{fixed: true, slot: i}, true
 		}
 	}
-	return Repeat{}, false
+	return Permit{}, false
 }
 
 // Renew says whether a repeat that was paid may leave now. One that waited until what paid it
 // expired is paid anew.
-func (b *Budget) Renew(now time.Duration, r Repeat) (Repeat, bool) {
+func (b *Budget) Renew(now time.Duration, r Permit) (Permit, bool) {
 	b.advance(now)
-	if r.fixed || r.earned >= b.oldest() {
+	if r.fixed || r.oldestSlice >= b.oldestSlice() {
 		return r, true
 	}
-	r, ok := b.take(now)
+	r, ok := b.acquireEarned(now)
 	if !ok {
 		b.counts.Expired++
 	}
 	return r, ok
 }
 
-// Sent notes that a repeat left.
-func (b *Budget) Sent(now time.Duration, r Repeat) {
+// RecordSent notes that a repeat left.
+func (b *Budget) RecordSent(now time.Duration, r Permit) {
 	b.counts.Sent++
 	if r.fixed {
-		b.places[r.place] = place{until: now + b.window}
+		b.fixedSlots[r.slot] = fixedSlot{freeAt: now + b.window}
 	}
 }
 
-// GiveBack takes back a repeat that did not leave.
-func (b *Budget) GiveBack(now time.Duration, r Repeat) {
+// Refund takes back a repeat that did not leave.
+func (b *Budget) Refund(now time.Duration, r Permit) {
 	b.advance(now)
-	b.counts.GivenBack++
+	b.counts.Refunded++
 	if r.fixed {
-		b.places[r.place].taken = false
+		b.fixedSlots[r.slot].taken = false
 		return
 	}
-	if r.earned >= b.oldest() {
-		b.credit[r.earned%slices]++
+	if r.oldestSlice >= b.oldestSlice() {
+		b.credit[r.oldestSlice%windowSlices]++
 	}
 }
 
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// wholeDeployment is up to how many VMs of a region's failure domains are one cell:
+	// maxSingleCellVMs is up to how many VMs of a region's failure domains are one cell:
 	// few enough that each hears each other ten times a second.
-	wholeDeployment = 24
-	// cellSize bounds the VMs of a cell. Several placers before the same engines take the
+	maxSingleCellVMs = 24
+	// targetCellSize bounds the VMs of a cell. Several placers before the same engines take the
 	// same slots, so a failure domain has as few as can carry the work.
-	cellSize = 64
-	// placerKey is hashed with the VMs' addresses to rank them.
-	placerKey = "placer"
+	targetCellSize = 64
+	// placerHashKey is hashed with the VMs' addresses to rank them.
+	placerHashKey = "placer"
 )
 
 // VM is one that is heard and willing to place requests for others.
@@ -35,44 +35,44 @@
 	// Region is that of the failure domain; a question across regions would take longer
 	// than a request may wait.
 	Region string
-	// Share is its part of a core: placing costs time.
-	Share float64
+	// CPUShare is its part of a core: placing costs time.
+	CPUShare float64
 	// Members is how many VMs ask it now.
 	Members int
 }
 
-// Fleet is how many VMs are known, whether they were heard lately or not: all VMs agree on
+// FleetSize is how many VMs are known, whether they were heard lately or not: all VMs agree on
 // that from the store's list, where each hears others only in turns.
-type Fleet struct {
+type FleetSize struct {
 	// Region and Domain are those of the own region and failure domain, this one included.
 	Region, Domain int
 }
 
-// whole says whether the region's VMs are one cell.
-func (f Fleet) whole() bool { return f.Region <= wholeDeployment }
+// singleCell says whether the region's VMs are one cell.
+func (f FleetSize) singleCell() bool { return f.Region <= maxSingleCellVMs }
 
-// placers is how many VMs place requests in the region or the failure domain.
-func (f Fleet) placers() int {
-	if f.whole() {
+// placerCount is how many VMs place requests in the region or the failure domain.
+func (f FleetSize) placerCount() int {
+	if f.singleCell() {
 		return 1
 	}
-	return (f.Domain + cellSize - 1) / cellSize
+	return (f.Domain + targetCellSize - 1) / targetCellSize
 }
 
-// shareWorthMoving is how many times the part of a core, or the members, of the VM
+// switchFactor is how many times the part of a core, or the members, of the VM
 // that places now another must have to take over: a change costs what the old one knew.
-const shareWorthMoving = 2
+const switchFactor = 2
 
-// Ranked orders VMs by who should place: those that do it already, then those with the
+// RankPlacers orders VMs by who should place: those that do it already, then those with the
 // most processor time. Without that a VM that was restarted takes its place back at once,
 // knowing no loads, and sends requests to engines that are full.
-func Ranked(vms []VM) []VM {
-	most := 0.0
+func RankPlacers(vms []VM) []VM {
+	maxShare := 0.0
 	for _, v := range vms {
-		most = max(most, v.Share)
+		maxShare = max(maxShare, v.CPUShare)
 	}
 	members := func(v VM) int {
-		if v.Share*shareWorthMoving < most {
+		if v.CPUShare*switchFactor < maxShare {
 			return 0
 		}
 		return v.Members
@@ -82,62 +82,62 @@
 		if c := cmp.Compare(members(b), members(a)); c != 0 {
 			return c
 		}
-		if c := cmp.Compare(b.Share, a.Share); c != 0 {
+		if c := cmp.Compare(b.CPUShare, a.CPUShare); c != 0 {
 			return c
 		}
-		return rendezvous.Compare(placerKey, a.Address, b.Address)
+		return rendezvous.Compare(placerHashKey, a.Address, b.Address)
 	})
 	return ranked
 }
 
-// Placer is the address of the VM that places the requests of self, which may be
+// ChoosePlacer is the address of the VM that places the requests of self, which may be
 // self. willing are the VMs that are heard, self included if it is willing; empty if
 // there is none. current is the placer so far: self stays with it while it is willing
 // and none of those that should place has far more members or processor time, else VMs
 // that change at the same moment would follow each other to and fro, and each change
 // loses what the placer knew of the engines.
-func Placer(self VM, fleet Fleet, willing []VM, current string) string {
-	group := groupOf(self, fleet, willing)
+func ChoosePlacer(self VM, fleet FleetSize, willing []VM, current string) string {
+	group := candidates(self, fleet, willing)
 	if len(group) == 0 {
 		return ""
 	}
-	ranked := Ranked(group)
-	placers := ranked[:min(len(ranked), fleet.placers())]
+	ranked := RankPlacers(group)
+	placers := ranked[:min(len(ranked), fleet.placerCount())]
 	i := slices.IndexFunc(ranked, func(v VM) bool { return v.Address == current })
-	if i >= 0 && (i < len(placers) || !worthMoving(ranked[i], placers[len(placers)-1])) {
+	if i >= 0 && (i < len(placers) || !shouldSwitch(ranked[i], placers[len(placers)-1])) {
 		return current
 	}
 	return slices.MinFunc(placers, func(a, b VM) int { return rendezvous.Compare(self.Address, a.Address, b.Address) }).Address
 }
 
-// worthMoving says whether to move from a placer to another.
-func worthMoving(from, to VM) bool {
-	return to.Members >= shareWorthMoving*max(1, from.Members) || to.Share >= shareWorthMoving*from.Share
+// shouldSwitch says whether to move from a placer to another.
+func shouldSwitch(from, to VM) bool {
+	return to.Members >= switchFactor*max(1, from.Members) || to.CPUShare >= switchFactor*from.CPUShare
 }
 
-// groupOf are the VMs among which self finds its placer.
-func groupOf(self VM, fleet Fleet, willing []VM) []VM {
-	near := slices.DeleteFunc(slices.Clone(willing), func(v VM) bool { return v.Region != self.Region })
-	if !fleet.whole() {
-		return ofDomain(near, self.Domain)
+// candidates are the VMs among which self finds its placer.
+func candidates(self VM, fleet FleetSize, willing []VM) []VM {
+	sameRegion := slices.DeleteFunc(slices.Clone(willing), func(v VM) bool { return v.Region != self.Region })
+	if !fleet.singleCell() {
+		return inDomain(sameRegion, self.Domain)
 	}
-	return near
+	return sameRegion
 }
 
-// successors is how many VMs hear of a placer's loads in case they have to follow it.
-const successors = 2
+// successorCount is how many VMs hear of a placer's loads in case they have to follow it.
+const successorCount = 2
 
 // Successors are those that would place next if the VM self, which places, were lost.
-func Successors(self VM, fleet Fleet, willing []VM) []string {
+func Successors(self VM, fleet FleetSize, willing []VM) []string {
 	var next []string
-	for _, v := range Ranked(groupOf(self, fleet, willing)) {
-		if v.Address != self.Address && len(next) < successors {
+	for _, v := range RankPlacers(candidates(self, fleet, willing)) {
+		if v.Address != self.Address && len(next) < successorCount {
 			next = append(next, v.Address)
 		}
 	}
 	return next
 }
 
-func ofDomain(vms []VM, domain string) []VM {
+func inDomain(vms []VM, domain string) []VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(v VM) bool { return v.Domain != domain })
 }
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -10,14 +10,14 @@
 func deployment(n, domains int) []VM {
 	var vms []VM
 	for i := range n {
-		vms = append(vms, VM{Address: fmt.Sprintf("10.0.0.%d:7600", i), Domain: fmt.Sprint(i % domains), Share: 0.4})
+		vms = append(vms, VM{Address: fmt.Sprintf("10.0.0.%d:7600", i), Domain: fmt.Sprint(i % domains), CPUShare: 0.4})
 	}
 	return vms
 }
 
 // fleetOf is how many of the VMs are of self's region and failure domain.
-func fleetOf(self VM, vms []VM) Fleet {
-	var f Fleet
+func fleetOf(self VM, vms []VM) FleetSize {
+	var f FleetSize
 	for _, v := range vms {
 		if v.Region == self.Region {
 			f.Region++
@@ -31,7 +31,7 @@
 
 // A small deployment is one cell over all failure domains, a large one has cells of
 // bounded size within each.
-func TestCells(t *testing.T) {
+func TestCellSizes(t *testing.T) {
 	for _, c := range []struct{ vms, domains, placers int }{{8, 4, 1}, {66, 4, 4}, {300, 4, 8}, {1800, 13, 39}} {
 		is := is.New(t)
 		vms := deployment(c.vms, c.domains)
@@ -41,48 +41,48 @@
 			domain[v.Address] = v.Domain
 		}
 		for _, v := range vms {
-			p := Placer(v, fleetOf(v, vms), vms, "")
+			p := ChoosePlacer(v, fleetOf(v, vms), vms, "")
 			members[p]++
-			if c.vms > wholeDeployment {
+			if c.vms > maxSingleCellVMs {
 				is.Equal(domain[p], v.Domain)
 			}
 		}
 		is.Equal(len(members), c.placers)
 		for _, n := range members {
-			is.True(n < 2*cellSize)
+			is.True(n < 2*targetCellSize)
 		}
 	}
 }
 
 // Symptom: requests waited long for decisions. Sequence: the VMs differ fourfold in
 // processor time and the least of them places for all. The largest place.
-func TestLargestPlaces(t *testing.T) {
+func TestLargestVMIsPlacer(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(16, 4)
-	vms[5].Share = 0.8
+	vms[5].CPUShare = 0.8
 	for _, v := range vms {
-		is.Equal(Placer(v, fleetOf(v, vms), vms, ""), vms[5].Address)
+		is.Equal(ChoosePlacer(v, fleetOf(v, vms), vms, ""), vms[5].Address)
 	}
 }
 
 // When the placer is no longer heard, all agree on the next; nobody willing leaves
 // each to itself.
-func TestNextPlacer(t *testing.T) {
+func TestLostPlacerIsReplaced(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(8, 4)
-	first := Placer(vms[0], fleetOf(vms[0], vms), vms, "")
+	first := ChoosePlacer(vms[0], fleetOf(vms[0], vms), vms, "")
 	var left []VM
 	for _, v := range vms {
 		if v.Address != first {
 			left = append(left, v)
 		}
 	}
-	next := Placer(vms[0], fleetOf(vms[0], vms), left, "")
+	next := ChoosePlacer(vms[0], fleetOf(vms[0], vms), left, "")
 	is.True(next != first)
 	for _, v := range vms {
-		is.Equal(Placer(v, fleetOf(v, vms), left, ""), next)
+		is.Equal(ChoosePlacer(v, fleetOf(v, vms), left, ""), next)
 	}
-	is.Equal(Placer(vms[0], fleetOf(vms[0], vms), nil, ""), "")
+	is.Equal(ChoosePlacer(vms[0], fleetOf(vms[0], vms), nil, ""), "")
 }
 
 // Symptom: what a VM sent grew with the deployment: at 300 VMs 386 KB a second, and
@@ -96,28 +96,28 @@
 	placerOf := make(map[string]string)
 	placers := make(map[string]bool)
 	for _, v := range vms {
-		placerOf[v.Address] = Placer(v, fleetOf(v, vms), vms, "")
+		placerOf[v.Address] = ChoosePlacer(v, fleetOf(v, vms), vms, "")
 		placers[placerOf[v.Address]] = true
 	}
-	mine := placerOf[self.Address]
-	is.True(mine != self.Address)
+	ownPlacer := placerOf[self.Address]
+	is.True(ownPlacer != self.Address)
 	var peers []Peer
 	for _, v := range vms[1:] {
-		peers = append(peers, Peer{Address: v.Address, Near: v.Domain == self.Domain, Places: placers[v.Address], Cell: v.Address == mine})
+		peers = append(peers, Peer{Address: v.Address, SameDomain: v.Domain == self.Domain, IsPlacer: placers[v.Address], SameCell: v.Address == ownPlacer})
 	}
-	heard := make(map[string]int)
+	received := make(map[string]int)
 	for i := range uint64(100) {
-		r := RecipientsOf(peers, i, false)
-		is.True(len(r.Heartbeats) <= nearHeartbeats+farHeartbeats)
-		is.Equal(r.Loads, []string{mine})
+		r := ChooseRecipients(peers, i, false)
+		is.True(len(r.Heartbeats) <= maxHeartbeatsSameDomain+maxHeartbeatsOtherDomains)
+		is.Equal(r.Loads, []string{ownPlacer})
 		for _, a := range r.Heartbeats {
-			heard[a]++
+			received[a]++
 		}
 	}
 	near := 0
 	for _, v := range vms {
-		if v.Domain == self.Domain && v != self && v.Address != mine {
-			is.True(heard[v.Address] > 0)
+		if v.Domain == self.Domain && v != self && v.Address != ownPlacer {
+			is.True(received[v.Address] > 0)
 			near++
 		}
 	}
@@ -128,25 +128,25 @@
 // Sequence: the placer restarts; the next one places; the first is back, ranks first
 // again and knows no loads. Cause: the rank was by processor time and hash alone. One
 // that places goes on, unless it has far less processor time.
-func TestPlacerStays(t *testing.T) {
+func TestPlacerIsSticky(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(8, 4)
-	first := Placer(vms[0], fleetOf(vms[0], vms), vms, "")
+	first := ChoosePlacer(vms[0], fleetOf(vms[0], vms), vms, "")
 	for i := range vms {
 		if vms[i].Address == first {
 			continue
 		}
 		vms[i].Members = 7
-		is.Equal(Placer(vms[0], fleetOf(vms[0], vms), vms, ""), vms[i].Address)
+		is.Equal(ChoosePlacer(vms[0], fleetOf(vms[0], vms), vms, ""), vms[i].Address)
 		next := Successors(vms[i], fleetOf(vms[i], vms), vms)
-		is.Equal(len(next), successors)
+		is.Equal(len(next), successorCount)
 		is.True(next[0] != vms[i].Address)
-		is.Equal(Placer(vms[0], fleetOf(vms[0], vms), vms, first), vms[i].Address)
+		is.Equal(ChoosePlacer(vms[0], fleetOf(vms[0], vms), vms, first), vms[i].Address)
 		vms[i].Members = 1
-		is.Equal(Placer(vms[0], fleetOf(vms[0], vms), vms, first), first)
-		vms[i].Share = 0.1
-		is.Equal(Placer(vms[0], fleetOf(vms[0], vms), vms, vms[i].Address), first)
-		vms[i].Share, vms[i].Members = 0.4, 0
+		is.Equal(ChoosePlacer(vms[0], fleetOf(vms[0], vms), vms, first), first)
+		vms[i].CPUShare = 0.1
+		is.Equal(ChoosePlacer(vms[0], fleetOf(vms[0], vms), vms, vms[i].Address), first)
+		vms[i].CPUShare, vms[i].Members = 0.4, 0
 	}
 }
 
@@ -162,6 +162,6 @@
 		region[vms[i].Address] = vms[i].Region
 	}
 	for _, v := range vms {
-		is.Equal(region[Placer(v, fleetOf(v, vms), vms, "")], v.Region)
+		is.Equal(region[ChoosePlacer(v, fleetOf(v, vms), vms, "")], v.Region)
 	}
 }
--- a/core/cell/recipients.go
+++ b/core/cell/recipients.go
@@ -8,13 +8,13 @@
 // Peer is another VM as the choice of recipients sees it.
 type Peer struct {
 	Address string
-	// Near says that it is of the own failure domain.
-	Near bool
-	// Places says that it places requests by itself: it needs to know loads.
-	Places bool
-	// Cell says that it is this VM's placer, or asks this one; Successor that it would
+	// SameDomain says that it is of the own failure domain.
+	SameDomain bool
+	// IsPlacer says that it places requests by itself: it needs to know loads.
+	IsPlacer bool
+	// SameCell says that it is this VM's placer, or asks this one; Successor that it would
 	// place if this one were lost.
-	Cell, Successor bool
+	SameCell, Successor bool
 }
 
 // Recipients are who gets a note.
@@ -25,46 +25,46 @@
 }
 
 const (
-	// nearLoads and farLoads bound those that place and hear of loads at once, of the
+	// maxLoadsSameDomain and farLoads bound those that place and hear of loads at once, of the
 	// own failure domain and of others.
-	nearLoads = 16
-	farLoads  = 6
-	// nearHeartbeats and farHeartbeats bound heartbeats to all others, so that what a VM
+	maxLoadsSameDomain   = 16
+	maxLoadsOtherDomains = 6
+	// maxHeartbeatsSameDomain and farHeartbeats bound heartbeats to all others, so that what a VM
 	// sends does not grow with the deployment.
-	nearHeartbeats = 4
-	farHeartbeats  = 1
+	maxHeartbeatsSameDomain   = 4
+	maxHeartbeatsOtherDomains = 1
 )
 
-// RecipientsOf chooses who gets the i-th note, all in turns where there are too many:
+// ChooseRecipients chooses who gets the i-th note, all in turns where there are too many:
 // what a VM sends does not grow with the deployment. placesSelf says that the sender
 // places requests by itself, so that others need its loads.
-func RecipientsOf(peers []Peer, i uint64, placesSelf bool) Recipients {
+func ChooseRecipients(peers []Peer, i uint64, selfIsPlacer bool) Recipients {
 	var near, far, nearOthers, farOthers []string
 	var r Recipients
 	for _, p := range peers {
 		switch {
-		case p.Cell && !placesSelf, placesSelf && p.Successor:
+		case p.SameCell && !selfIsPlacer, selfIsPlacer && p.Successor:
 			r.Loads = append(r.Loads, p.Address)
-		case p.Cell:
+		case p.SameCell:
 			r.State = append(r.State, p.Address)
-		case placesSelf && p.Places && p.Near:
+		case selfIsPlacer && p.IsPlacer && p.SameDomain:
 			near = append(near, p.Address)
-		case placesSelf && p.Places:
+		case selfIsPlacer && p.IsPlacer:
 			far = append(far, p.Address)
-		case p.Near:
+		case p.SameDomain:
 			nearOthers = append(nearOthers, p.Address)
 		default:
 			farOthers = append(farOthers, p.Address)
 		}
 	}
-	r.Loads = append(r.Loads, inTurn(near, nearLoads, i)...)
-	r.Loads = append(r.Loads, inTurn(far, farLoads, i)...)
-	r.Heartbeats = append(inTurn(nearOthers, nearHeartbeats, i), inTurn(farOthers, farHeartbeats, i)...)
+	r.Loads = append(r.Loads, rotate(near, maxLoadsSameDomain, i)...)
+	r.Loads = append(r.Loads, rotate(far, maxLoadsOtherDomains, i)...)
+	r.Heartbeats = append(rotate(nearOthers, maxHeartbeatsSameDomain, i), rotate(farOthers, maxHeartbeatsOtherDomains, i)...)
 	return r
 }
 
-// inTurn picks n of a list so that all come up equally often.
-func inTurn(list []string, n int, i uint64) []string {
+// rotate picks n of a list so that all come up equally often.
+func rotate(list []string, n int, i uint64) []string {
 	if len(list) <= n {
 		return list
 	}
--- a/core/cell/stay_test.go
+++ b/core/cell/stay_test.go
@@ -14,7 +14,7 @@
 	vms []*fleetVM
 	// index finds VMs by address.
 	index map[string]int
-	size  Fleet
+	size  FleetSize
 	step  uint64
 	// changes counts changes of placers since it was last set to nothing.
 	changes int
@@ -23,19 +23,19 @@
 // fleetVM is one VM and what it heard of others, by their index.
 type fleetVM struct {
 	VM
-	// began and chose are when it started and when it chose its placer.
-	began, chose uint64
-	placer       string
-	dead         bool
-	surplus      Surplus
-	down         bool
-	heard        []fleetWord
-	// asked is when each VM that asks this one last said so.
-	asked map[string]uint64
+	// startedAt and chosenAt are when it started and when it chosenAt its placer.
+	startedAt, chosenAt uint64
+	placer              string
+	stopped             bool
+	surplus             SurplusDetector
+	steppedDown         bool
+	peers               []peerState
+	// lastAsked is when each VM that asks this one last said so.
+	lastAsked map[string]uint64
 }
 
-// fleetWord is what was heard of a VM: at which step, and how many members it had.
-type fleetWord struct {
+// peerState is what was heard of a VM: at which step, and how many members it had.
+type peerState struct {
 	at      uint64
 	members int
 	asks    bool
@@ -45,21 +45,21 @@
 }
 
 const (
-	fleetStep = 100 * time.Millisecond
-	// fleetAlive and fleetSilent are after how many steps of a tenth of a second a VM, and
+	stepDuration = 100 * time.Millisecond
+	// livenessSteps and fleetSilent are after how many steps of a tenth of a second a VM, and
 	// a placer, counts as gone; fleetReady is after how many a process is willing.
-	fleetAlive  = 48
-	fleetSilent = 4
-	fleetReady  = 20
+	livenessSteps      = 48
+	placerTimeoutSteps = 4
+	readySteps         = 20
 )
 
 func newFleet(n, domains int) *fleet {
-	f := &fleet{index: make(map[string]int), size: Fleet{Region: n, Domain: n / domains}}
+	f := &fleet{index: make(map[string]int), size: FleetSize{Region: n, Domain: n / domains}}
 	for i := range n {
-		v := &fleetVM{VM: VM{Address: fmt.Sprintf("10.0.%d.%d:7600", i/250, i%250), Domain: fmt.Sprint(i % domains), Share: 0.192}, heard: make([]fleetWord, n), asked: make(map[string]uint64)}
+		v := &fleetVM{VM: VM{Address: fmt.Sprintf("10.0.%d.%d:7600", i/250, i%250), Domain: fmt.Sprint(i % domains), CPUShare: 0.192}, peers: make([]peerState, n), lastAsked: make(map[string]uint64)}
 		// One VM in sixteen of each failure domain is large.
 		if i/domains%16 == 0 {
-			v.Share = 0.8
+			v.CPUShare = 0.8
 		}
 		f.index[v.Address] = i
 		f.vms = append(f.vms, v)
@@ -68,14 +68,14 @@
 }
 
 func (f *fleet) start(v *fleetVM) {
-	v.dead, v.placer, v.began, v.asked = false, "", f.step, make(map[string]uint64)
-	clear(v.heard)
+	v.stopped, v.placer, v.startedAt, v.lastAsked = false, "", f.step, make(map[string]uint64)
+	clear(v.peers)
 }
 
 func (v *fleetVM) members(step uint64) int {
 	n := 0
-	for _, at := range v.asked {
-		if step-at < fleetAlive/3 {
+	for _, at := range v.lastAsked {
+		if step-at < livenessSteps/3 {
 			n++
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // ready says whether a VM would place for others.
-func (v *fleetVM) ready(step uint64) bool { return step-v.began >= fleetReady && !v.down }
+func (v *fleetVM) ready(step uint64) bool { return step-v.startedAt >= readySteps && !v.steppedDown }
 
-// choose lets a VM choose its placer from what it heard.
-func (f *fleet) choose(i int) {
+// updatePlacer lets a VM updatePlacer its placer from what it heard.
+func (f *fleet) updatePlacer(i int) {
 	v := f.vms[i]
 	self := v.VM
 	self.Members = v.members(f.step)
@@ -94,39 +94,39 @@
 	if v.ready(f.step) {
 		willing = append(willing, self)
 	}
-	for j, w := range v.heard {
-		if w.at == 0 || f.step-w.at > fleetAlive || !w.willing {
+	for j, w := range v.peers {
+		if w.at == 0 || f.step-w.at > livenessSteps || !w.willing {
 			continue
 		}
-		if f.vms[j].Address == v.placer && f.step-w.at > fleetSilent && f.step-v.chose > fleetSilent {
-			v.heard[j].silent = true
+		if f.vms[j].Address == v.placer && f.step-w.at > placerTimeoutSteps && f.step-v.chosenAt > placerTimeoutSteps {
+			v.peers[j].silent = true
 		}
-		if v.heard[j].silent {
+		if v.peers[j].silent {
 			continue
 		}
 		o := f.vms[j].VM
 		o.Members = w.members
 		willing = append(willing, o)
 	}
-	if v.down = v.surplus.StepsDown(fleetStep*time.Duration(f.step), IsSurplus(self, f.size, willing)); v.down {
+	if v.steppedDown = v.surplus.ShouldStepDown(stepDuration*time.Duration(f.step), IsSurplus(self, f.size, willing)); v.steppedDown {
 		willing = slices.DeleteFunc(willing, func(o VM) bool { return o.Address == self.Address })
 	}
 	current := v.placer
 	if current == v.Address && self.Members == 0 {
 		current = ""
 	}
-	chosen := Placer(self, f.size, willing, current)
+	chosen := ChoosePlacer(self, f.size, willing, current)
 	if chosen == "" {
 		chosen = v.Address
 	}
 	if chosen != v.placer {
 		f.changes++
-		v.placer, v.chose = chosen, f.step
+		v.placer, v.chosenAt = chosen, f.step
 	}
 }
 
-// tell lets a VM send its note to those whose turn it is.
-func (f *fleet) tell(i int) {
+// sendNote lets a VM send its note to those whose turn it is.
+func (f *fleet) sendNote(i int) {
 	v := f.vms[i]
 	places := v.placer == v.Address
 	var peers []Peer
@@ -134,20 +134,20 @@
 		if j == i {
 			continue
 		}
-		asks := f.step-v.asked[o.Address] < fleetAlive/3 && v.asked[o.Address] > 0
-		peers = append(peers, Peer{Address: o.Address, Near: o.Domain == v.Domain, Places: v.heard[j].at > 0 && !v.heard[j].asks, Cell: o.Address == v.placer || places && asks})
+		asks := f.step-v.lastAsked[o.Address] < livenessSteps/3 && v.lastAsked[o.Address] > 0
+		peers = append(peers, Peer{Address: o.Address, SameDomain: o.Domain == v.Domain, IsPlacer: v.peers[j].at > 0 && !v.peers[j].asks, SameCell: o.Address == v.placer || places && asks})
 	}
-	r := RecipientsOf(peers, f.step+uint64(i)*7919, places)
-	word := fleetWord{at: f.step, members: v.members(f.step), asks: !places, willing: v.ready(f.step)}
+	r := ChooseRecipients(peers, f.step+uint64(i)*7919, places)
+	state := peerState{at: f.step, members: v.members(f.step), asks: !places, willing: v.ready(f.step)}
 	for _, list := range [][]string{r.Loads, r.State, r.Heartbeats} {
 		for _, a := range list {
 			o := f.vms[f.index[a]]
-			if o.dead {
+			if o.stopped {
 				continue
 			}
-			o.heard[i] = word
+			o.peers[i] = state
 			if v.placer == a {
-				o.asked[v.Address] = f.step
+				o.lastAsked[v.Address] = f.step
 			}
 		}
 	}
@@ -158,19 +158,19 @@
 	for range steps {
 		f.step++
 		for i, v := range f.vms {
-			if !v.dead {
-				f.choose(i)
-				f.tell(i)
+			if !v.stopped {
+				f.updatePlacer(i)
+				f.sendNote(i)
 			}
 		}
 	}
 }
 
-// placers are how many VMs ask each placer.
-func (f *fleet) placers() map[string]int {
+// countByPlacer are how many VMs ask each placer.
+func (f *fleet) countByPlacer() map[string]int {
 	n := make(map[string]int)
 	for _, v := range f.vms {
-		if !v.dead {
+		if !v.stopped {
 			n[v.placer]++
 		}
 	}
@@ -183,7 +183,7 @@
 // VMs heard the numbers of members of another moment each; those decided who places. Cause:
 // a VM stayed with its placer only in failure domains of up to 24 VMs. The load: domains of
 // 11, 49 and 138 VMs without a fault, for ten seconds after the first eight.
-func TestPlacersStayInLargeDomains(t *testing.T) {
+func TestPlacersAreStableInLargeDomains(t *testing.T) {
 	for _, c := range []struct{ vms, domains, placers int }{{66, 6, 6}, {147, 3, 3}, {138, 1, 3}} {
 		t.Run(fmt.Sprint(c.vms), func(t *testing.T) {
 			is := is.New(t)
@@ -191,9 +191,9 @@
 			f.run(80)
 			f.changes = 0
 			f.run(100)
-			t.Logf("%d changes, %d placers", f.changes, len(f.placers()))
+			t.Logf("%d changes, %d placers", f.changes, len(f.countByPlacer()))
 			is.Equal(f.changes, 0)
-			is.Equal(len(f.placers()), c.placers)
+			is.Equal(len(f.countByPlacer()), c.placers)
 		})
 	}
 }
@@ -202,23 +202,23 @@
 // is lost; others' numbers of members change; VMs that hear of it move too. Cause: as above.
 // The load: 147 VMs in three failure domains; one placer is lost, and starts again three
 // seconds later.
-func TestFewMoveWhenAPlacerIsLost(t *testing.T) {
+func TestLostPlacerMovesOnlyItsMembers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(147, 3)
 	f.run(80)
 	var lost *fleetVM
 	for _, v := range f.vms {
-		if v.placer == v.Address && (lost == nil || f.placers()[v.Address] > f.placers()[lost.Address]) {
+		if v.placer == v.Address && (lost == nil || f.countByPlacer()[v.Address] > f.countByPlacer()[lost.Address]) {
 			lost = v
 		}
 	}
-	asked := f.placers()[lost.Address]
-	f.changes, lost.dead = 0, true
+	asked := f.countByPlacer()[lost.Address]
+	f.changes, lost.stopped = 0, true
 	f.run(30)
 	t.Logf("%d asked it, %d changes", asked, f.changes)
 	// Each of them may place for itself before it finds the next one.
 	is.True(f.changes <= 2*asked+147/20)
-	is.Equal(f.placers()[lost.Address], 0)
+	is.Equal(f.countByPlacer()[lost.Address], 0)
 	f.changes = 0
 	f.start(lost)
 	f.run(100)
--- a/core/cell/surplus.go
+++ b/core/cell/surplus.go
@@ -12,49 +12,49 @@
 // compare placers by what they heard seconds apart go to and fro.
 
 const (
-	// surplusFor is how long a placer must have been beyond the number that should place:
+	// surplusDelay is how long a placer must have been beyond the number that should place:
 	// members that are just moving are counted within a second.
-	surplusFor = 2 * time.Second
-	// downFor is how long it offers itself no more: twice the time in which all VMs of a
+	surplusDelay = 2 * time.Second
+	// stepDownPeriod is how long it offers itself no more: twice the time in which all VMs of a
 	// failure domain of 138 hear of it.
-	downFor = 8 * time.Second
+	stepDownPeriod = 8 * time.Second
 )
 
 // IsSurplus says whether self places for others though as many VMs as should place have
 // more members. willing are the VMs that are heard, self included.
-func IsSurplus(self VM, fleet Fleet, willing []VM) bool {
+func IsSurplus(self VM, fleet FleetSize, willing []VM) bool {
 	if self.Members == 0 {
 		return false
 	}
-	ranked := Ranked(groupOf(self, fleet, willing))
-	before := slices.IndexFunc(ranked, func(v VM) bool { return v.Address == self.Address })
-	return before >= fleet.placers() && ranked[fleet.placers()-1].Members > 0
+	ranked := RankPlacers(candidates(self, fleet, willing))
+	rank := slices.IndexFunc(ranked, func(v VM) bool { return v.Address == self.Address })
+	return rank >= fleet.placerCount() && ranked[fleet.placerCount()-1].Members > 0
 }
 
-// Placed says whether a VM other than self, of those that may place for it, does so for
+// HasActivePlacer says whether a VM other than self, of those that may place for it, does so for
 // others already. willing are the VMs that are heard.
-func Placed(self VM, fleet Fleet, willing []VM) bool {
-	return slices.ContainsFunc(groupOf(self, fleet, willing), func(v VM) bool { return v.Address != self.Address && v.Members > 0 })
+func HasActivePlacer(self VM, fleet FleetSize, willing []VM) bool {
+	return slices.ContainsFunc(candidates(self, fleet, willing), func(v VM) bool { return v.Address != self.Address && v.Members > 0 })
 }
 
-// Surplus decides when a placer steps down. The zero value has seen nothing.
-type Surplus struct {
-	// since is when it was first seen to be one too many, until when it offers no places.
-	since, until time.Duration
-	seen         bool
+// SurplusDetector decides when a placer steps down. The zero value has seen nothing.
+type SurplusDetector struct {
+	// surplusSince is when it was first seen to be one too many, downUntil when it offers no places.
+	surplusSince, downUntil time.Duration
+	wasSurplus              bool
 }
 
-// StepsDown says whether to offer no places now, from whether this VM is one too many.
-func (s *Surplus) StepsDown(now time.Duration, surplus bool) bool {
+// ShouldStepDown says whether to offer no places now, from whether this VM is one too many.
+func (s *SurplusDetector) ShouldStepDown(now time.Duration, isSurplus bool) bool {
 	switch {
-	case now < s.until:
+	case now < s.downUntil:
 		return true
-	case !surplus:
-		s.seen = false
-	case !s.seen:
-		s.seen, s.since = true, now
-	case now-s.since >= surplusFor:
-		s.seen, s.until = false, now+downFor
+	case !isSurplus:
+		s.wasSurplus = false
+	case !s.wasSurplus:
+		s.wasSurplus, s.surplusSince = true, now
+	case now-s.surplusSince >= surplusDelay:
+		s.wasSurplus, s.downUntil = false, now+stepDownPeriod
 		return true
 	}
 	return false
--- a/core/notice/fleet_test.go
+++ b/core/notice/fleet_test.go
@@ -41,7 +41,7 @@
 			near, places := k/perDomain == i/perDomain, k%perDomain < placers
 			own := near && places && k%perDomain == i%placers
 			asksMe := near && !places && !v.asks && (k%perDomain)%placers == i%perDomain
-			v.peers = append(v.peers, cell.Peer{Address: strconv.Itoa(k), Near: near, Places: places, Cell: v.asks && own || asksMe})
+			v.peers = append(v.peers, cell.Peer{Address: strconv.Itoa(k), SameDomain: near, IsPlacer: places, SameCell: v.asks && own || asksMe})
 		}
 	}
 	source := &vms[len(vms)-1]
@@ -59,7 +59,7 @@
 			if len(records) == 0 {
 				continue
 			}
-			to := cell.RecipientsOf(v.peers, n+v.offset, !v.asks)
+			to := cell.ChooseRecipients(v.peers, n+v.offset, !v.asks)
 			for _, list := range [][]string{to.Loads, to.State, to.Heartbeats} {
 				for _, address := range list {
 					k, err := strconv.Atoi(address)
--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -28,10 +28,10 @@
 func (h *Histogram) Observe(d time.Duration) { h[bucketOf(d)]++ }
 
 // Total is the number of times counted.
-func (h *Histogram) Total() int { return h.From(0) }
+func (h *Histogram) Total() int { return h.CountFrom(0) }
 
-// From is the number of times in a bucket and those above.
-func (h *Histogram) From(bucket int) int {
+// CountFrom is the number of times in a bucket and those above.
+func (h *Histogram) CountFrom(bucket int) int {
 	n := 0
 	for _, c := range h[min(bucket, buckets):] {
 		n += int(c)
@@ -39,8 +39,8 @@
 	return n
 }
 
-// Median is the bucket of the median.
-func (h *Histogram) Median() int {
+// MedianBucket is the bucket of the median.
+func (h *Histogram) MedianBucket() int {
 	half, n := (h.Total()+1)/2, 0
 	for b, c := range h {
 		if n += int(c); n >= half {
@@ -64,12 +64,12 @@
 
 func (h *Histogram) subtract(other *Histogram) {
 	for i := range h {
-		h[i] = less(h[i], other[i])
+		h[i] = saturatingSub(h[i], other[i])
 	}
 }
 
-// less is the difference of two counts, of which the first should be the greater.
-func less(a, b uint32) uint32 { return a - min(a, b) }
+// saturatingSub is the difference of two counts, of which the first should be the greater.
+func saturatingSub(a, b uint32) uint32 { return a - min(a, b) }
 
 // Counts are answers of one group. They only grow.
 type Counts struct {
@@ -78,30 +78,30 @@
 	// fell silent. They are compared apart: a broken link cuts off what goes to one endpoint,
 	// whatever its version, and would hide a version that answers with failures.
 	Failures, Cuts uint32
-	// First are the times to the first event of a stream, Whole those to the end of an
+	// FirstEvent are the times to the first event of a stream, WholeAnswer those to the end of an
 	// answer. Those of endpoints that had just started are left out.
-	First, Whole Histogram
+	FirstEvent, WholeAnswer Histogram
 }
 
 // max takes the greater of each count: what another VM told later says more.
 func (c *Counts) max(other Counts) {
 	c.Answers, c.Failures, c.Cuts = max(c.Answers, other.Answers), max(c.Failures, other.Failures), max(c.Cuts, other.Cuts)
-	c.First.max(&other.First)
-	c.Whole.max(&other.Whole)
+	c.FirstEvent.max(&other.FirstEvent)
+	c.WholeAnswer.max(&other.WholeAnswer)
 }
 
 func (c *Counts) add(other Counts) {
 	c.Answers += other.Answers
 	c.Failures += other.Failures
 	c.Cuts += other.Cuts
-	c.First.add(&other.First)
-	c.Whole.add(&other.Whole)
+	c.FirstEvent.add(&other.FirstEvent)
+	c.WholeAnswer.add(&other.WholeAnswer)
 }
 
 func (c *Counts) subtract(other Counts) {
-	c.Answers, c.Failures, c.Cuts = less(c.Answers, other.Answers), less(c.Failures, other.Failures), less(c.Cuts, other.Cuts)
-	c.First.subtract(&other.First)
-	c.Whole.subtract(&other.Whole)
+	c.Answers, c.Failures, c.Cuts = saturatingSub(c.Answers, other.Answers), saturatingSub(c.Failures, other.Failures), saturatingSub(c.Cuts, other.Cuts)
+	c.FirstEvent.subtract(&other.FirstEvent)
+	c.WholeAnswer.subtract(&other.WholeAnswer)
 }
 
 // Group names answers that are counted together: those of a route by the old version, or by
@@ -115,8 +115,8 @@
 // Evidence is what was seen, by group.
 type Evidence map[Group]Counts
 
-// Count adds an answer to its group.
-func (e Evidence) Count(g Group, add func(*Counts)) {
+// Update adds an answer to its group.
+func (e Evidence) Update(g Group, add func(*Counts)) {
 	c := e[g]
 	add(&c)
 	e[g] = c
@@ -125,16 +125,16 @@
 // Add adds what was seen elsewhere.
 func (e Evidence) Add(other Evidence) {
 	for g, c := range other {
-		e.Count(g, func(sum *Counts) { sum.add(c) })
+		e.Update(g, func(sum *Counts) { sum.add(c) })
 	}
 }
 
 // Since is what was added to earlier evidence. If requests move, all of the old version's
 // answers count: it gets none any more to compare with.
-func (e Evidence) Since(earlier Evidence, moving bool) Evidence {
+func (e Evidence) Since(earlier Evidence, shifting bool) Evidence {
 	added := make(Evidence, len(e))
 	for g, c := range e {
-		if g.Endpoint != 0 || !moving {
+		if g.Endpoint != 0 || !shifting {
 			c.subtract(earlier[g])
 		}
 		added[g] = c
@@ -156,46 +156,46 @@
 	return answers, failures, old
 }
 
-// Longest is the longest time that an answer took at either version, up to a bucket.
-func (e Evidence) Longest() time.Duration {
-	most := 0
+// LongestAnswer is the longest time that an answer took at either version, up to a bucket.
+func (e Evidence) LongestAnswer() time.Duration {
+	maxBucket := 0
 	for _, c := range e {
-		for b := buckets - 1; b > most; b-- {
-			if c.Whole[b] > 0 {
-				most = b
+		for b := buckets - 1; b > maxBucket; b-- {
+			if c.WholeAnswer[b] > 0 {
+				maxBucket = b
 				break
 			}
 		}
 	}
-	return time.Duration(float64(firstBucket) * math.Exp2(float64(most+1)/2))
+	return time.Duration(float64(firstBucket) * math.Exp2(float64(maxBucket+1)/2))
 }
 
-// Ledger is the evidence of several sources: of processes, or of the VMs of a failure domain.
+// Aggregator is the evidence of several sources: of processes, or of the VMs of a failure domain.
 // A source that is gone keeps what it told.
-type Ledger struct {
+type Aggregator struct {
 	sources map[string]Evidence
 }
 
-// NewLedger returns a ledger that knows nothing.
-func NewLedger() *Ledger { return &Ledger{sources: make(map[string]Evidence)} }
+// NewAggregator returns a ledger that knows nothing.
+func NewAggregator() *Aggregator { return &Aggregator{sources: make(map[string]Evidence)} }
 
 // Merge takes in what a source says it has seen since it began, in any order and however
 // often.
-func (l *Ledger) Merge(source string, e Evidence) {
-	known := l.sources[source]
+func (a *Aggregator) Merge(source string, e Evidence) {
+	known := a.sources[source]
 	if known == nil {
-		l.sources[source] = maps.Clone(e)
+		a.sources[source] = maps.Clone(e)
 		return
 	}
 	for g, c := range e {
-		known.Count(g, func(have *Counts) { have.max(c) })
+		known.Update(g, func(have *Counts) { have.max(c) })
 	}
 }
 
 // Sum is the evidence of all sources together.
-func (l *Ledger) Sum() Evidence {
+func (a *Aggregator) Sum() Evidence {
 	sum := make(Evidence)
-	for _, e := range l.sources {
+	for _, e := range a.sources {
 		sum.Add(e)
 	}
 	return sum
--- a/core/rollout/order.go
+++ b/core/rollout/order.go
@@ -11,9 +11,9 @@
 	Duration time.Duration
 }
 
-// Same says whether two orders ask for the same. An operator who writes an order again, as
+// SameTarget says whether two orders ask for the same. An operator who writes an order again, as
 // after the store lost it, does not begin it anew.
-func (o Order) Same(other Order) bool {
+func (o Order) SameTarget(other Order) bool {
 	return o.Service == other.Service && o.Version == other.Version
 }
 
@@ -22,11 +22,11 @@
 
 // Phases, in the order in which they replace one another.
 const (
-	// Trying: a bounded share of the requests goes to the new version.
-	Trying Phase = iota
-	// Moving: a growing share goes there, in the end all, and what runs at the old version
+	// Canary: a bounded share of the requests goes to the new version.
+	Canary Phase = iota
+	// Shifting: a growing share goes there, in the end all, and what runs at the old version
 	// goes on to its end.
-	Moving
+	Shifting
 	// RolledBack: the new version gets nothing any more.
 	RolledBack
 	// Completed: the old version is gone.
--- a/core/rollout/test.go
+++ b/core/rollout/test.go
@@ -16,30 +16,30 @@
 // the odds.
 
 const (
-	// tolerated are the odds of a bad answer, against those of the old version, up to which
+	// toleratedOddsRatio are the odds of a bad answer, against those of the old version, up to which
 	// a version is not bad: its caches are empty, and fewer endpoints share its load.
-	tolerated = 2
-	// slowBuckets above the old version's median a time counts as slow: about two and a half times.
-	slowBuckets = 3
-	// convictAt is the logarithm of the evidence against a version at which it counts as
-	// bad: the chance of an error is below one in e^convictAt for each comparison. With three
+	toleratedOddsRatio = 2
+	// slowBucketOffset above the old version's median a time counts as slow: about two and a half times.
+	slowBucketOffset = 3
+	// badThreshold is the logarithm of the evidence against a version at which it counts as
+	// bad: the chance of an error is below one in e^badThreshold for each comparison. With three
 	// routes and all, four kinds, two tests and nine beginnings that is below one in a thousand.
-	convictAt = 12.6
-	// suspectAt is that from which a step waits for more evidence, while there is time, and
+	badThreshold = 12.6
+	// suspectThreshold is that from which a step waits for more evidence, while there is time, and
 	// doubtAt that at which the version is not trusted once there is none. The answers of all
 	// its endpoints count: rolling a good version back costs a delay, moving to a bad one
 	// harms every caller, and once the old endpoints have stopped nothing brings them back.
-	suspectAt = 2
-	doubtAt   = 6.5
-	// toleratedShare are the odds that are tolerated against those of the old version's own
+	suspectThreshold   = 2
+	untrustedThreshold = 6.5
+	// toleratedOldOddsRatio are the odds that are tolerated against those of the old version's own
 	// answers, which are known less well than which version gave the bad ones. leastOld
 	// answers of the old version are wanted to say how many bad ones are usual.
-	toleratedShare = 3
-	leastOld       = 100
+	toleratedOldOddsRatio = 3
+	minOldAnswers         = 100
 )
 
-// badness are the odds, in multiples of the tolerated ones, that the test looks for.
-var badness = [...]float64{2, 4, 8, 16, 64}
+// testedOddsRatios are the odds, in multiples of the tolerated ones, that the test looks for.
+var testedOddsRatios = [...]float64{2, 4, 8, 16, 64}
 
 // Finding is the strongest evidence against a version.
 type Finding struct {
@@ -51,18 +51,18 @@
 	Strength float64
 	// Bad answers of Total, by the new and the old version.
 	NewBad, NewTotal, OldBad, OldTotal int
-	// Doubt is the logarithm of the strongest evidence if all endpoints count.
-	Doubt float64
+	// TotalStrength is the logarithm of the strongest evidence if all endpoints count.
+	TotalStrength float64
 }
 
 // Bad says whether the version counts as bad.
-func (f Finding) Bad() bool { return f.Strength >= convictAt }
+func (f Finding) Bad() bool { return f.Strength >= badThreshold }
 
 // Suspect says whether the version may turn out as bad.
-func (f Finding) Suspect() bool { return f.Doubt >= suspectAt }
+func (f Finding) Suspect() bool { return f.TotalStrength >= suspectThreshold }
 
 // Untrusted says whether so much speaks against the version that nothing may be moved to it.
-func (f Finding) Untrusted() bool { return f.Doubt >= doubtAt }
+func (f Finding) Untrusted() bool { return f.TotalStrength >= untrustedThreshold }
 
 // Kind is what is compared between versions.
 type Kind int
@@ -73,10 +73,10 @@
 	Failures Kind = iota
 	// Cuts: answers that break off or do not come.
 	Cuts
-	// SlowFirst: times to the first event.
-	SlowFirst
-	// SlowWhole: times to the end of the answer.
-	SlowWhole
+	// SlowFirstEvent: times to the first event.
+	SlowFirstEvent
+	// SlowAnswer: times to the end of the answer.
+	SlowAnswer
 )
 
 var kindNames = [...]string{"failures", "cuts", "slow_first_event", "slow_answer"}
@@ -91,13 +91,13 @@
 
 func (s sample) minus(o sample) sample { return sample{s.bad - o.bad, s.total - o.total} }
 
-// Test returns the strongest evidence against the new version, whose requests go to a number
+// Evaluate returns the strongest evidence against the new version, whose requests go to a number
 // of endpoints. It looks at each route, since a version may be bad on one alone, and at all
 // together, since one that is bad everywhere is found sooner so.
-func Test(e Evidence, endpoints int) Finding {
+func Evaluate(e Evidence, endpoints int) Finding {
 	var worst Finding
-	routes := byRoute(e)
-	for kind := Failures; kind <= SlowWhole; kind++ {
+	routes := groupByRoute(e)
+	for kind := Failures; kind <= SlowAnswer; kind++ {
 		all := newComparison(kind)
 		for name, r := range routes {
 			c := r.compare(kind)
@@ -114,60 +114,60 @@
 
 // stronger is the finding with the stronger evidence, with the greater doubt of both.
 func (f Finding) stronger(other Finding) Finding {
-	doubt := max(f.Doubt, other.Doubt)
+	doubt := max(f.TotalStrength, other.TotalStrength)
 	if other.Strength > f.Strength {
 		f = other
 	}
-	f.Doubt = doubt
+	f.TotalStrength = doubt
 	return f
 }
 
 // routeEvidence is what was seen on one route; fresh is by endpoint.
 type routeEvidence struct {
-	old   Counts
-	fresh map[uint64]Counts
+	old        Counts
+	byEndpoint map[uint64]Counts
 }
 
-func byRoute(e Evidence) map[string]*routeEvidence {
+func groupByRoute(e Evidence) map[string]*routeEvidence {
 	m := make(map[string]*routeEvidence)
 	for g, c := range e {
 		r := m[g.Route]
 		if r == nil {
-			r = &routeEvidence{fresh: make(map[uint64]Counts)}
+			r = &routeEvidence{byEndpoint: make(map[uint64]Counts)}
 			m[g.Route] = r
 		}
 		if g.Endpoint == 0 {
 			r.old = c
 			continue
 		}
-		r.fresh[g.Endpoint] = c
+		r.byEndpoint[g.Endpoint] = c
 	}
 	return m
 }
 
 // comparison is the bad answers of one kind by both versions; fresh is by endpoint.
 type comparison struct {
-	kind  Kind
-	old   sample
-	fresh map[uint64]sample
+	kind       Kind
+	old        sample
+	byEndpoint map[uint64]sample
 }
 
 func newComparison(kind Kind) *comparison {
-	return &comparison{kind: kind, fresh: make(map[uint64]sample)}
+	return &comparison{kind: kind, byEndpoint: make(map[uint64]sample)}
 }
 
 func (c *comparison) add(other *comparison) {
 	c.old = c.old.plus(other.old)
-	for endpoint, s := range other.fresh {
-		c.fresh[endpoint] = c.fresh[endpoint].plus(s)
+	for endpoint, s := range other.byEndpoint {
+		c.byEndpoint[endpoint] = c.byEndpoint[endpoint].plus(s)
 	}
 }
 
 func (r *routeEvidence) compare(kind Kind) *comparison {
-	c, slow := newComparison(kind), r.slowFrom(kind)
+	c, slow := newComparison(kind), r.slowBucket(kind)
 	c.old = kind.sample(&r.old, slow)
-	for endpoint, counts := range r.fresh {
-		c.fresh[endpoint] = kind.sample(&counts, slow)
+	for endpoint, counts := range r.byEndpoint {
+		c.byEndpoint[endpoint] = kind.sample(&counts, slow)
 	}
 	return c
 }
@@ -176,76 +176,76 @@
 // left out, if there are others: a version is bad at each of its endpoints, an endpoint that
 // is sick is sick alone.
 func (c *comparison) finding(route string, endpoints int) Finding {
-	var fresh, sickest sample
-	for _, s := range c.fresh {
-		fresh = fresh.plus(s)
-		if s.bad > sickest.bad {
-			sickest = s
+	var newVersion, worst sample
+	for _, s := range c.byEndpoint {
+		newVersion = newVersion.plus(s)
+		if s.bad > worst.bad {
+			worst = s
 		}
 	}
-	f := Finding{Route: route, Kind: c.kind, NewBad: fresh.bad, NewTotal: fresh.total, OldBad: c.old.bad, OldTotal: c.old.total}
-	f.Doubt = strength(fresh, c.old)
+	f := Finding{Route: route, Kind: c.kind, NewBad: newVersion.bad, NewTotal: newVersion.total, OldBad: c.old.bad, OldTotal: c.old.total}
+	f.TotalStrength = logEvidence(newVersion, c.old)
 	if endpoints > 1 {
-		fresh = fresh.minus(sickest)
+		newVersion = newVersion.minus(worst)
 	}
-	f.Strength = strength(fresh, c.old)
+	f.Strength = logEvidence(newVersion, c.old)
 	return f
 }
 
-// slowFrom is the bucket from which a time counts as slow.
-func (r *routeEvidence) slowFrom(kind Kind) int {
+// slowBucket is the bucket from which a time counts as slow.
+func (r *routeEvidence) slowBucket(kind Kind) int {
 	switch kind {
-	case SlowFirst:
-		return r.old.First.Median() + slowBuckets
-	case SlowWhole:
-		return r.old.Whole.Median() + slowBuckets
+	case SlowFirstEvent:
+		return r.old.FirstEvent.MedianBucket() + slowBucketOffset
+	case SlowAnswer:
+		return r.old.WholeAnswer.MedianBucket() + slowBucketOffset
 	}
 	return 0
 }
 
-func (k Kind) sample(c *Counts, slowFrom int) sample {
+func (k Kind) sample(c *Counts, slowBucket int) sample {
 	switch k {
 	case Cuts:
 		return sample{int(c.Cuts), int(c.Answers)}
-	case SlowFirst:
-		return sample{c.First.From(slowFrom), c.First.Total()}
-	case SlowWhole:
-		return sample{c.Whole.From(slowFrom), c.Whole.Total()}
+	case SlowFirstEvent:
+		return sample{c.FirstEvent.CountFrom(slowBucket), c.FirstEvent.Total()}
+	case SlowAnswer:
+		return sample{c.WholeAnswer.CountFrom(slowBucket), c.WholeAnswer.Total()}
 	}
 	return sample{int(c.Failures), int(c.Answers)}
 }
 
-// strength is the logarithm of the evidence that the new version gives bad answers more often than
+// logEvidence is the logarithm of the evidence that the new version gives bad answers more often than
 // tolerated. Where bad answers are rare what counts is which version gave them. Where the old
 // version gives many, as on a machine that is busy, that alone hides a new one that gives
 // nothing else; so the share of its own answers that are bad is tested, too.
-func strength(fresh, old sample) float64 {
-	if fresh.bad == 0 || fresh.total == 0 || old.total == 0 {
+func logEvidence(newVersion, oldVersion sample) float64 {
+	if newVersion.bad == 0 || newVersion.total == 0 || oldVersion.total == 0 {
 		return 0
 	}
-	which := ratio(tolerated*float64(fresh.total)/float64(old.total), fresh.bad, old.bad)
-	if old.total < leastOld {
-		return which
+	byVersion := logLikelihoodRatio(toleratedOddsRatio*float64(newVersion.total)/float64(oldVersion.total), newVersion.bad, oldVersion.bad)
+	if oldVersion.total < minOldAnswers {
+		return byVersion
 	}
-	return max(which, ratio(toleratedShare*old.odds(), fresh.bad, fresh.total-fresh.bad))
+	return max(byVersion, logLikelihoodRatio(toleratedOldOddsRatio*oldVersion.odds(), newVersion.bad, newVersion.total-newVersion.bad))
 }
 
 // odds are those of a bad answer, a little above what was seen.
 func (s sample) odds() float64 { return float64(s.bad+1) / float64(s.total-s.bad+1) }
 
-// ratio is the logarithm of the likelihood ratio of hits and misses, averaged over degrees of
+// logLikelihoodRatio is the logarithm of the likelihood logLikelihoodRatio of hits and misses, averaged over degrees of
 // badness, against the odds of a hit that are tolerated.
-func ratio(odds float64, hits, misses int) float64 {
+func logLikelihoodRatio(odds float64, hits, misses int) float64 {
 	null := odds / (1 + odds)
-	most, sum := math.Inf(-1), 0.0
-	var logs [len(badness)]float64
-	for i, b := range badness {
+	maxLog, sum := math.Inf(-1), 0.0
+	var logs [len(testedOddsRatios)]float64
+	for i, b := range testedOddsRatios {
 		p := b * odds / (1 + b*odds)
 		logs[i] = float64(hits)*math.Log(p/null) + float64(misses)*math.Log((1-p)/(1-null))
-		most = max(most, logs[i])
+		maxLog = max(maxLog, logs[i])
 	}
 	for _, l := range logs {
-		sum += math.Exp(l - most)
+		sum += math.Exp(l - maxLog)
 	}
-	return most + math.Log(sum/float64(len(badness)))
+	return maxLog + math.Log(sum/float64(len(testedOddsRatios)))
 }
--- a/core/rollout/watch.go
+++ b/core/rollout/watch.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// beginnings is how many times in an order's time a comparison begins anew. A version that
+// maxBaselines is how many times in an order's time a comparison begins anew. A version that
 // turns bad late would otherwise be hidden for long behind what was seen while it was good.
-const beginnings = 8
+const maxBaselines = 8
 
-// Watch tests the evidence of one roll-out as it grows.
-type Watch struct {
+// Monitor tests the evidence of one roll-out as it grows.
+type Monitor struct {
 	order Order
-	// marks are the evidence at the beginnings of comparisons.
-	marks []Evidence
+	// baselines are the evidence at the beginnings of comparisons.
+	baselines []Evidence
 }
 
-// NewWatch returns a watch of an order.
-func NewWatch(o Order) *Watch { return &Watch{order: o, marks: []Evidence{nil}} }
+// NewMonitor returns a watch of an order.
+func NewMonitor(o Order) *Monitor { return &Monitor{order: o, baselines: []Evidence{nil}} }
 
-// Test returns the strongest evidence against the new version, whose requests go to a number
+// Evaluate returns the strongest evidence against the new version, whose requests go to a number
 // of endpoints, in a phase and at an age of the order.
-func (w *Watch) Test(phase Phase, age time.Duration, e Evidence, endpoints int) Finding {
-	if len(w.marks) <= beginnings && age >= w.order.Duration*time.Duration(len(w.marks))/beginnings {
-		w.marks = append(w.marks, e)
+func (m *Monitor) Evaluate(phase Phase, age time.Duration, e Evidence, endpoints int) Finding {
+	if len(m.baselines) <= maxBaselines && age >= m.order.Duration*time.Duration(len(m.baselines))/maxBaselines {
+		m.baselines = append(m.baselines, e)
 	}
 	var worst Finding
-	for _, mark := range w.marks {
-		worst = worst.stronger(Test(e.Since(mark, phase == Moving), endpoints))
+	for _, baseline := range m.baselines {
+		worst = worst.stronger(Evaluate(e.Since(baseline, phase == Shifting), endpoints))
 	}
 	return worst
 }
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -237,9 +237,9 @@
 		return nil
 	}
 	c.d.log.Info().Str("request", c.call.ID).Str("organisation", c.org.Name).Float64("units", c.units).
-		Float64("balance", v.Balance).Dur("wait", v.Wait).Msg("over_allowance")
+		Float64("balance", v.Balance).Dur("wait", v.RetryAfter).Msg("over_allowance")
 	c.units = 0
-	return &refusal{http.StatusTooManyRequests, "over_allowance", v.Wait}
+	return &refusal{http.StatusTooManyRequests, "over_allowance", v.RetryAfter}
 }
 
 // job describes the request to the scheduler.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -290,7 +290,7 @@
 // openTo opens a connection to an endpoint and keeps it for the next request.
 func (d *Daemon) openTo(p dispatch.Probe) error {
 	d.count("probes")
-	return d.pool.Open(p.Key, p.Address)
+	return d.pool.Preconnect(p.Key, p.Address)
 }
 
 // countImpossible counts quantities that callers or other VMs told and that cannot be.
@@ -318,7 +318,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			d.pool.Sweep()
+			d.pool.CloseExpired()
 			d.suspects.expire()
 			d.notices.forget()
 		}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -201,7 +201,7 @@
 	req := &upstream.Request{
 		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: c.headers(ep, lastID),
 		Body: c.body, HasBody: c.r.ContentLength != 0 || c.r.Header.Get("Content-Length") != "",
-		Mine: func(resp *http.Response) bool { return c.mine(resp) },
+		Matches: func(resp *http.Response) bool { return c.mine(resp) },
 	}
 	visit, ok := c.d.rollouts.begin(c, ep, c.trial)
 	if !ok {
@@ -274,7 +274,7 @@
 }
 
 // pass judges an answer and passes it on if it is one.
-func (c *caller) pass(ctx context.Context, handle uint64, ans *upstream.Answer, reply Reply, s *stream, watch *stall) attempt {
+func (c *caller) pass(ctx context.Context, handle uint64, ans *upstream.Response, reply Reply, s *stream, watch *stall) attempt {
 	if reply.NotRun {
 		_, _ = io.Copy(io.Discard, io.LimitReader(ans, maxAnswer))
 		if reply.Replaced {
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -133,13 +133,13 @@
 	peers := make([]cell.Peer, 0, len(p.addrs))
 	for a, pe := range p.addrs {
 		peers = append(peers, cell.Peer{
-			Address: a, Near: pe.domain == p.d.set.Vm.FailureDomain, Places: pe.placing(now),
-			Cell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
+			Address: a, SameDomain: pe.domain == p.d.set.Vm.FailureDomain, IsPlacer: pe.placing(now),
+			SameCell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
 	// Each VM begins elsewhere in the list, or one VM would hear all others at once
 	// and then none for a while.
-	return cell.RecipientsOf(peers, i+p.offset, placer == nil)
+	return cell.ChooseRecipients(peers, i+p.offset, placer == nil)
 }
 
 // turnRange bounds offsets; more than the turns of a list of any length in use.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -48,7 +48,7 @@
 	offset uint64
 	// surplus decides, in the goroutine that tells notes, when this VM steps down as a
 	// placer; steppedDown says that it has.
-	surplus     cell.Surplus
+	surplus     cell.SurplusDetector
 	steppedDown atomic.Bool
 	// eligible says that this process has heard enough to place for others.
 	eligible atomic.Bool
@@ -59,7 +59,7 @@
 	// addrs are all VMs ever heard of, by address, without this one.
 	addrs map[string]*peer
 	// known counts those of the own region and failure domain, and this VM.
-	known cell.Fleet
+	known cell.FleetSize
 	// complete says that the whole list of VMs was read, from the store or from a VM
 	// that had read it. Before that, shared amounts would be divided by too few.
 	complete bool
@@ -147,7 +147,7 @@
 
 func newPeers(d *Daemon) *peers {
 	return &peers{
-		d: d, inc: uint64(time.Now().UnixNano()), addrs: make(map[string]*peer), known: cell.Fleet{Region: 1, Domain: 1}, offset: turnOffset(d.set.Listen.Peers),
+		d: d, inc: uint64(time.Now().UnixNano()), addrs: make(map[string]*peer), known: cell.FleetSize{Region: 1, Domain: 1}, offset: turnOffset(d.set.Listen.Peers),
 		relays: make(chan relay, relayBuffer), hints: make(chan configHint, hintBuffer),
 		client: &http.Client{Transport: &http.Transport{DialContext: d.opts.Dial, DisableKeepAlives: true}},
 	}
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -56,7 +56,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	chosen := cell.Placer(self, p.known, willing, current)
+	chosen := cell.ChoosePlacer(self, p.known, willing, current)
 	if chosen == "" || chosen == self.Address {
 		return self.Address, nil
 	}
@@ -70,7 +70,7 @@
 	fleet := p.fleet()
 	p.becomeEligible(now, fleet)
 	self, willing := p.willing(now)
-	down := p.surplus.StepsDown(now, cell.IsSurplus(self, fleet, willing))
+	down := p.surplus.ShouldStepDown(now, cell.IsSurplus(self, fleet, willing))
 	if down && !p.steppedDown.Load() {
 		p.d.count("placer_surplus")
 		p.d.log.Info().Int("members", self.Members).Int("willing", len(willing)).Msg("placer_steps_down")
@@ -83,7 +83,7 @@
 // anything, and all placed for themselves for two seconds, several at each free slot. All
 // VMs of the failure domain hear of it at once, or they would choose from those whose turn
 // it was.
-func (p *peers) becomeEligible(now time.Duration, fleet cell.Fleet) {
+func (p *peers) becomeEligible(now time.Duration, fleet cell.FleetSize) {
 	if p.eligible.Load() || !p.d.ready() || now < willingAlone || now < willingAfter && p.cellPlaced(now, fleet) {
 		return
 	}
@@ -93,16 +93,16 @@
 
 // cellPlaced says whether another VM of those that may place for this one does so for
 // others already.
-func (p *peers) cellPlaced(now time.Duration, fleet cell.Fleet) bool {
+func (p *peers) cellPlaced(now time.Duration, fleet cell.FleetSize) bool {
 	self, willing := p.willing(now)
-	return cell.Placed(self, fleet, willing)
+	return cell.HasActivePlacer(self, fleet, willing)
 }
 
 // offers says whether this VM places for others that do not ask it yet.
 func (p *peers) offers() bool { return p.d.remoteJobs.willing() && !p.steppedDown.Load() }
 
 // fleet is how many VMs are known, this one included.
-func (p *peers) fleet() cell.Fleet {
+func (p *peers) fleet() cell.FleetSize {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.known
@@ -123,7 +123,7 @@
 func (p *peers) willing(now time.Duration) (self cell.VM, willing []cell.VM) {
 	self = cell.VM{
 		Address: p.d.set.Listen.Peers, Domain: p.d.set.Vm.FailureDomain, Region: p.d.set.Region(p.d.set.Vm.FailureDomain),
-		Share: p.d.set.Limits.CpuShare, Members: len(p.d.remoteJobs.members()),
+		CPUShare: p.d.set.Limits.CpuShare, Members: len(p.d.remoteJobs.members()),
 	}
 	if p.offers() {
 		willing = append(willing, self)
@@ -132,7 +132,7 @@
 	defer p.mu.Unlock()
 	for a, pe := range p.addrs {
 		if pe.places && pe.heardLately(now) && now >= pe.avoidUntil && !pe.silent {
-			willing = append(willing, cell.VM{Address: a, Domain: pe.domain, Region: p.d.set.Region(pe.domain), Share: pe.share, Members: pe.members})
+			willing = append(willing, cell.VM{Address: a, Domain: pe.domain, Region: p.d.set.Region(pe.domain), CPUShare: pe.share, Members: pe.members})
 		}
 	}
 	return self, willing
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -36,16 +36,16 @@
 func (r *retries) request(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).Request(r.d.now())
+	r.budget(service).RecordRequest(r.d.now())
 }
 
 // pay takes one repeat off the service's budget.
-func (r *retries) pay(service string) (budget.Repeat, bool) {
+func (r *retries) pay(service string) (budget.Permit, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.budget(service)
-	b.SetFixed(r.fixed())
-	p, ok := b.Pay(r.d.now())
+	b.SetFixedRetries(r.fixed())
+	p, ok := b.Acquire(r.d.now())
 	if !ok {
 		r.d.count("repeats_refused." + service)
 		return p, false
@@ -55,25 +55,25 @@
 }
 
 // renew says whether a repeat that was paid may leave now.
-func (r *retries) renew(service string, p budget.Repeat) (budget.Repeat, bool) {
+func (r *retries) renew(service string, p budget.Permit) (budget.Permit, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget(service).Renew(r.d.now(), p)
 }
 
 // sent notes that a repeat left for an endpoint.
-func (r *retries) sent(service string, p budget.Repeat) {
+func (r *retries) sent(service string, p budget.Permit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).Sent(r.d.now(), p)
+	r.budget(service).RecordSent(r.d.now(), p)
 	r.d.count("repeats_sent." + service)
 }
 
 // giveBack gives back a repeat that did not leave.
-func (r *retries) giveBack(service string, p budget.Repeat) {
+func (r *retries) giveBack(service string, p budget.Permit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).GiveBack(r.d.now(), p)
+	r.budget(service).Refund(r.d.now(), p)
 }
 
 // fixed is how many repeats of the fixed number this process may send in a window. One that follows
@@ -82,7 +82,7 @@
 	if !r.listed.Load() || !r.apart.Load() && r.d.now() < r.d.set.RetryWindow {
 		return 0
 	}
-	return budget.Fixed(r.d.set.Bounds.RetrySlack, r.d.peers.fleetSize())
+	return budget.FixedRetries(r.d.set.Bounds.RetrySlack, r.d.peers.fleetSize())
 }
 
 func (r *retries) budget(service string) *budget.Budget {
@@ -99,7 +99,7 @@
 	retries *retries
 	service string
 	paid    bool
-	repeat  budget.Repeat
+	repeat  budget.Permit
 }
 
 // pay pays for the next time, unless that is done.
@@ -111,7 +111,7 @@
 }
 
 // take takes over what was paid elsewhere.
-func (r *repeats) take(p budget.Repeat) {
+func (r *repeats) take(p budget.Permit) {
 	if r.paid {
 		r.retries.giveBack(r.service, p)
 		return
@@ -171,7 +171,7 @@
 			continue
 		}
 		r.told[service] = c
-		r.d.log.Info().Str("service", service).Float64("held", b.Held(r.d.now())).Int("requests", c.Requests).Int("paid", c.Paid).
-			Int("refused", c.Refused).Int("sent", c.Sent).Int("given_back", c.GivenBack).Int("expired", c.Expired).Msg("retry_budget")
+		r.d.log.Info().Str("service", service).Float64("held", b.Balance(r.d.now())).Int("requests", c.Requests).Int("paid", c.Acquired).
+			Int("refused", c.Refused).Int("sent", c.Sent).Int("given_back", c.Refunded).Int("expired", c.Expired).Msg("retry_budget")
 	}
 }
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -18,8 +18,8 @@
 		v.count(func(c *rollout.Counts) {
 			c.Answers++
 			if !v.cold {
-				c.First.Observe(v.first)
-				c.Whole.Observe(took)
+				c.FirstEvent.Observe(v.first)
+				c.WholeAnswer.Observe(took)
 			}
 		})
 	case dispatch.Left:
@@ -47,7 +47,7 @@
 	}
 	v.count(func(c *rollout.Counts) {
 		c.Answers++
-		c.First.Observe(first)
+		c.FirstEvent.Observe(first)
 	})
 }
 
@@ -58,7 +58,7 @@
 	})
 }
 
-func (v *visit) count(add func(*rollout.Counts)) { v.m.evidence.Count(v.group, add) }
+func (v *visit) count(add func(*rollout.Counts)) { v.m.evidence.Update(v.group, add) }
 
 // cutOff counts a request that was cut off a while ago, unless its endpoint has ended or leaves.
 func (v *visit) cutOff() {
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -29,8 +29,8 @@
 // judge is what a VM knows that judges for its failure domain.
 type judge struct {
 	// vms is what the processes of the failure domain saw, domains what failure domains did.
-	vms, domains *rollout.Ledger
-	watch        *rollout.Watch
+	vms, domains *rollout.Aggregator
+	watch        *rollout.Monitor
 	// drainedVMs and drainedDomains are those where nothing runs at the old version.
 	drainedVMs, drainedDomains drained
 	// suspected and next are those that were last logged.
@@ -58,7 +58,7 @@
 
 func newJudge(o rollout.Order) *judge {
 	return &judge{
-		vms: rollout.NewLedger(), domains: rollout.NewLedger(), watch: rollout.NewWatch(o),
+		vms: rollout.NewAggregator(), domains: rollout.NewAggregator(), watch: rollout.NewMonitor(o),
 		drainedVMs: make(drained), drainedDomains: make(drained),
 	}
 }
@@ -236,15 +236,15 @@
 	}
 	sum := m.judge.domains.Sum()
 	age := now - m.since
-	k := rollout.Known{
-		Age: age, Finding: m.judge.watch.Test(m.phase, age, sum, len(m.tried)), Longest: sum.Longest(),
+	k := rollout.State{
+		Age: age, Finding: m.judge.watch.Evaluate(m.phase, age, sum, len(m.tried)), LongestAnswer: sum.LongestAnswer(),
 		NewListed: m.listedNew, OldListed: m.listedOld, Held: slices.Contains(r.held, m.order.Service),
 	}
 	k.Answers, k.Failures, k.OldAnswers = sum.Totals()
-	k.Drained = m.phase == rollout.Moving && r.allDrained(m, now, pause, judges)
+	k.Drained = m.phase == rollout.Shifting && r.allDrained(m, now, pause, judges)
 	next := m.order.Decide(m.phase, k)
 	r.logFinding(m, k, next)
-	if next == rollout.RolledBack || lead && next == rollout.Moving {
+	if next == rollout.RolledBack || lead && next == rollout.Shifting {
 		r.advance(m, next, learnedSeen)
 	}
 	if lead && next == rollout.Completed {
@@ -253,7 +253,7 @@
 }
 
 // logFinding says what speaks against a version when it becomes suspect, and at the verdict.
-func (r *rollouts) logFinding(m *movement, k rollout.Known, next rollout.Phase) {
+func (r *rollouts) logFinding(m *movement, k rollout.State, next rollout.Phase) {
 	suspect := k.Finding.Suspect()
 	logged := next == m.judge.next && (!suspect || m.judge.suspected)
 	m.judge.suspected, m.judge.next = suspect, next
@@ -264,7 +264,7 @@
 	r.d.log.Info().Str("service", m.order.Service).Str("version", m.order.Version).Stringer("phase", m.phase).Stringer("next", next).
 		Dur("age", k.Age).Str("route", f.Route).Stringer("kind", f.Kind).Str("strength", strconv.FormatFloat(f.Strength, 'f', 1, 64)).
 		Int("new_bad", f.NewBad).Int("new_total", f.NewTotal).Int("old_bad", f.OldBad).Int("old_total", f.OldTotal).
-		Str("doubt", strconv.FormatFloat(f.Doubt, 'f', 1, 64)).Int("answers", k.Answers).Int("failures", k.Failures).Int("old_answers", k.OldAnswers).Int("listed_new", k.NewListed).Int("listed_old", k.OldListed).Bool("drained", k.Drained).Msg("rollout_judged")
+		Str("doubt", strconv.FormatFloat(f.TotalStrength, 'f', 1, 64)).Int("answers", k.Answers).Int("failures", k.Failures).Int("old_answers", k.OldAnswers).Int("listed_new", k.NewListed).Int("listed_old", k.OldListed).Bool("drained", k.Drained).Msg("rollout_judged")
 }
 
 // takeVM takes in what a process of the own failure domain saw. source names the process,
--- a/entry/rollout_notes.go
+++ b/entry/rollout_notes.go
@@ -116,7 +116,7 @@
 	report := &schema.RolloutReport{Service: o.Service, Version: o.Version}
 	for g, c := range e {
 		report.Counts = append(report.Counts, &schema.RolloutCounts{
-			Route: g.Route, Endpoint: uint32(g.Endpoint), Answers: c.Answers, Failures: c.Failures, Cuts: c.Cuts, First: trimmed(c.First), Whole: trimmed(c.Whole),
+			Route: g.Route, Endpoint: uint32(g.Endpoint), Answers: c.Answers, Failures: c.Failures, Cuts: c.Cuts, First: trimmed(c.FirstEvent), Whole: trimmed(c.WholeAnswer),
 		})
 	}
 	return report
@@ -135,8 +135,8 @@
 	e := make(rollout.Evidence)
 	for _, t := range report.GetCounts() {
 		c := rollout.Counts{Answers: t.Answers, Failures: t.Failures, Cuts: t.Cuts}
-		copy(c.First[:], t.First)
-		copy(c.Whole[:], t.Whole)
+		copy(c.FirstEvent[:], t.First)
+		copy(c.WholeAnswer[:], t.Whole)
 		e[rollout.Group{Route: t.Route, Endpoint: uint64(t.Endpoint)}] = c
 	}
 	return e
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -17,8 +17,8 @@
 
 // record has the store written if it does not say how far a move is. The lock is held.
 func (r *rollouts) record(m *movement, phase rollout.Phase) {
-	if phase == rollout.Moving {
-		phase = rollout.Trying
+	if phase == rollout.Shifting {
+		phase = rollout.Canary
 	}
 	if m.writing && m.wanted >= phase {
 		return
@@ -109,7 +109,7 @@
 	switch {
 	case m.phase.Final():
 		status.Phase = m.phase
-	case m.phase == rollout.Moving && m.wanted == rollout.Completed:
+	case m.phase == rollout.Shifting && m.wanted == rollout.Completed:
 		// Nobody has found the version bad meanwhile, as far as is known here.
 		status.Phase = rollout.Completed
 	}
--- a/entry/rollout_versions.go
+++ b/entry/rollout_versions.go
@@ -71,8 +71,8 @@
 		keys = append(keys, e.Key())
 	}
 	m.listedOld, m.listedNew = len(old), len(fresh)
-	m.slots = rollout.Slots(keys)
-	m.tried = m.order.TrialEndpoints(keys, len(old), rollout.TrialShare(bound))
+	m.slots = rollout.AssignSlots(keys)
+	m.tried = m.order.CanaryEndpoints(keys, len(old), rollout.CanaryShare(bound))
 	_, whole := m.share(now, bound)
 	switch {
 	case m.phase == rollout.Completed && now-m.finalSince < oldGoneAfter && len(fresh) > 0:
@@ -83,7 +83,7 @@
 		return old
 	case len(old) == 0, whole && len(fresh) > 0:
 		return fresh
-	case m.phase == rollout.Moving:
+	case m.phase == rollout.Shifting:
 		return append(old, onTrial(fresh)...)
 	}
 	return append(old, onTrial(slices.DeleteFunc(fresh, func(e *members.Endpoint) bool { return !m.tried[e.Key()] }))...)
@@ -102,11 +102,11 @@
 
 // share is the share of the requests that go to the new version; whole says that all do.
 func (m *movement) share(now time.Duration, bound float64) (share float64, whole bool) {
-	share = rollout.TrialShare(bound)
-	if m.phase != rollout.Moving {
+	share = rollout.CanaryShare(bound)
+	if m.phase != rollout.Shifting {
 		return share, false
 	}
-	ramp := m.order.Ramp()
+	ramp := m.order.RampDuration()
 	moved := now - m.movingSince
 	if moved >= ramp {
 		return 1, true
@@ -122,7 +122,7 @@
 		return !moved || m.listedNew == 0
 	}
 	switch m.phase {
-	case rollout.Completed, rollout.Moving:
+	case rollout.Completed, rollout.Shifting:
 		// While requests move the VM that places them says which: it may be some ms ahead.
 		return true
 	case rollout.RolledBack:
@@ -137,7 +137,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range r.byService {
-		if m.phase == rollout.Moving && now-m.movingSince < m.order.Ramp()+resyncMargin ||
+		if m.phase == rollout.Shifting && now-m.movingSince < m.order.RampDuration()+resyncMargin ||
 			m.phase == rollout.Completed && now-m.finalSince < oldGoneAfter+resyncMargin {
 			return true
 		}
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -129,7 +129,7 @@
 	changed := false
 	m := r.byService[o.Service]
 	switch {
-	case m != nil && m.order.Same(o):
+	case m != nil && m.order.SameTarget(o):
 		if m.at.Before(at) {
 			m.at = at
 		}
@@ -142,7 +142,7 @@
 		before := m
 		m = &movement{order: o, at: at, since: since, evidence: make(rollout.Evidence), known: r.statusesRead}
 		if r.isNew(since) {
-			m.gate = rollout.NewGate(rollout.Grant(r.d.set.Bounds.ExposureSlack, r.d.peers.fleetSize()))
+			m.gate = rollout.NewGate(rollout.InitialGrant(r.d.set.Bounds.ExposureSlack, r.d.peers.fleetSize()))
 		}
 		if before != nil {
 			m.superseded = append(before.superseded, before.order.Version)
@@ -199,7 +199,7 @@
 	r.d.count("rollouts." + next.String())
 	m.phase = next
 	switch {
-	case next == rollout.Moving:
+	case next == rollout.Shifting:
 		m.movingSince = r.d.now()
 	case next == rollout.Completed && !m.known:
 		// Done before this process knew of it: other versions may have come since.
@@ -230,7 +230,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[service]
-	return m != nil && m.known && !m.phase.Final() && m.gate.Take()
+	return m != nil && m.known && !m.phase.Final() && m.gate.TryTake()
 }
 
 // giveBack says that a request that was to try the new version did not.
@@ -238,7 +238,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m := r.byService[service]; m != nil {
-		m.gate.GiveBack()
+		m.gate.Refund()
 	}
 }
 
@@ -293,7 +293,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[service]
-	return m != nil && m.phase == rollout.Moving
+	return m != nil && m.phase == rollout.Shifting
 }
 
 // event notes that the endpoint began to answer.
@@ -319,7 +319,7 @@
 	}
 	if !again {
 		share, _ := v.m.share(v.r.d.now(), v.r.d.set.Bounds.ExposureShare)
-		v.m.gate.Sent(share)
+		v.m.gate.RecordSent(share)
 	}
 	v.observe(a)
 }
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -54,15 +54,15 @@
 		{"tried by a few requests", func(m *movement) {}, both, map[string]int{"v1": 20, "v2 on trial": 2}},
 		{"not known how far: the old one", func(m *movement) { m.known = false }, both, map[string]int{"v1": 20}},
 		{"not known how far, and no old one: served", func(m *movement) { m.known = false }, both[20:], map[string]int{"v2": 20}},
-		{"moving", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 on trial": 20}},
-		{"moved", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now-5*time.Second }, both, map[string]int{"v2": 20}},
-		{"moved, but the new one is gone", func(m *movement) { m.phase, m.movingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
+		{"moving", func(m *movement) { m.phase, m.movingSince = rollout.Shifting, now }, both, map[string]int{"v1": 20, "v2 on trial": 20}},
+		{"moved", func(m *movement) { m.phase, m.movingSince = rollout.Shifting, now-5*time.Second }, both, map[string]int{"v2": 20}},
+		{"moved, but the new one is gone", func(m *movement) { m.phase, m.movingSince = rollout.Shifting, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
 		{"rolled back", func(m *movement) { m.phase = rollout.RolledBack }, both, map[string]int{"v1": 20}},
 		{"completed a moment ago", func(m *movement) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
 		{"completed long ago: versions of releases are used", func(m *movement) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := testMovement(rollout.Trying)
+			m := testMovement(rollout.Canary)
 			c.m(m)
 			is.New(t).Equal(versionsOf(m.usable(now, c.list, testBound)), c.want)
 		})
@@ -77,10 +77,10 @@
 func TestPlacerIsAheadWhileRequestsMove(t *testing.T) {
 	is := is.New(t)
 	ep := versioned("v2", 1)[0]
-	m := testMovement(rollout.Moving)
+	m := testMovement(rollout.Shifting)
 	m.listedOld, m.listedNew = 1, 1
 	is.True(m.admits(0, ep, false, testBound)) // the first moment of the move
-	m.phase = rollout.Trying
+	m.phase = rollout.Canary
 	is.True(!m.admits(0, ep, false, testBound))
 	is.True(m.admits(0, ep, true, testBound))
 	m.phase = rollout.RolledBack
@@ -100,7 +100,7 @@
 	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 5}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
 	r.take(rollout.Order{Service: "s", Version: "v3", Duration: time.Second}, Position{Offset: 7}, 0, nil)
-	is.Equal(r.byService["s"].phase, rollout.Trying)
+	is.Equal(r.byService["s"].phase, rollout.Canary)
 	r.take(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 6}, 0, nil)
 	is.Equal(r.byService["s"].order.Version, "v3")
 }
@@ -137,14 +137,14 @@
 	for i := range keys {
 		keys[i] = fmt.Sprint("e", i)
 	}
-	slots := rollout.Slots(keys)
+	slots := rollout.AssignSlots(keys)
 	for _, route := range []string{"r-6q5rmmv", "r-tdhbjph", "r-a", "r-b"} {
 		for _, key := range append(keys, "old") {
-			e.Count(rollout.Group{Route: route, Endpoint: slots[key]}, func(c *rollout.Counts) {
+			e.Update(rollout.Group{Route: route, Endpoint: slots[key]}, func(c *rollout.Counts) {
 				c.Answers += 100
 				for ms := range 4000 {
-					c.Whole.Observe(time.Duration(ms) * time.Millisecond)
-					c.First.Observe(time.Duration(ms/4) * time.Millisecond)
+					c.WholeAnswer.Observe(time.Duration(ms) * time.Millisecond)
+					c.FirstEvent.Observe(time.Duration(ms/4) * time.Millisecond)
 				}
 			})
 		}
@@ -162,7 +162,7 @@
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
 	own := d.set.Vm.FailureDomain
 	r := d.rollouts
-	m := testMovement(rollout.Moving)
+	m := testMovement(rollout.Shifting)
 	m.judge = newJudge(m.order)
 	const pause = time.Second
 	drained := func(now time.Duration, domains ...string) bool {
--- a/entry/sharing.go
+++ b/entry/sharing.go
@@ -19,7 +19,7 @@
 	set *settings.Entry
 
 	mu     sync.Mutex
-	ledger *allowance.Ledger
+	ledger *allowance.Limiter
 	// vms are all VMs, empty while they are not known; keepers are those that keep
 	// an organisation's allowance.
 	vms     []allowance.VM
@@ -42,19 +42,19 @@
 func (s *sharing) setTable(t *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	terms := make([]allowance.Terms, 0, len(t.Document.Organisations))
+	terms := make([]allowance.Limit, 0, len(t.Document.Organisations))
 	s.reserves = reserves(t.Document.Routes)
 	for _, o := range t.Document.Organisations {
-		terms = append(terms, allowance.Terms{Organisation: o.Name, Rate: o.Rate, Burst: o.Burst})
+		terms = append(terms, allowance.Limit{Organisation: o.Name, Rate: o.Rate, Burst: o.Burst})
 	}
-	s.ledger.SetTerms(s.now(), terms)
+	s.ledger.SetLimits(s.now(), terms)
 }
 
 // restarted takes what is kept for processes that start again.
 func (s *sharing) restarted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Restarted(s.now())
+	s.ledger.AddRestartGrant(s.now())
 }
 
 // setVMs takes in all VMs of the deployment, this one included.
@@ -66,7 +66,7 @@
 	}
 	s.vms = vms
 	s.keepers = make(map[string][]allowance.VM)
-	s.ledger.SetParts(s.now(), s.part)
+	s.ledger.SetShares(s.now(), s.part)
 }
 
 // keepersOf are the VMs that keep an organisation's allowance.
@@ -79,7 +79,7 @@
 func (s *sharing) keepersLocked(organisation string) []allowance.VM {
 	k, ok := s.keepers[organisation]
 	if !ok {
-		k = allowance.Keepers(organisation, s.vms)
+		k = allowance.Holders(organisation, s.vms)
 		s.keepers[organisation] = k
 	}
 	return k
@@ -104,17 +104,17 @@
 
 // spend takes an amount off the organisation's allowance. If this VM has too
 // little, it asks others and waits for their answers a moment.
-func (s *sharing) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.Verdict {
+func (s *sharing) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.SpendResult {
 	s.mu.Lock()
 	v := s.ledger.Spend(s.now(), r)
 	if v.OK {
 		s.mu.Unlock()
 		return v
 	}
-	s.waiting[r.Organisation] += r.Units + v.Lacking
-	held := r.Units + v.Lacking
+	s.waiting[r.Organisation] += r.Units + v.Shortfall
+	held := r.Units + v.Shortfall
 	s.mu.Unlock()
-	want := allowance.Request{Amount: allowance.Amount{Organisation: r.Organisation, Units: v.Lacking}, Reserve: r.Reserve}
+	want := allowance.Request{Amount: allowance.Amount{Organisation: r.Organisation, Units: v.Shortfall}, Reserve: r.Reserve}
 	ask(want, false)
 	timeout, more := time.NewTimer(grantWait), time.NewTimer(askMore)
 	defer timeout.Stop()
@@ -126,7 +126,7 @@
 		select {
 		case <-arrived:
 		case <-more.C:
-			want.Units = v.Lacking
+			want.Units = v.Shortfall
 			ask(want, true)
 		case <-timeout.C:
 			done = true
@@ -148,14 +148,14 @@
 func (s *sharing) give(want allowance.Request) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Give(s.now(), want)
+	return s.ledger.Grant(s.now(), want)
 }
 
 // receive takes in what another VM gave, and returns what goes back to it.
 func (s *sharing) receive(got allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	back = s.ledger.Receive(s.now(), got, s.waiting[got.Organisation])
+	back = s.ledger.Credit(s.now(), got, s.waiting[got.Organisation])
 	close(s.arrived)
 	s.arrived = make(chan struct{})
 	return back
@@ -194,5 +194,5 @@
 func (s *sharing) refund(a allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Receive(s.now(), a, 0)
+	return s.ledger.Credit(s.now(), a, 0)
 }
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -31,7 +31,7 @@
 	silent bool
 	// ended says that the attempt is over, repeat is what was paid as it fell silent.
 	ended  bool
-	repeat budget.Repeat
+	repeat budget.Permit
 }
 
 // watch starts to watch an attempt.
@@ -63,7 +63,7 @@
 
 // fallSilent notes that the endpoint fell silent and that a repeat was paid, unless the attempt is
 // over.
-func (s *stall) fallSilent(repeat budget.Repeat) bool {
+func (s *stall) fallSilent(repeat budget.Permit) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -42,7 +42,7 @@
 const readSize = 4 << 10
 
 // pass passes the events of one endpoint's answer on.
-func (s *stream) pass(ctx context.Context, handle uint64, ans *upstream.Answer, watch *stall) attempt {
+func (s *stream) pass(ctx context.Context, handle uint64, ans *upstream.Response, watch *stall) attempt {
 	s.split.Reset()
 	buf := make([]byte, readSize)
 	for {
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -143,7 +143,7 @@
 
 // succeeded says that an endpoint gave a request its whole answer. Of one that ends with its
 // connection nobody can say that it is whole.
-func (s *suspects) succeeded(d suspect.Digest, ans *upstream.Answer) {
+func (s *suspects) succeeded(d suspect.Digest, ans *upstream.Response) {
 	if ans.Unframed() {
 		return
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -23,21 +23,21 @@
 	// a region and up to 100 between those that are far apart; an opening packet that
 	// is dropped is repeated after a second, by when another endpoint has answered.
 	dialTimeout = 200 * time.Millisecond
-	// defaultKeep is how long a connection stays idle where the endpoint says
+	// defaultKeepAlive is how long a connection stays idle where the endpoint says
 	// nothing.
-	defaultKeep = 4 * time.Second
-	// keepMargin is left of the time that the endpoint says, so that a request
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is left of the time that the endpoint says, so that a request
 	// does not cross the endpoint's close.
-	keepMargin = 1200 * time.Millisecond
-	// maxStale bounds the answers to earlier requests that are passed over on one
+	keepAliveMargin = 1200 * time.Millisecond
+	// maxStaleResponses bounds the answers to earlier requests that are passed over on one
 	// connection.
-	maxStale = 3
+	maxStaleResponses = 3
 	// maxStaleBytes bounds the body of such an answer.
 	maxStaleBytes = 1 << 20
 	readBuffer    = 4 << 10
-	// asideBody is the size from which a body is written while the answer is
+	// asyncWriteSize is the size from which a body is written while the answer is
 	// awaited, since an endpoint may answer before it has read it all.
-	asideBody = 32 << 10
+	asyncWriteSize = 32 << 10
 )
 
 // Stage says how far a request came before it failed.
@@ -66,20 +66,20 @@
 // Unwrap returns the cause.
 func (e *ExchangeError) Unwrap() error { return e.Err }
 
-// StaleAnswersError reports a connection on which only answers to other
+// StaleResponsesError reports a connection on which only answers to other
 // requests came.
-type StaleAnswersError struct{ Count int }
+type StaleResponsesError struct{ Count int }
 
 // Error describes the failure.
-func (e *StaleAnswersError) Error() string {
+func (e *StaleResponsesError) Error() string {
 	return fmt.Sprintf("%d answers to other requests came first", e.Count)
 }
 
-// EarlyAnswerError reports an answer that came before its request was written.
-type EarlyAnswerError struct{}
+// EarlyResponseError reports an answer that came before its request was written.
+type EarlyResponseError struct{}
 
 // Error describes the failure.
-func (e *EarlyAnswerError) Error() string { return "the answer came before the request was written" }
+func (e *EarlyResponseError) Error() string { return "the answer came before the request was written" }
 
 // Request is what is sent, unchanged.
 type Request struct {
@@ -88,29 +88,29 @@
 	Body                 []byte
 	// HasBody says that a body was sent, even an empty one.
 	HasBody bool
-	// Mine says whether an answer belongs to this request.
-	Mine func(*http.Response) bool
+	// Matches says whether an answer belongs to this request.
+	Matches func(*http.Response) bool
 }
 
-// Answer is an endpoint's answer whose body is still to be read.
-type Answer struct {
+// Response is an endpoint's answer whose body is still to be read.
+type Response struct {
 	*http.Response
 	// Reused says that the connection had served other requests before.
-	Reused bool
-	conn   *conn
-	pool   *Pool
-	stop   func() bool
-	whole  bool
-	wrote  chan error
+	Reused    bool
+	conn      *conn
+	pool      *Pool
+	stop      func() bool
+	bodyRead  bool
+	writeDone chan error
 }
 
 type conn struct {
 	net.Conn
-	br       *bufio.Reader
-	key      string
-	idleAt   time.Time
-	keep     time.Duration
-	requests int
+	br        *bufio.Reader
+	key       string
+	idleSince time.Time
+	keepAlive time.Duration
+	requests  int
 }
 
 // Pool keeps connections by endpoint.
@@ -131,13 +131,13 @@
 // Do sends a request to an endpoint and returns its answer. key names the
 // endpoint's incarnation, so that no connection outlives it. fresh asks for a new
 // connection. Cancelling ctx closes the connection, which tells the endpoint.
-func (p *Pool) Do(ctx context.Context, key, address string, r *Request, fresh bool) (*Answer, error) {
-	c, err := p.get(ctx, key, address, fresh)
+func (p *Pool) Do(ctx context.Context, key, address string, r *Request, newConn bool) (*Response, error) {
+	c, err := p.get(ctx, key, address, newConn)
 	if err != nil {
 		return nil, &ExchangeError{Address: address, Stage: NotSent, Err: err}
 	}
 	stop := context.AfterFunc(ctx, c.abandon)
-	a, err := c.exchange(r)
+	resp, err := c.exchange(r)
 	if err != nil {
 		stop()
 		c.abandon()
@@ -146,8 +146,8 @@
 		}
 		return nil, &ExchangeError{Address: address, Stage: Sent, Err: err}
 	}
-	a.pool, a.stop = p, stop
-	return a, nil
+	resp.pool, resp.stop = p, stop
+	return resp, nil
 }
 
 // abandon closes a connection and discards what the endpoint has not been sent yet: on a link that is
@@ -160,8 +160,8 @@
 	_ = c.Close()
 }
 
-// Open opens a connection to an endpoint and keeps it as an idle one.
-func (p *Pool) Open(key, address string) error {
+// Preconnect opens a connection to an endpoint and keeps it as an idle one.
+func (p *Pool) Preconnect(key, address string) error {
 	c, err := p.get(context.Background(), key, address, true)
 	if err != nil {
 		return err
@@ -170,8 +170,8 @@
 	return nil
 }
 
-func (p *Pool) get(ctx context.Context, key, address string, fresh bool) (*conn, error) {
-	if !fresh {
+func (p *Pool) get(ctx context.Context, key, address string, newConn bool) (*conn, error) {
+	if !newConn {
 		if c := p.takeIdle(key); c != nil {
 			return c, nil
 		}
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), key: key, keep: defaultKeep}, nil
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), key: key, keepAlive: defaultKeepAlive}, nil
 }
 
 // takeIdle returns the idle connection used last that is still good.
@@ -197,16 +197,16 @@
 		c := list[len(list)-1]
 		p.idle[key] = list[:len(list)-1]
 		p.mu.Unlock()
-		if time.Since(c.idleAt) < c.keep && c.quiet() {
+		if time.Since(c.idleSince) < c.keepAlive && c.reusable() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// quiet says that nothing came on an idle connection: neither its end nor bytes
+// reusable says that nothing came on an idle connection: neither its end nor bytes
 // of nobody's answer, which the next request would take for its own.
-func (c *conn) quiet() bool {
+func (c *conn) reusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -218,43 +218,43 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noInput := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, rerr := syscall.Read(int(fd), b[:])
-		quiet = rerr == syscall.EAGAIN || rerr == syscall.EINTR
+		noInput = rerr == syscall.EAGAIN || rerr == syscall.EINTR
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noInput
 }
 
-func (c *conn) exchange(r *Request) (*Answer, error) {
+func (c *conn) exchange(r *Request) (*Response, error) {
 	c.requests++
-	a := &Answer{conn: c, Reused: c.requests > 1}
+	response := &Response{conn: c, Reused: c.requests > 1}
 	head := r.head()
-	if len(r.Body) < asideBody {
+	if len(r.Body) < asyncWriteSize {
 		if _, err := c.Write(append(head, r.Body...)); err != nil {
 			return nil, err
 		}
 	} else {
-		a.wrote = make(chan error, 1)
+		response.writeDone = make(chan error, 1)
 		go func() {
 			_, err := c.Write(append(head, r.Body...))
-			a.wrote <- err
+			response.writeDone <- err
 		}()
 	}
-	resp, err := c.readMine(r)
+	resp, err := c.readMatching(r)
 	if err != nil {
 		return nil, err
 	}
-	a.Response = resp
-	return a, nil
+	response.Response = resp
+	return response, nil
 }
 
-// readMine reads answers until one belongs to the request. An endpoint may send
+// readMatching reads answers until one belongs to the request. An endpoint may send
 // a second answer to an earlier request late; taken for this one it would give a
 // caller somebody else's answer.
-func (c *conn) readMine(r *Request) (*http.Response, error) {
+func (c *conn) readMatching(r *Request) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
 	for stale := 0; ; {
 		resp, err := http.ReadResponse(c.br, req)
@@ -264,12 +264,12 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine(resp) {
+		if r.Matches(resp) {
 			return resp, nil
 		}
 		stale++
-		if stale > maxStale || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, &StaleAnswersError{Count: stale}
+		if stale > maxStaleResponses || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
+			return nil, &StaleResponsesError{Count: stale}
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBytes)); err != nil {
 			return nil, err
@@ -290,52 +290,52 @@
 }
 
 // Read reads the body, and notes its end.
-func (a *Answer) Read(p []byte) (int, error) {
-	n, err := a.Body.Read(p)
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.Body.Read(p)
 	if err == io.EOF {
-		a.whole = true
+		r.bodyRead = true
 	}
 	return n, err
 }
 
 // Finish ends the exchange: the connection is kept if the answer was read to
 // its end and nothing speaks against it, else it is closed.
-func (a *Answer) Finish() {
-	live := a.stop()
-	c := a.conn
-	if !live || !a.whole || a.Close || !a.written() || a.Unframed() || c.br.Buffered() > 0 {
+func (r *Response) Finish() {
+	notCancelled := r.stop()
+	c := r.conn
+	if !notCancelled || !r.bodyRead || r.Close || !r.requestWritten() || r.Unframed() || c.br.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
-	c.keep = keepFor(a.Header.Get("Keep-Alive"))
-	if c.keep <= 0 {
+	c.keepAlive = parseKeepAlive(r.Header.Get("Keep-Alive"))
+	if c.keepAlive <= 0 {
 		_ = c.Close()
 		return
 	}
-	a.pool.put(c)
+	r.pool.put(c)
 }
 
 // Unframed answers end with their connection: nothing tells whether they are whole.
-func (a *Answer) Unframed() bool {
-	return a.ContentLength < 0 && len(a.TransferEncoding) == 0
+func (r *Response) Unframed() bool {
+	return r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
-// written says that the request was written whole before the answer came. If
+// requestWritten says that the request was requestWritten whole before the answer came. If
 // not, the endpoint still expects the rest of it.
-func (a *Answer) written() bool {
-	if a.wrote == nil {
+func (r *Response) requestWritten() bool {
+	if r.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-a.wrote:
+	case err := <-r.writeDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// keepFor is how long a connection may be idle, by the endpoint's word.
-func keepFor(header string) time.Duration {
+// parseKeepAlive is how long a connection may be idle, by the endpoint's word.
+func parseKeepAlive(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
@@ -343,15 +343,15 @@
 		}
 		n, err := strconv.Atoi(v)
 		if err != nil {
-			return defaultKeep
+			return defaultKeepAlive
 		}
-		return time.Duration(n)*time.Second - keepMargin
+		return time.Duration(n)*time.Second - keepAliveMargin
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
 
 func (p *Pool) put(c *conn) {
-	c.idleAt = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.key]) >= p.MaxIdle {
@@ -361,15 +361,15 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// Sweep closes connections that were idle for too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections that were idle for too long.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleAt) >= c.keep {
+			if now.Sub(c.idleSince) >= c.keepAlive {
 				_ = c.Close()
 				continue
 			}
