--- a/core/allowance/allowance.go
+++ b/core/allowance/allowance.go
@@ -1,59 +1,58 @@
-// Package allowance bounds what each organisation spends over all VMs together.
+// Package allowance enforces the rate limit of each organisation over all VMs together.
 //
-// Invariant: over any window the VMs together let through at most what the
-// operator's rate and burst allow plus the tolerance the operator grants. A few VMs
-// keep an organisation's allowance, chosen by hash among every VM ever heard of,
-// reachable or not. Each keeper earns its part of the rate and holds at most its
-// part of burst and tolerance; the others ask keepers. Amounts move between VMs only
-// by being taken off the giver's balance before they are sent, so a lost message
-// loses an amount and can never double it; what the receiver cannot use goes back.
-// A process cannot know what its predecessor, or VMs that it has not heard of, spent a moment ago: it
-// begins with nothing, also where the whole deployment starts for the first time. A part of the
-// tolerance is kept for restarts; a process gets that only where none was taken there within the
-// window (Restarted).
+// Invariant: over any window, all VMs together admit at most what the operator's rate and burst
+// allow plus the tolerance the operator grants. Each organisation's allowance is divided among a
+// few VMs, its holders, chosen by hash from all VMs ever seen, reachable or not. Each holder
+// refills at its share of the rate and holds at most its share of burst and tolerance; other VMs
+// request units from the holders. The sender of units deducts them from its balance before it
+// sends them, so a lost message loses units and can never double them. The receiver returns what
+// it cannot use. A process cannot know what its predecessor, or VMs that it has not seen, spent a
+// moment ago. It therefore starts with an empty balance, also when the whole deployment starts
+// for the first time. A part of the tolerance is set aside as a restart allowance. A process gets
+// its share of that only if its VM took none within the window (AddRestartGrant).
 package allowance
 
 import "time"
 
-// Limit are what an organisation may spend, over all VMs.
+// Limit is the rate limit of an organisation over all VMs.
 type Limit struct {
 	Organisation string
-	// Rate in units a second; 0 is unlimited.
+	// Rate is in units per second; 0 means unlimited. Burst is in units.
 	Rate, Burst float64
 }
 
-// Tolerance is by how much the operator lets the bound over a window be passed.
+// Tolerance is the amount by which the operator allows the limit over a window to be exceeded.
 type Tolerance struct {
 	Window time.Duration
-	// Over is a share of what the window allows, Slack a fixed amount in units.
+	// Over is a fraction of what the limit allows in a window, Slack a fixed number of units.
 	Over, Slack float64
 }
 
-// headroomShare is the part of the tolerance that is left unused, for the moments in
-// which a VM that was just added is not known to all others.
+// headroomShare is the fraction of the tolerance that is left unused. It covers the time in which
+// a newly added VM is not yet known to all others.
 const headroomShare = 0.15
 
-// restartShare is the part of the tolerance that is kept for processes that start again.
-// After all VMs are killed their organisations' balances are at nothing: without it requests of
-// organisations far within their allowance are refused while all engines stand idle.
-// The rest of it is for organisations that ask for more than their allowance anyway.
+// restartShare is the fraction of the tolerance that is set aside for restarted processes. When
+// all VMs have been killed, all balances start empty: without it, requests of organisations far
+// below their limit are refused while all engines are idle. The rest of the tolerance serves
+// organisations that exceed their limit anyway.
 const restartShare = 0.6
 
-// overCapacityPeriod is how long a balance may pass the bound: the time in which a waiting
-// request spends it or gives up.
+// overCapacityPeriod is how long a balance may exceed the capacity: the time within which a
+// waiting request spends it or gives up.
 const overCapacityPeriod = 100 * time.Millisecond
 
-// maxGrantShare is the part of its balance that a VM gives to one that lacks.
+// maxGrantShare is the largest fraction of its balance that a VM grants to another.
 const maxGrantShare = 0.7
 
-// maxReserveMultiple bounds what a request must leave over, in multiples of its own
-// size: a small request takes little from what is kept for others.
+// maxReserveMultiple bounds the amount that Request.Reserve is a fraction of, in multiples of the
+// request's own size: a small request takes little of what is reserved for others.
 const maxReserveMultiple = 10
 
-// Limiter is one VM's balances. It is not safe for concurrent use.
+// Limiter holds the balances of one VM. It is not safe for concurrent use.
 type Limiter struct {
 	tol Tolerance
-	// shareOf is this VM's shareOf of an organisation's allowance, 0 to 1.
+	// shareOf returns this VM's share of an organisation's allowance, from 0 to 1.
 	shareOf func(organisation string) float64
 	buckets map[string]*bucket
 }
@@ -63,20 +62,20 @@
 	share      float64
 	balance    float64
 	refilledAt time.Duration
-	// accrued is what was accrued since the account began here, up to the bound.
+	// accrued is the number of units refilled since the bucket was created, up to its capacity.
 	accrued float64
-	// overCapacityUntil is until when the balance may pass the bound, for a request that
-	// waits for what others gave.
+	// overCapacityUntil is the time until which the balance may exceed the capacity, for a
+	// request that waits for units from other VMs.
 	overCapacityUntil time.Duration
 }
 
-// New returns a ledger without any balance.
+// New returns a limiter with empty balances.
 func New(tol Tolerance) *Limiter {
 	return &Limiter{tol: tol, buckets: make(map[string]*bucket), shareOf: func(string) float64 { return 0 }}
 }
 
-// SetShares says which part of each organisation's allowance this VM keeps; 0 where
-// it keeps none or does not know yet.
+// SetShares sets this VM's share of each organisation's allowance; 0 where it holds none or does
+// not know its share yet.
 func (l *Limiter) SetShares(now time.Duration, shareOf func(organisation string) float64) {
 	l.shareOf = shareOf
 	for name, b := range l.buckets {
@@ -86,7 +85,7 @@
 	}
 }
 
-// SetLimits puts the organisations' terms in force.
+// SetLimits replaces the limits of all organisations.
 func (l *Limiter) SetLimits(now time.Duration, limits []Limit) {
 	present := make(map[string]bool, len(limits))
 	for _, limit := range limits {
@@ -107,18 +106,19 @@
 	}
 }
 
-// capacity is the most that this VM may hold.
+// capacity returns the maximum balance that this VM may hold.
 func (l *Limiter) capacity(b *bucket) float64 {
 	return b.share * (b.limit.Burst + (1-headroomShare-restartShare)*l.toleratedUnits(b))
 }
 
-// toleratedUnits is by how much all VMs together may pass what rate and burst allow.
+// toleratedUnits returns by how many units all VMs together may exceed rate and burst in a
+// window.
 func (l *Limiter) toleratedUnits(b *bucket) float64 {
 	return l.tol.Over*(b.limit.Rate*l.tol.Window.Seconds()+b.limit.Burst) + l.tol.Slack
 }
 
-// AddRestartGrant gives this VM its part of what is kept for restarts. It must not be called
-// twice within the window for one VM, over all its processes.
+// AddRestartGrant adds this VM's share of the restart allowance. It must not be called twice
+// within the window for one VM, over all its processes.
 func (l *Limiter) AddRestartGrant(now time.Duration) {
 	for _, b := range l.buckets {
 		l.refill(now, b)
@@ -146,35 +146,34 @@
 	b.balance = min(capacity, b.balance+accrued)
 }
 
-// SpendResult is the outcome of Spend.
+// SpendResult is the result of Spend.
 type SpendResult struct {
 	OK bool
-	// Shortfall is what the balance is short of, in units.
+	// Shortfall is how many units the balance lacks.
 	Shortfall float64
-	// RetryAfter is the time in which one keeper earns what is lacking.
+	// RetryAfter is the time in which one holder refills the shortfall.
 	RetryAfter time.Duration
-	// Balance is what was there before.
+	// Balance is the balance before the request.
 	Balance float64
 }
 
-// maxRetryAfter bounds Verdict.Wait.
+// maxRetryAfter bounds SpendResult.RetryAfter.
 const maxRetryAfter = time.Minute
 
-// Request is what a request takes of an allowance.
+// Request is a request to spend units of an allowance.
 type Request struct {
 	Amount
-	// Reserve is the share that must be left over after it, of the VM's bound or of
-	// what it has earned so far, if that is less: a process that has just started
-	// would otherwise refuse all but the most urgent for seconds. An
-	// organisation that asks for more than its allowance would otherwise spend it on
-	// whatever comes first and is small; with a reserve that grows by tier, its most
-	// urgent requests find something left. Within the allowance balances are near
-	// their bound, and the reserve refuses nothing.
+	// Reserve is the fraction that must remain in the balance after the request. It is a fraction
+	// of what has accrued so far, which is at most this VM's capacity: a process that has just
+	// started would otherwise refuse all but the most urgent requests for seconds. Without a
+	// reserve, an organisation that exceeds its limit would spend its units on whatever arrives
+	// first and is small. With a reserve that grows by tier, its most urgent requests still find
+	// a balance. Below the limit, balances are close to capacity and the reserve refuses nothing.
 	Reserve float64
 }
 
-// Spend takes an amount off the organisation's balance if it is there.
-// Organisations without a limit, or unknown here, spend freely.
+// Spend deducts the request's units from the organisation's balance if it suffices. Organisations
+// that are unlimited, or unknown to this VM, are always admitted.
 func (l *Limiter) Spend(now time.Duration, r Request) SpendResult {
 	b := l.buckets[r.Organisation]
 	if b == nil || b.limit.Rate <= 0 {
@@ -197,14 +196,14 @@
 	return v
 }
 
-// Amount is units of one organisation.
+// Amount is a number of units of one organisation.
 type Amount struct {
 	Organisation string
 	Units        float64
 }
 
-// Grant takes off what this VM can spare for a VM that lacks an amount. It keeps
-// the same reserve.
+// Grant deducts and returns the units that this VM can spare for another VM's shortfall. It
+// honours the same reserve as Spend.
 func (l *Limiter) Grant(now time.Duration, want Request) float64 {
 	b := l.buckets[want.Organisation]
 	if b == nil || b.limit.Rate <= 0 {
@@ -219,9 +218,10 @@
 	return granted
 }
 
-// Credit takes in what another VM gave, and returns what it cannot use, which goes
-// back. A balance passes this VM's bound only by what a waiting request lacks, given
-// in waiting: hoarded amounts would add up to more than the operator's burst.
+// Credit adds units that another VM granted or returned, and returns the excess that this VM
+// cannot use, which goes back to the sender. waiting is the balance that waiting requests need.
+// Only up to that may the balance exceed this VM's capacity: hoarded units would add up to more
+// than the operator's burst.
 func (l *Limiter) Credit(now time.Duration, received Amount, waiting float64) (excess float64) {
 	b := l.buckets[received.Organisation]
 	if b == nil || b.limit.Rate <= 0 {
--- a/core/allowance/allowance_test.go
+++ b/core/allowance/allowance_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// longAgo is when processes started whose balances are at their bound by now.
+// longAgo is a start time so far back that balances have reached their capacity by now.
 const longAgo = -time.Hour
 
-// Over any window all VMs together stay within what the operator tolerates,
-// whatever VMs ask of each other, lose, and forget in restarts.
+// Over any window all VMs together stay within the operator's tolerance, whatever they request
+// from each other, whatever is lost on the way, and however often processes restart.
 func TestTotalSpendingStaysWithinTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tol := Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: float64(rapid.IntRange(0, 140000).Draw(t, "slack"))}
@@ -56,7 +56,7 @@
 					vms[i].AddRestartGrant(now)
 				}
 			case 1:
-				// An answer to a request for an amount that is lost on the way.
+				// A grant that is lost in transit.
 				vms[i].Grant(now, Request{Amount: Amount{"o", units}})
 			case 2, 3:
 				j := rapid.IntRange(0, n-1).Draw(t, "from")
@@ -86,15 +86,15 @@
 				}
 			}
 			if bound := (terms.Rate*tol.Window.Seconds()+terms.Burst)*(1+tol.Over) + tol.Slack; sum > bound+1e-6 {
-				t.Fatalf("spent %.0f in a window, bound %.0f", sum, bound)
+				t.Fatalf("spent %.0f units in a window, bound %.0f", sum, bound)
 			}
 		}
 	})
 }
 
-// Symptom: large requests of a small organisation were always refused, though it
-// spent next to nothing. Cause: one VM's part of the allowance is less than such
-// a request. The amounts of other VMs must reach it.
+// Guards against refusing every large request of a small organisation that spends next to
+// nothing. One VM's share of the allowance is smaller than such a request, so units granted by
+// other VMs must be usable for it.
 func TestLargeRequestUsesGrantsFromOtherVMs(t *testing.T) {
 	is := is.New(t)
 	tol := Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000}
@@ -114,8 +114,8 @@
 	is.True(vms[0].Spend(0, Request{Amount: Amount{"o", large}}).OK)
 }
 
-// Guards against parts that add up to more than the whole, as VMs start one after the other and know
-// those alone that came before.
+// Guards against shares that add up to more than 1 when VMs start one after another and each
+// knows only those that started before it.
 func TestStaggeredStartsStayWithinTolerance(t *testing.T) {
 	tol := Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 1000}
 	terms := Limit{Organisation: "o", Rate: 100, Burst: 5000}
@@ -136,12 +136,11 @@
 		}
 	}
 	if bound := (terms.Rate*tol.Window.Seconds()+terms.Burst)*(1+tol.Over) + tol.Slack; spent > bound {
-		t.Fatalf("spent %.0f, bound %.0f", spent, bound)
+		t.Fatalf("spent %.0f units, bound %.0f", spent, bound)
 	}
 }
 
-// A process that starts again spends nothing at first, and learns the number of
-// VMs before it spends anything.
+// A restarted process spends nothing at first, and learns the number of VMs before it spends.
 func TestRestartedProcessStartsWithZeroBalance(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second})
@@ -153,11 +152,11 @@
 	is.True(!l.Spend(2*time.Second, Request{Amount: Amount{"o", 1}}).OK)
 }
 
-// Symptom: after all processes had been killed, requests of organisations far within
-// their allowance were refused for a second and a half, while all endpoints stood idle.
-// Sequence: all start again; each balance is at nothing, and what is earned until then is
-// less than one request. Cause: nothing was kept for that case. Of twenty requests in the
-// first half second, at half of the rate, none was served before.
+// Guards against refusals after all processes were killed: for a second and a half, requests of
+// organisations far below their limit were refused while all endpoints were idle. After the
+// restart all balances are empty, and what accrues in that time is less than one request. Without
+// a restart allowance, none of the twenty requests in the first half second, at half of the rate,
+// was served.
 func TestRestartGrantServesRequestsImmediately(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000})
@@ -166,7 +165,7 @@
 	l.AddRestartGrant(0)
 	served := 0
 	for i := range 20 {
-		// 11,100 units a half second are earned here; 6,000 are asked for.
+		// 11,100 units accrue here in half a second; 6,000 are requested.
 		if l.Spend(time.Duration(i)*25*time.Millisecond, Request{Amount{"o", 300}, 0.25}).OK {
 			served++
 		}
@@ -174,10 +173,10 @@
 	is.Equal(served, 20)
 }
 
-// Symptom: an organisation that asked for twice its allowance had its most urgent
-// requests refused, one in eight, and next to none of the least urgent ones. Cause:
-// the balance was always near nothing, where only small requests fit, and those of
-// lower tiers were smaller. Now lower tiers leave a reserve.
+// Guards against refusing the most urgent requests of an organisation that requests twice its
+// limit: one in eight of them was refused, and next to none of the least urgent ones. The balance
+// was always close to zero, where only small requests fit, and those of lower tiers were smaller.
+// Lower tiers must therefore leave a reserve.
 func TestReserveKeepsBalanceForUrgentRequests(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000})
@@ -187,7 +186,7 @@
 	const steps = 2000
 	for i := range steps {
 		now := time.Duration(i) * 10 * time.Millisecond
-		// 5,000 units a second are earned here; these ask for 9,250.
+		// 5,000 units per second accrue here; these requests need 9,250.
 		if i%200 == 0 && l.Spend(now, Request{Amount{"o", 7000}, 0}).OK {
 			served["urgent"]++
 		}
@@ -203,11 +202,10 @@
 	is.True(served["least"] < 30)   // of 50
 }
 
-// Symptom: after all processes had been killed, requests of lower tiers were
-// refused for seconds, though their organisations were far within their allowance.
-// Sequence: a process starts with nothing; lower tiers must leave half of its bound;
-// it earns that only in seconds. Cause: the reserve did not look at what a process
-// can have earned.
+// Guards against refusing requests of lower tiers for seconds after all processes were killed,
+// although their organisations were far below their limit. A process starts with an empty balance
+// and takes seconds to accrue half of its capacity, so the reserve must be a fraction of what has
+// accrued, not of the capacity.
 func TestReserveAfterARestart(t *testing.T) {
 	is := is.New(t)
 	l := New(Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140000})
@@ -215,7 +213,7 @@
 	l.SetLimits(0, []Limit{{Organisation: "o", Rate: 40000, Burst: 40000}})
 	served := 0
 	for i := 1; i <= 20; i++ {
-		// Half of what is earned here is asked for.
+		// Half of what accrues here is requested.
 		if l.Spend(time.Duration(i)*100*time.Millisecond, Request{Amount{"o", 250}, 0.5}).OK {
 			served++
 		}
@@ -223,12 +221,13 @@
 	is.True(served >= 18)
 }
 
-// equalShares is the part of one of n keepers.
+// equalShares returns the share of one of n equal holders, for SetShares.
 func equalShares(n int) func(string) float64 { return func(string) float64 { return 1 / float64(n) } }
 
-// Symptom: on a quiet day of a deployment of 66 VMs one request in five was refused
-// for its organisation's allowance. Cause: each VM kept a 66th of it, less than one
-// request, and what was asked of others and not used was lost. A few keep it now.
+// Guards against refusals in a large deployment under low load: with 66 VMs, one request in five
+// was refused for its organisation's allowance. Each VM held a 66th of it, less than one request,
+// and units that were granted by others and not used were lost. The allowance must be held by few
+// VMs.
 func TestSmallAllowanceOfALargeDeployment(t *testing.T) {
 	is := is.New(t)
 	const n, domains = 66, 4
@@ -251,7 +250,7 @@
 	for i := range 300 {
 		now := time.Duration(i) * 50 * time.Millisecond
 		at := vms[all[i*7%n].Address]
-		// 1,500 units each 50 ms: five sixths of the rate, of the lowest tier.
+		// 1,500 units each 50 ms are five sixths of the rate, in the lowest tier.
 		r := Request{Amount{"o", 1500}, 0.5}
 		v := at.Spend(now, r)
 		for k := 0; !v.OK && k < 3; k++ {
--- a/core/allowance/keepers.go
+++ b/core/allowance/keepers.go
@@ -7,17 +7,17 @@
 	"github.com/chivefield/chivefield/rendezvous"
 )
 
-// VM is one of those that share the allowances.
+// VM is a VM that takes part in enforcing the allowances.
 type VM struct{ Address, Domain string }
 
-// targetHolderCount is how many VMs keep parts of one organisation's allowance. If all
-// of a large deployment did, each part would be smaller than one request; if few
-// did, the loss of one would cost much.
+// targetHolderCount is how many VMs hold shares of one organisation's allowance. If all VMs of a
+// large deployment held one, each share would be smaller than one request; with few holders, the
+// loss of one would cost much of the allowance.
 const targetHolderCount = 12
 
-// Holders are the VMs that keep an organisation's allowance, in equal parts: as
-// many in each failure domain, so that a domain that is cut off has some, and there
-// the first by rendezvous hashing. vms are all VMs ever heard of.
+// Holders returns the VMs that hold equal shares of an organisation's allowance. Each failure
+// domain has the same number of them, so that a partitioned domain has some, and within a domain
+// they are chosen by rendezvous hashing. vms are all VMs ever seen.
 func Holders(organisation string, vms []VM) []VM {
 	domains := make(map[string][]VM)
 	for _, v := range vms {
