--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -1,34 +1,39 @@
-// Package budget bounds how often requests are sent once more, over all VMs together.
+// Package budget limits how often requests are retried, over all VMs together.
 //
-// The operator allows in any window a share of the requests of that window, or of the one before
-// it, whichever has more, and a fixed number on top. Each process earns half of the share for each
-// of its own requests, and what it earned may be sent within one window. So what all processes send
-// in a window was earned in it or in the window before, and half of the share of both together is
-// at most the share of the larger. A process begins with nothing and needs to know nothing of
-// others for that: neither how many they are, nor whether it was started before.
+// In any window the operator allows retries up to a fraction of the requests of that window or of
+// the one before it, whichever has more, plus a fixed number. Each process earns half of that
+// fraction as credit for each of its own requests, and credit expires after one window. So what
+// all processes send in a window was earned in it or in the window before, and half of the
+// fraction of both together is at most the fraction of the larger. A process starts without
+// credit and needs no knowledge of the others for this: neither how many there are, nor whether
+// it was started before.
 //
-// Of the fixed number each VM of a small deployment has a few (Fixed), or a service with few requests
-// would get none repeated. The rest is left for requests that endpoints read later than they were
-// sent.
+// In a small deployment each VM gets a few of the fixed number (FixedRetries); otherwise none of
+// the requests of a service with little traffic would be retried. The rest of the fixed number
+// covers requests that endpoints read later than they were sent.
 package budget
 
 import "time"
 
-// windowSlices is into how many parts a window is divided; what was earned in one expires as a whole.
+// windowSlices is the number of slices that a window is divided into. All credit earned in one
+// slice expires together.
 const windowSlices = 20
 
-// earnedShare is the part of the share that a request earns: it may be sent in this window or the next.
+// earnedShare is the fraction of the operator's ratio that a request earns, since the credit may
+// be spent in this window or the next.
 const earnedShare = 0.5
 
 const (
-	// fixedShare is the part of the fixed number that VMs have, and mostFixed the most that one has.
+	// fixedShare is the fraction of the fixed number that is divided among VMs, and maxFixed the
+	// most that one VM gets.
 	fixedShare = 0.25
 	maxFixed   = 2
 )
 
-// FixedRetries is how many repeats of the fixed number one VM may send in a window, if it knows a number of
-// VMs. A VM knows at least those that came before it, so only the first of all VMs have any, in
-// whatever order they start and whatever they know of those that came after: together at most half of it.
+// FixedRetries returns how many retries of the fixed number a VM that knows vms VMs may send in a
+// window. A VM knows at least those that started before it, so only the first of all VMs get any,
+// whatever the order in which they start and whatever they know of later ones. Together they get
+// at most half of the fixed number.
 func FixedRetries(slack float64, vms int) int {
 	if vms == 0 {
 		return 0
@@ -36,57 +41,60 @@
 	return min(maxFixed, int(fixedShare*slack/float64(vms)))
 }
 
-// roundingError is the error of sums that is let pass.
+// roundingError is the floating-point error that is tolerated in sums.
 const roundingError = 1e-9
 
-// Counts are what a budget counted since it was made.
+// Counts are the counters of a budget since it was created.
 type Counts struct {
-	// Requests earned. Repeats were Acquired, or Refused as too little was held; of those paid, Sent
-	// left for an endpoint and Refunded did not. Expired could not be paid anew when they were
-	// to leave.
+	// Requests earned credit. Retries were Acquired, or Refused for lack of credit; of those
+	// acquired, Sent were sent to an endpoint and Refunded were not. Expired could not be
+	// acquired again when they were about to be sent.
 	Requests, Acquired, Refused, Sent, Refunded, Expired int
 }
 
-// Budget is what one process may repeat of one service's requests. Times are by one clock that only
-// advances. It is not safe for concurrent use.
+// Budget is the retry budget of one process for one service. Its times are of one monotonic
+// clock. It is not safe for concurrent use.
 type Budget struct {
 	creditPerRequest float64
 	sliceDuration    time.Duration
-	// credit is what was earned in each slice and not paid, by number modulo slices.
+	// credit is the unspent credit earned in each slice, indexed by the slice's number modulo
+	// windowSlices.
 	credit [windowSlices]float64
-	// newestSlice is the number of the slice that was last looked at.
+	// newestSlice is the number of the slice of the latest call.
 	newestSlice int64
 	window      time.Duration
-	// fixed is how many of the places for repeats of the fixed number may be taken.
+	// fixed is how many of fixedSlots may be used.
 	fixed      int
 	fixedSlots [maxFixed]fixedSlot
 	counts     Counts
 }
 
-// fixedSlot is one repeat of the fixed number, free again a window after it was sent.
+// fixedSlot holds one retry of the fixed number. It is free again one window after the retry was
+// sent.
 type fixedSlot struct {
 	taken  bool
 	freeAt time.Duration
 }
 
-// New returns an empty budget for the share of requests that all VMs together may repeat in a window.
+// New returns an empty budget. share is the fraction of requests that all VMs together may retry
+// in a window.
 func New(share float64, window time.Duration) *Budget {
 	return &Budget{creditPerRequest: earnedShare * share, sliceDuration: max(1, window/windowSlices), window: window}
 }
 
-// SetFixedRetries sets how many repeats of the fixed number may be sent in a window.
+// SetFixedRetries sets how many retries of the fixed number this process may send in a window.
 func (b *Budget) SetFixedRetries(n int) { b.fixed = min(n, maxFixed) }
 
-// Permit is one repeat that was paid.
+// Permit is the right to send one retry.
 type Permit struct {
-	// oldestSlice is the number of the oldest slice that it was paid from.
+	// oldestSlice is the number of the oldest slice whose credit it used.
 	oldestSlice int64
-	// fixed says that it is one of the fixed number, at a place.
+	// fixed reports whether it is one of the fixed number, which occupies a slot.
 	fixed bool
 	slot  int
 }
 
-// advance forgets what has expired.
+// advance discards expired credit.
 func (b *Budget) advance(now time.Duration) {
 	n := int64(now / b.sliceDuration)
 	if n-b.newestSlice >= windowSlices {
@@ -99,17 +107,17 @@
 	}
 }
 
-// oldestSlice is the number of the oldestSlice slice that has not expired.
+// oldestSlice returns the number of the oldest slice that has not expired.
 func (b *Budget) oldestSlice() int64 { return max(0, b.newestSlice-windowSlices+1) }
 
-// RecordRequest earns for one request of a caller.
+// RecordRequest adds the credit earned by one new request of a caller.
 func (b *Budget) RecordRequest(now time.Duration) {
 	b.advance(now)
 	b.counts.Requests++
 	b.credit[b.newestSlice%windowSlices] += b.creditPerRequest
 }
 
-// Balance is how many repeats may be paid.
+// Balance returns the unspent credit, in retries.
 func (b *Budget) Balance(now time.Duration) float64 {
 	b.advance(now)
 	sum := 0.0
@@ -119,8 +127,8 @@
 	return sum
 }
 
-// Acquire takes one repeat off what was earned, the oldest first, or off the fixed number, and reports
-// whether there was enough.
+// Acquire spends the credit for one retry, the oldest first, or takes one of the fixed number. It
+// reports whether either sufficed.
 func (b *Budget) Acquire(now time.Duration) (Permit, bool) {
 	r, ok := b.acquireEarned(now)
 	if !ok {
@@ -161,8 +169,8 @@
 	return Permit{}, false
 }
 
-// Renew says whether a repeat that was paid may leave now. One that waited until what paid it
-// expired is paid anew.
+// Renew reports whether a retry that holds a permit may be sent now. If the credit behind the
+// permit has expired while the retry waited, Renew spends new credit.
 func (b *Budget) Renew(now time.Duration, r Permit) (Permit, bool) {
 	b.advance(now)
 	if r.fixed || r.oldestSlice >= b.oldestSlice() {
@@ -175,7 +183,7 @@
 	return r, ok
 }
 
-// RecordSent notes that a repeat left.
+// RecordSent records that a retry was sent.
 func (b *Budget) RecordSent(now time.Duration, r Permit) {
 	b.counts.Sent++
 	if r.fixed {
@@ -183,7 +191,7 @@
 	}
 }
 
-// Refund takes back a repeat that did not leave.
+// Refund returns the credit of a retry that was not sent.
 func (b *Budget) Refund(now time.Duration, r Permit) {
 	b.advance(now)
 	b.counts.Refunded++
@@ -196,5 +204,5 @@
 	}
 }
 
-// Counts returns what was counted.
+// Counts returns the counters.
 func (b *Budget) Counts() Counts { return b.counts }
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// recordRequests has a budget recordRequests for requests of one moment.
+// recordRequests records a number of requests at one time.
 func recordRequests(b *Budget, now time.Duration, requests int) {
 	for range requests {
 		b.RecordRequest(now)
@@ -37,7 +37,7 @@
 	is.True(b.Balance(5*window) < roundingError)
 }
 
-// Guards against a repeat that waits for a window and leaves on what was earned before.
+// Guards against a retry that waits longer than a window and is sent on expired credit.
 func TestQueuedRetryIsReacquiredOrNotSent(t *testing.T) {
 	is := is.New(t)
 	b := New(0.2, window)
@@ -53,7 +53,7 @@
 	is.Equal(b.Counts().Expired, 1)
 }
 
-// Guards against budgets that shrink by repeats for which no place was found.
+// Guards against budgets that lose the credit of retries for which no endpoint had capacity.
 func TestUnsentRetryIsRefunded(t *testing.T) {
 	is := is.New(t)
 	b := New(0.2, window)
@@ -67,7 +67,7 @@
 	is.True(b.Balance(window) < roundingError)
 }
 
-// Guards against a quiet service of which nothing is ever repeated.
+// Guards against a service with so little traffic that none of its requests is ever retried.
 func TestIdleServiceMayUseFixedRetries(t *testing.T) {
 	is := is.New(t)
 	b := New(0.2, window)
@@ -85,7 +85,8 @@
 	is.True(ok)
 }
 
-// Guards against parts of the fixed number that add up, as VMs that start apart know different numbers.
+// Guards against VMs that together exceed the fixed number, because they started at different
+// times and know different numbers of VMs.
 func TestFixedRetriesOfStaggeredStartsStayWithinHalf(t *testing.T) {
 	is := is.New(t)
 	for _, slack := range []float64{0, 3, 20, 56, 176, 5000} {
@@ -99,7 +100,8 @@
 	is.Equal(FixedRetries(56, 0), 0)
 }
 
-// BenchmarkRequest is what each request of a caller costs, with one repeat in a hundred.
+// BenchmarkRequest measures the cost per request of a caller, with one retry per hundred
+// requests.
 func BenchmarkRequest(b *testing.B) {
 	budget := New(0.2, window)
 	for i := range b.N {
--- a/core/budget/fleet_test.go
+++ b/core/budget/fleet_test.go
@@ -7,39 +7,39 @@
 	"pgregory.net/rapid"
 )
 
-// The bound that the operator sets, over all VMs. The fixed number is left for late arrivals.
+// The operator's limits over all VMs. The fixed number is left for retries that arrive late.
 const (
 	window = 10 * time.Second
 	ratio  = 0.2
 	slack  = 56
 	maxVMs = 6
-	// callerTimeout is how long a repeat waits for a place before its caller leaves.
+	// callerTimeout is how long a retry waits for capacity before its caller disconnects.
 	callerTimeout = 5 * time.Second
 )
 
-// vm is a VM of the model, with a process if budget is not nil.
+// vm is a simulated VM. It runs a process if budget is not nil.
 type vm struct {
 	budget *Budget
 	queue  []queuedRetry
 }
 
-// queuedRetry is a repeat that was paid at a time and waits for a place.
+// queuedRetry is a retry that holds a permit and waits for capacity.
 type queuedRetry struct {
 	permit     Permit
 	acquiredAt time.Duration
 }
 
-// fleet plays VMs that know nothing of each other, and counts what endpoints see.
+// fleet simulates VMs that do not communicate, and counts the retries that endpoints receive.
 type fleet struct {
 	now time.Duration
 	vms [maxVMs]vm
-	// requests and retries are when callers sent the former and endpoints got the latter.
+	// requests are the times at which callers sent requests, retries those at which endpoints
+	// received retries.
 	requests, retries []time.Duration
-	// unread are repeats that endpoints have not read yet.
+	// unread is the number of retries that endpoints have not read yet.
 	unread int
 }
 
-// start starts a process.
 func (f *fleet) start(i int) { f.vms[i] = vm{budget: New(ratio, window)} }
 
 func (f *fleet) request(i, n int) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// acquire has a VM decide on repeats.
+// acquire tries to acquire permits for n retries and queues those that got one.
 func (f *fleet) acquire(i, n int) {
 	for range n {
 		if r, ok := f.vms[i].budget.Acquire(f.now); ok {
@@ -58,7 +58,7 @@
 	}
 }
 
-// dispatch finds places for repeats that wait.
+// dispatch sends up to n queued retries.
 func (f *fleet) dispatch(i, n int) {
 	v := &f.vms[i]
 	for ; n > 0 && len(v.queue) > 0; n-- {
@@ -75,7 +75,7 @@
 	}
 }
 
-// count counts moments after one and up to another.
+// count returns the number of times later than after and not later than to.
 func count(times []time.Duration, after, to time.Duration) int {
 	n := 0
 	for _, t := range times {
@@ -86,8 +86,9 @@
 	return n
 }
 
-// excess is by how much the window that ends now passes the share of requests. Those count in it, in the
-// window before or in that which began half a window sooner.
+// excess returns by how many retries the window that ends now exceeds the allowed fraction of
+// requests. The requests are those of this window, of the window before, or of the window that
+// began half a window earlier, whichever has most.
 func (f *fleet) excess() float64 {
 	most := 0
 	for _, sooner := range []time.Duration{0, window / 2, window} {
@@ -96,8 +97,8 @@
 	return float64(count(f.retries, f.now-window, f.now)) - ratio*float64(most)
 }
 
-// Guards against parts that add up to more than the whole, whatever VMs know of each other, however
-// often and when they start, and however long repeats wait.
+// Guards against per-process budgets that together exceed the operator's limit, whatever VMs know
+// of each other, however often and whenever they start, and however long retries wait.
 func TestRetriesOfAllVMsStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{}
@@ -122,13 +123,14 @@
 				f.dispatch(i, n)
 			}
 			if over := f.excess(); over > 1e-9 {
-				t.Fatalf("%.1f repeats too many", over)
+				t.Fatalf("%.1f retries over the bound", over)
 			}
 		}
 	})
 }
 
-// Guards against repeats that are paid while there is no place for them and sent all at once.
+// Guards against retries that acquire permits while no endpoint has capacity and are then sent
+// all at once.
 func TestQueuedRetriesStayWithinTheBound(t *testing.T) {
 	f := &fleet{}
 	f.start(0)
@@ -136,17 +138,18 @@
 	for ; f.now < 6*window; f.now += step {
 		f.request(0, 1)
 		f.acquire(0, 1)
-		// Places come free for a moment, then for none, and for half of the time there are enough.
+		// In every other window there is always capacity, in the rest only for one step per
+		// callerTimeout.
 		if phase := f.now % (2 * window); phase < window || phase%callerTimeout == callerTimeout-step {
 			f.dispatch(0, 1000)
 		}
 		if over := f.excess(); over > 1e-9 {
-			t.Fatalf("%.1f repeats too many after %v", over, f.now)
+			t.Fatalf("%.1f retries over the bound after %v", over, f.now)
 		}
 	}
 }
 
-// Guards against endpoints that read nothing for a while, and then at once all that was sent to them.
+// Guards against endpoints that read nothing for a while, and then all at once.
 func TestLateRetriesStayWithinTheFixedNumber(t *testing.T) {
 	const (
 		step   = 10 * time.Millisecond
@@ -173,7 +176,7 @@
 			f.retries = append(f.retries, f.now)
 		}
 		if over := f.excess(); over > slack {
-			t.Fatalf("%.1f repeats over the share after %v", over, f.now)
+			t.Fatalf("%.1f retries over the allowed fraction after %v", over, f.now)
 		}
 	}
 }
