--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -1,14 +1,14 @@
-// Package cell divides VMs into cells. The VMs of a cell let one of them, the placer,
-// place their requests: with one queue no slot of an engine goes to a lower tier while
-// a higher one waits at another VM, and nobody takes a slot that somebody else took a
-// moment ago.
+// Package cell divides VMs into cells. The VMs of a cell send their placement requests to one of
+// them, the placer. With a single queue, no slot of an engine goes to a lower tier while a
+// request of a higher tier waits at another VM, and no VM assigns a slot that another VM assigned
+// a moment ago.
 //
-// Load it answers: one and a half to three times what the engines do. The fewer VMs place,
-// the more is served in time then (docs/CAPACITY.md).
+// It is designed for overload of one and a half to three times what the engines can serve. The
+// fewer VMs place requests, the more requests are then served in time (docs/CAPACITY.md).
 //
-// Nothing is elected or agreed on. Each VM works out its placer from the VMs that it
-// hears; if two disagree for a moment, both place, as if they were two cells. A VM that
-// hears nothing from its placer places for itself.
+// There is no election and no consensus. Each VM computes its placer from the VMs whose
+// heartbeats it receives. If two disagree for a moment, both place, as if they were two cells. A
+// VM that receives nothing from its placer places its own requests.
 package cell
 
 import (
@@ -19,39 +19,40 @@
 )
 
 const (
-	// maxSingleCellVMs is up to how many VMs of a region's failure domains are one cell:
-	// few enough that each hears each other ten times a second.
+	// maxSingleCellVMs is the largest number of VMs in a region that form one cell: few enough
+	// that each receives the notes of each other ten times a second.
 	maxSingleCellVMs = 24
-	// targetCellSize bounds the VMs of a cell. Several placers before the same engines take the
-	// same slots, so a failure domain has as few as can carry the work.
+	// targetCellSize is the number of VMs of a failure domain per placer. Several placers for the
+	// same engines assign the same slots, so a failure domain has as few placers as can carry the
+	// load.
 	targetCellSize = 64
 	// placerHashKey is hashed with the VMs' addresses to rank them.
 	placerHashKey = "placer"
 )
 
-// VM is one that is heard and willing to place requests for others.
+// VM is a live VM that is willing to place requests for others.
 type VM struct {
 	Address, Domain string
-	// Region is that of the failure domain; a question across regions would take longer
-	// than a request may wait.
+	// Region is the region of its failure domain. A placement request to another region would
+	// take longer than a request may wait.
 	Region string
-	// CPUShare is its part of a core: placing costs time.
+	// CPUShare is its share of a CPU core. Placement takes CPU time.
 	CPUShare float64
-	// Members is how many VMs ask it now.
+	// Members is the number of VMs that send it placement requests now.
 	Members int
 }
 
-// FleetSize is how many VMs are known, whether they were heard lately or not: all VMs agree on
-// that from the store's list, where each hears others only in turns.
+// FleetSize is the number of known VMs, whether alive or not. All VMs agree on it, because it
+// comes from the list in the store, while they receive heartbeats of others only in rotation.
 type FleetSize struct {
-	// Region and Domain are those of the own region and failure domain, this one included.
+	// Region and Domain count the VMs of this VM's region and failure domain, this VM included.
 	Region, Domain int
 }
 
-// singleCell says whether the region's VMs are one cell.
+// singleCell reports whether the region's VMs form one cell.
 func (f FleetSize) singleCell() bool { return f.Region <= maxSingleCellVMs }
 
-// placerCount is how many VMs place requests in the region or the failure domain.
+// placerCount returns the number of placers in the region or the failure domain.
 func (f FleetSize) placerCount() int {
 	if f.singleCell() {
 		return 1
@@ -59,13 +60,14 @@
 	return (f.Domain + targetCellSize - 1) / targetCellSize
 }
 
-// switchFactor is how many times the part of a core, or the members, of the VM
-// that places now another must have to take over: a change costs what the old one knew.
+// switchFactor is how many times as much CPU, or as many members, another VM must have to replace
+// the current placer. A change loses the state that the old placer had.
 const switchFactor = 2
 
-// RankPlacers orders VMs by who should place: those that do it already, then those with the
-// most processor time. Without that a VM that was restarted takes its place back at once,
-// knowing no loads, and sends requests to engines that are full.
+// RankPlacers sorts VMs by preference as placer: first those with most members, then those with
+// most CPU. Members of a VM with far less CPU than the largest do not count. Without the first
+// criterion a restarted VM would become placer again at once, without any load data, and send
+// requests to engines that are full.
 func RankPlacers(vms []VM) []VM {
 	maxShare := 0.0
 	for _, v := range vms {
@@ -90,12 +92,11 @@
 	return ranked
 }
 
-// ChoosePlacer is the address of the VM that places the requests of self, which may be
-// self. willing are the VMs that are heard, self included if it is willing; empty if
-// there is none. current is the placer so far: self stays with it while it is willing
-// and none of those that should place has far more members or processor time, else VMs
-// that change at the same moment would follow each other to and fro, and each change
-// loses what the placer knew of the engines.
+// ChoosePlacer returns the address of the VM that places the requests of self, which may be self.
+// It returns "" if there is none. willing are the live VMs that offer to place, including self if
+// it does. current is the placer so far. It is kept while it is willing and none of the preferred
+// placers has far more members or CPU: otherwise VMs that switch at the same moment would follow
+// each other back and forth, and each switch loses the placer's knowledge of the engines.
 func ChoosePlacer(self VM, fleet FleetSize, willing []VM, current string) string {
 	group := candidates(self, fleet, willing)
 	if len(group) == 0 {
@@ -110,12 +111,12 @@
 	return slices.MinFunc(placers, func(a, b VM) int { return rendezvous.Compare(self.Address, a.Address, b.Address) }).Address
 }
 
-// shouldSwitch says whether to move from a placer to another.
+// shouldSwitch reports whether to switch from one placer to another.
 func shouldSwitch(from, to VM) bool {
 	return to.Members >= switchFactor*max(1, from.Members) || to.CPUShare >= switchFactor*from.CPUShare
 }
 
-// candidates are the VMs among which self finds its placer.
+// candidates returns the VMs from which self chooses its placer.
 func candidates(self VM, fleet FleetSize, willing []VM) []VM {
 	sameRegion := slices.DeleteFunc(slices.Clone(willing), func(v VM) bool { return v.Region != self.Region })
 	if !fleet.singleCell() {
@@ -124,10 +125,11 @@
 	return sameRegion
 }
 
-// successorCount is how many VMs hear of a placer's loads in case they have to follow it.
+// successorCount is the number of VMs that receive a placer's loads in case they have to replace
+// it.
 const successorCount = 2
 
-// Successors are those that would place next if the VM self, which places, were lost.
+// Successors returns the VMs that would be placers next if the placer self were lost.
 func Successors(self VM, fleet FleetSize, willing []VM) []string {
 	var next []string
 	for _, v := range RankPlacers(candidates(self, fleet, willing)) {
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -15,7 +15,7 @@
 	return vms
 }
 
-// fleetOf is how many of the VMs are of self's region and failure domain.
+// fleetOf counts the VMs in self's region and failure domain.
 func fleetOf(self VM, vms []VM) FleetSize {
 	var f FleetSize
 	for _, v := range vms {
@@ -29,8 +29,8 @@
 	return f
 }
 
-// A small deployment is one cell over all failure domains, a large one has cells of
-// bounded size within each.
+// A small deployment is one cell over all failure domains; a large one has cells of bounded size
+// within each.
 func TestCellSizes(t *testing.T) {
 	for _, c := range []struct{ vms, domains, placers int }{{8, 4, 1}, {66, 4, 4}, {300, 4, 8}, {1800, 13, 39}} {
 		is := is.New(t)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Symptom: requests waited long for decisions. Sequence: the VMs differ fourfold in
-// processor time and the least of them places for all. The largest place.
+// Guards against long waits for placement decisions: of VMs whose CPU differs fourfold, the
+// smallest was the placer for all. The largest must be the placer.
 func TestLargestVMIsPlacer(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(16, 4)
@@ -65,8 +65,8 @@
 	}
 }
 
-// When the placer is no longer heard, all agree on the next; nobody willing leaves
-// each to itself.
+// When the placer is lost, all VMs agree on the next one. Without any willing VM, each places for
+// itself.
 func TestLostPlacerIsReplaced(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(8, 4)
@@ -85,10 +85,10 @@
 	is.Equal(ChoosePlacer(vms[0], fleetOf(vms[0], vms), nil, ""), "")
 }
 
-// Symptom: what a VM sent grew with the deployment: at 300 VMs 386 KB a second, and
-// nine tenths of that crossed failure domains. Sequence: every VM told its loads to 22
-// others ten times a second, whoever placed requests. Cause: loads were told to all,
-// though few place requests. The load: 1,800 VMs in 13 failure domains.
+// Guards against traffic per VM that grows with the deployment: at 300 VMs each sent 386 KB a
+// second, nine tenths of it across failure domains. Every VM sent its loads to 22 others ten
+// times a second, whether or not they place requests, and few do. The test has 1,800 VMs in 13
+// failure domains.
 func TestTrafficDoesNotGrowWithTheDeployment(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(1800, 13)
@@ -124,10 +124,9 @@
 	is.True(near > 100)
 }
 
-// Symptom: many requests were late for seconds each time a VM came back after a restart.
-// Sequence: the placer restarts; the next one places; the first is back, ranks first
-// again and knows no loads. Cause: the rank was by processor time and hash alone. One
-// that places goes on, unless it has far less processor time.
+// Guards against many late requests for seconds each time a VM restarts. The placer restarts and
+// the next VM takes over; when the first is back, it ranked first again but had no load data,
+// because the rank depended on CPU and hash alone. A placer must stay unless it has far less CPU.
 func TestPlacerIsSticky(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(8, 4)
@@ -150,9 +149,9 @@
 	}
 }
 
-// Symptom: each request waited 120 ms before it was placed. Sequence: eight VMs in two
-// regions, 50 ms apart; the placer is in the other region, and its answers come after the
-// VM has asked three times. Cause: a small deployment was one cell wherever its VMs were.
+// Guards against a wait of 120 ms before each placement. With eight VMs in two regions, 50 ms
+// apart, the placer was in the other region, and its decisions arrived after the VM had asked
+// three times, because a small deployment was one cell across regions.
 func TestCellsStayWithinARegion(t *testing.T) {
 	is := is.New(t)
 	vms := deployment(8, 4)
--- a/core/cell/recipients.go
+++ b/core/cell/recipients.go
@@ -5,39 +5,39 @@
 	"strings"
 )
 
-// Peer is another VM as the choice of recipients sees it.
+// Peer is another VM, as a candidate recipient.
 type Peer struct {
 	Address string
-	// SameDomain says that it is of the own failure domain.
+	// SameDomain reports whether it is in this VM's failure domain.
 	SameDomain bool
-	// IsPlacer says that it places requests by itself: it needs to know loads.
+	// IsPlacer reports whether it places requests itself and therefore needs loads.
 	IsPlacer bool
-	// SameCell says that it is this VM's placer, or asks this one; Successor that it would
-	// place if this one were lost.
+	// SameCell reports whether it is this VM's placer, or this VM is its placer. Successor
+	// reports whether it would be placer next if this VM were lost.
 	SameCell, Successor bool
 }
 
-// Recipients are who gets a note.
+// Recipients are the addresses that receive one peer note.
 type Recipients struct {
-	// Loads get the whole state with loads, State that without, for those of the own
-	// cell that place nothing, Heartbeats only says that the sender lives.
+	// Loads receive the full state with loads. State receive it without loads: they are members
+	// of the sender's cell, which place nothing. Heartbeats receive only a sign of life.
 	Loads, State, Heartbeats []string
 }
 
 const (
-	// maxLoadsSameDomain and farLoads bound those that place and hear of loads at once, of the
-	// own failure domain and of others.
+	// maxLoadsSameDomain and maxLoadsOtherDomains bound the placers that receive loads in one
+	// round, in this VM's failure domain and in others.
 	maxLoadsSameDomain   = 16
 	maxLoadsOtherDomains = 6
-	// maxHeartbeatsSameDomain and farHeartbeats bound heartbeats to all others, so that what a VM
-	// sends does not grow with the deployment.
+	// maxHeartbeatsSameDomain and maxHeartbeatsOtherDomains bound the heartbeats to all other
+	// VMs, so that the traffic of a VM does not grow with the deployment.
 	maxHeartbeatsSameDomain   = 4
 	maxHeartbeatsOtherDomains = 1
 )
 
-// ChooseRecipients chooses who gets the i-th note, all in turns where there are too many:
-// what a VM sends does not grow with the deployment. placesSelf says that the sender
-// places requests by itself, so that others need its loads.
+// ChooseRecipients returns the recipients of the i-th note. Where there are too many it rotates
+// through them, so that the traffic of a VM does not grow with the deployment. selfIsPlacer
+// reports whether the sender places requests itself, so that others need its loads.
 func ChooseRecipients(peers []Peer, i uint64, selfIsPlacer bool) Recipients {
 	var near, far, nearOthers, farOthers []string
 	var r Recipients
@@ -63,7 +63,7 @@
 	return r
 }
 
-// rotate picks n of a list so that all come up equally often.
+// rotate returns n entries of list for round i, so that all are returned equally often.
 func rotate(list []string, n int, i uint64) []string {
 	if len(list) <= n {
 		return list
--- a/core/cell/stay_test.go
+++ b/core/cell/stay_test.go
@@ -9,45 +9,46 @@
 	"github.com/matryer/is"
 )
 
-// fleet is VMs that hear each other by notes in turns, as a running deployment does.
+// fleet simulates VMs that send each other notes in rotation, as in a deployment.
 type fleet struct {
 	vms []*fleetVM
-	// index finds VMs by address.
+	// index maps addresses to indexes of vms.
 	index map[string]int
 	size  FleetSize
 	step  uint64
-	// changes counts changes of placers since it was last set to nothing.
+	// changes counts changes of placers since it was last reset.
 	changes int
 }
 
-// fleetVM is one VM and what it heard of others, by their index.
+// fleetVM is one VM, with the state it received from others by their index.
 type fleetVM struct {
 	VM
-	// startedAt and chosenAt are when it started and when it chosenAt its placer.
+	// startedAt and chosenAt are the steps at which it started and at which it chose its placer.
 	startedAt, chosenAt uint64
 	placer              string
 	stopped             bool
 	surplus             SurplusDetector
 	steppedDown         bool
 	peers               []peerState
-	// lastAsked is when each VM that asks this one last said so.
+	// lastAsked is the step at which each member last asked this VM.
 	lastAsked map[string]uint64
 }
 
-// peerState is what was heard of a VM: at which step, and how many members it had.
+// peerState is the last note received from a VM: the step, its number of members, whether it has
+// another placer (asks), and whether it offers to place.
 type peerState struct {
 	at      uint64
 	members int
 	asks    bool
 	willing bool
-	// silent placers are left out until they are heard again.
+	// silent placers are ignored until they send a note again.
 	silent bool
 }
 
 const (
 	stepDuration = 100 * time.Millisecond
-	// livenessSteps and fleetSilent are after how many steps of a tenth of a second a VM, and
-	// a placer, counts as gone; fleetReady is after how many a process is willing.
+	// livenessSteps and placerTimeoutSteps are the numbers of steps after which a VM and a placer
+	// count as lost, readySteps the number after which a process is willing to place.
 	livenessSteps      = 48
 	placerTimeoutSteps = 4
 	readySteps         = 20
@@ -82,10 +83,10 @@
 	return n
 }
 
-// ready says whether a VM would place for others.
+// ready reports whether a VM would place for others.
 func (v *fleetVM) ready(step uint64) bool { return step-v.startedAt >= readySteps && !v.steppedDown }
 
-// updatePlacer lets a VM updatePlacer its placer from what it heard.
+// updatePlacer makes a VM choose its placer from the state it received.
 func (f *fleet) updatePlacer(i int) {
 	v := f.vms[i]
 	self := v.VM
@@ -125,7 +126,7 @@
 	}
 }
 
-// sendNote lets a VM send its note to those whose turn it is.
+// sendNote makes a VM send its note to the recipients of this step.
 func (f *fleet) sendNote(i int) {
 	v := f.vms[i]
 	places := v.placer == v.Address
@@ -153,7 +154,7 @@
 	}
 }
 
-// run lets a number of tenths of a second pass.
+// run simulates a number of steps.
 func (f *fleet) run(steps int) {
 	for range steps {
 		f.step++
@@ -166,7 +167,7 @@
 	}
 }
 
-// countByPlacer are how many VMs ask each placer.
+// countByPlacer returns the number of VMs that use each placer.
 func (f *fleet) countByPlacer() map[string]int {
 	n := make(map[string]int)
 	for _, v := range f.vms {
@@ -177,11 +178,11 @@
 	return n
 }
 
-// Symptom: over a fleet of 295 VMs without a fault 380 changes of placers a second; most
-// VMs went to and fro between the same two each half second, and 26 placed where 6 are
-// enough. Each change loses what the placer knew. Sequence: heartbeats come in turns, so
-// VMs heard the numbers of members of another moment each; those decided who places. Cause:
-// a VM stayed with its placer only in failure domains of up to 24 VMs. The load: domains of
+// Guards against unstable placers in large failure domains: in a fleet of 295 VMs without a fault
+// there were 380 changes of placer a second. Most VMs switched between the same two each half
+// second, and 26 VMs were placers where 6 suffice. Each change loses the placer's state. Notes
+// come in rotation, so each VM had the member counts of a different moment, and those decided who
+// places. VMs kept their placer only in failure domains of up to 24 VMs. The test has domains of
 // 11, 49 and 138 VMs without a fault, for ten seconds after the first eight.
 func TestPlacersAreStableInLargeDomains(t *testing.T) {
 	for _, c := range []struct{ vms, domains, placers int }{{66, 6, 6}, {147, 3, 3}, {138, 1, 3}} {
@@ -191,17 +192,17 @@
 			f.run(80)
 			f.changes = 0
 			f.run(100)
-			t.Logf("%d changes, %d placers", f.changes, len(f.countByPlacer()))
+			t.Logf("%d changes of placer, %d placers", f.changes, len(f.countByPlacer()))
 			is.Equal(f.changes, 0)
 			is.Equal(len(f.countByPlacer()), c.placers)
 		})
 	}
 }
 
-// Symptom: VMs that had nothing to do with a lost placer changed theirs. Sequence: a placer
-// is lost; others' numbers of members change; VMs that hear of it move too. Cause: as above.
-// The load: 147 VMs in three failure domains; one placer is lost, and starts again three
-// seconds later.
+// Guards against changes at VMs that did not use the lost placer: when a placer is lost, the
+// member counts of others change, and VMs that received the new counts switched too. The cause is
+// the same as in TestPlacersAreStableInLargeDomains. The test has 147 VMs in three failure
+// domains; one placer is lost, and restarts three seconds later.
 func TestLostPlacerMovesOnlyItsMembers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(147, 3)
@@ -215,13 +216,13 @@
 	asked := f.countByPlacer()[lost.Address]
 	f.changes, lost.stopped = 0, true
 	f.run(30)
-	t.Logf("%d asked it, %d changes", asked, f.changes)
-	// Each of them may place for itself before it finds the next one.
+	t.Logf("lost placer had %d members; %d changes of placer", asked, f.changes)
+	// Each of its members may place for itself before it finds the next placer.
 	is.True(f.changes <= 2*asked+147/20)
 	is.Equal(f.countByPlacer()[lost.Address], 0)
 	f.changes = 0
 	f.start(lost)
 	f.run(100)
-	t.Logf("%d changes after its restart", f.changes)
+	t.Logf("%d changes of placer after its restart", f.changes)
 	is.True(f.changes <= 147/20)
 }
--- a/core/cell/surplus.go
+++ b/core/cell/surplus.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// When VMs start together, or a failure domain was cut, more VMs than needed may have been
-// chosen as placers, each by some. All who ask them stay where they are, and several
-// placers fill the same engines twice. The placer itself steps down: it hears the others
-// ten times a second, and one that decides moves its members once, where members that
-// compare placers by what they heard seconds apart go to and fro.
+// When VMs start together, or after a failure domain was partitioned, different VMs may have
+// chosen different placers, so that there are more placers than needed. Members keep their
+// placer, and several placers then assign the same engine slots twice. Therefore a surplus placer
+// itself steps down. It receives the other placers' notes ten times a second, and its decision
+// moves its members once. Members that compared placers by notes received seconds apart would
+// switch back and forth.
 
 const (
-	// surplusDelay is how long a placer must have been beyond the number that should place:
-	// members that are just moving are counted within a second.
+	// surplusDelay is how long a placer must be surplus before it steps down: members that are
+	// just switching are counted within a second.
 	surplusDelay = 2 * time.Second
-	// stepDownPeriod is how long it offers itself no more: twice the time in which all VMs of a
-	// failure domain of 138 hear of it.
+	// stepDownPeriod is how long it does not offer to place: twice the time in which all VMs of a
+	// failure domain of 138 receive that.
 	stepDownPeriod = 8 * time.Second
 )
 
-// IsSurplus says whether self places for others though as many VMs as should place have
-// more members. willing are the VMs that are heard, self included.
+// IsSurplus reports whether self has members although as many VMs as should be placers rank
+// before it and have members. willing are the live VMs that offer to place, including self.
 func IsSurplus(self VM, fleet FleetSize, willing []VM) bool {
 	if self.Members == 0 {
 		return false
@@ -31,20 +32,22 @@
 	return rank >= fleet.placerCount() && ranked[fleet.placerCount()-1].Members > 0
 }
 
-// HasActivePlacer says whether a VM other than self, of those that may place for it, does so for
-// others already. willing are the VMs that are heard.
+// HasActivePlacer reports whether a VM other than self, among those that may place for it, has
+// members already. willing are the live VMs that offer to place.
 func HasActivePlacer(self VM, fleet FleetSize, willing []VM) bool {
 	return slices.ContainsFunc(candidates(self, fleet, willing), func(v VM) bool { return v.Address != self.Address && v.Members > 0 })
 }
 
-// SurplusDetector decides when a placer steps down. The zero value has seen nothing.
+// SurplusDetector decides when a placer steps down. Its zero value is ready to use.
 type SurplusDetector struct {
-	// surplusSince is when it was first seen to be one too many, downUntil when it offers no places.
+	// surplusSince is when the placer was first seen to be surplus, downUntil is the time until
+	// which it does not offer to place.
 	surplusSince, downUntil time.Duration
 	wasSurplus              bool
 }
 
-// ShouldStepDown says whether to offer no places now, from whether this VM is one too many.
+// ShouldStepDown reports whether this VM should not offer to place now, given whether it is
+// surplus.
 func (s *SurplusDetector) ShouldStepDown(now time.Duration, isSurplus bool) bool {
 	switch {
 	case now < s.downUntil:
