--- a/core/rollout/choose.go
+++ b/core/rollout/choose.go
@@ -8,16 +8,17 @@
 	"github.com/chivefield/chivefield/rendezvous"
 )
 
-// minCanaryEndpoints is the least number of endpoints that are tried, if there are so many: of one
-// alone nobody can say whether it or the version is sick.
+// minCanaryEndpoints is the minimum number of canary endpoints, if the new version has as many.
+// With a single one, a faulty endpoint cannot be told from a bad version.
 const minCanaryEndpoints = 2
 
-// maxSlots bounds the endpoints of the new version that are told apart in the evidence, so that
-// what VMs tell each other does not grow with the service.
+// maxSlots bounds the number of groups into which evidence divides the endpoints of the new
+// version, so that the reports that VMs exchange do not grow with the service.
 const maxSlots = 16
 
-// AssignSlots numbers the endpoints of the new version from 1 on, by their keys, as evidence tells them
-// apart. All VMs that know the same endpoints number them alike; of many several share a number.
+// AssignSlots maps the keys of the new version's endpoints to the numbers, from 1 on, under which
+// evidence counts them. All VMs that know the same endpoints compute the same numbers. If there
+// are more than maxSlots endpoints, several share a number.
 func AssignSlots(keys []string) map[string]uint64 {
 	slots := make(map[string]uint64, len(keys))
 	for i, key := range slices.Sorted(slices.Values(keys)) {
@@ -26,9 +27,9 @@
 	return slots
 }
 
-// CanaryEndpoints picks the endpoints of the new version that get the requests of trials, by
-// their keys: so few that each gets about as many as one of the old version, since a version
-// that is bad under load looks good without. All VMs pick the same.
+// CanaryEndpoints returns the keys of the new version's endpoints that serve canary requests: so
+// few that each gets about as many requests as an endpoint of the old version, since a version
+// that is bad under load looks good without. All VMs choose the same endpoints.
 func (o Order) CanaryEndpoints(keys []string, old int, share float64) map[string]bool {
 	n := max(minCanaryEndpoints, int(math.Round(share*float64(old))))
 	ranked := slices.Clone(keys)
--- a/core/rollout/decide.go
+++ b/core/rollout/decide.go
@@ -3,71 +3,74 @@
 import "time"
 
 const (
-	// minShiftShare and mostMove bound the part of the order's time that is kept for moving
-	// requests and for the old version's last answers. Before it the new version is tried, so
-	// that faults that come late are seen while it gets a bounded share.
+	// minShiftShare and maxShiftShare bound the fraction of the order's time that is reserved for
+	// shifting requests and for the last responses of the old version. Until then the new version
+	// is in the canary phase, so that faults that appear late are seen while its share of
+	// requests is bounded.
 	minShiftShare = 0.2
 	maxShiftShare = 0.4
-	// shiftMargin is what moving takes beside the longest answer: to tell all VMs, to hear
-	// that nothing runs any more, and to write the verdict.
+	// shiftMargin is the time that shifting takes in addition to the longest response: to inform
+	// all VMs, to learn that nothing runs at the old version any more, and to write the verdict.
 	shiftMargin = 1500 * time.Millisecond
-	// minAnswers of each version are wanted for a comparison. A version that is suspect is
-	// tried for doubtPart of the time kept for moving longer.
+	// minAnswers is the number of responses of each version that a comparison needs. A suspect
+	// version stays in the canary phase longer by suspectExtensionShare of the time reserved for
+	// shifting.
 	minAnswers            = 20
 	suspectExtensionShare = 0.25
-	// maxHealthyFailureShare is the share of failures up to which a version needs no comparison.
+	// maxHealthyFailureShare is the fraction of failures up to which a version needs no
+	// comparison.
 	maxHealthyFailureShare = 0.05
-	// negligibleRequests are so few that any version may get them.
+	// negligibleRequests are so few that any version may receive them.
 	negligibleRequests = 15
-	// giveUpFactor is after how many times the order's time a version that cannot be judged is
-	// rolled back.
+	// giveUpFactor is the multiple of the order's time after which a version that cannot be judged
+	// is rolled back.
 	giveUpFactor = 2
-	// finishShare of the order's time, finishMost at most, is left when a move is completed: until
-	// then the old version's endpoints are there to go back to.
+	// finishShare is the fraction of the order's time, at most maxFinish, that is left when the
+	// rollout is completed. Until then the endpoints of the old version are kept for a rollback.
 	finishShare = 0.1
 	maxFinish   = 2 * time.Second
-	// soleVersionDelay is how long a version must be the only one before a roll-out to it counts as done
-	// without a trial: the registry may list the old one a moment later.
+	// soleVersionDelay is how long a version must be the only one listed before a rollout to it
+	// skips the canary phase: the registry may list the old version a moment later.
 	soleVersionDelay = time.Second
 )
 
-// State is what is known of a roll-out at a moment.
+// State is the state of a rollout that a decision is based on.
 type State struct {
-	// Age is the time since the order, as far as any VM knows.
-	Age time.Duration
-	// Finding is the strongest evidence against the version.
+	// Age is the time since the earliest receipt of the order by any VM.
+	Age     time.Duration
 	Finding Finding
-	// Answers came from the new version, of which Failures failed, OldAnswers from the old one.
+	// Answers counts responses of the new version, Failures those of them that failed, OldAnswers
+	// responses of the old version.
 	Answers, Failures, OldAnswers int
-	// LongestAnswer is the longest time that an answer took at either version.
+	// LongestAnswer is the longest time that a response of either version took.
 	LongestAnswer time.Duration
-	// NewListed and OldListed are the endpoints of the versions in the registry.
+	// NewListed and OldListed are the numbers of endpoints of the versions in the registry.
 	NewListed, OldListed int
-	// Drained says that every VM sends all requests to the new version, and that nothing
-	// runs at the old one.
+	// Drained reports whether every VM sends all requests to the new version and none runs at the
+	// old one.
 	Drained bool
-	// Held says that an operator wants no requests moved.
+	// Held reports whether an operator wants no requests shifted.
 	Held bool
 }
 
-// comparable says whether both versions answered enough for a comparison.
+// comparable reports whether there are enough responses of both versions for a comparison.
 func (s *State) comparable() bool { return s.Answers >= minAnswers && s.OldAnswers >= minAnswers }
 
-// healthy says whether the new version fails so rarely that nothing need be compared: what was
-// known of the old one may be lost with processes that ended.
+// healthy reports whether the new version fails so rarely that no comparison is needed. The
+// counts of the old version may be lost with processes that ended.
 func (s *State) healthy() bool {
 	return s.Answers >= minAnswers && s.Failures <= int(maxHealthyFailureShare*float64(s.Answers))
 }
 
-// negligible says whether so few requests came in the whole time of the order that a bad version
-// harms few if it gets them all. Sooner nobody can say: processes that ended took with them what
-// they had counted.
+// negligible reports whether there were so few requests in the whole time of the order that a bad
+// version does little harm if it receives them all. It returns false before the order's time has
+// passed, because processes that ended took their counts with them.
 func (o Order) negligible(s *State) bool {
 	perSecond := float64(s.Answers+s.OldAnswers) / max(time.Second, s.Age).Seconds()
 	return s.Age >= o.Duration && perSecond*fraction(minShiftShare, o.Duration).Seconds() <= negligibleRequests
 }
 
-// Decide returns the phase that follows from what is known. It never returns an earlier phase.
+// Decide returns the phase that follows from the state. It never returns an earlier phase.
 func (o Order) Decide(phase Phase, s State) Phase {
 	switch {
 	case phase.Final():
@@ -84,7 +87,8 @@
 	shiftDue := s.Age >= o.latestShiftStart(s.LongestAnswer)
 	switch {
 	case s.NewListed == 0 || s.Finding.Untrusted():
-		// Nothing to move to, or not to be trusted: what is asked cannot be done in time.
+		// There is no endpoint to shift to, or the version is untrusted: the order cannot be
+		// completed in time.
 		if s.Age >= o.Duration {
 			return RolledBack
 		}
@@ -98,7 +102,7 @@
 	case o.negligible(s):
 		return Shifting
 	case !s.comparable():
-		// Better late than unknown.
+		// A late verdict is better than a shift without a comparison.
 		if s.Age >= giveUpFactor*o.Duration {
 			return RolledBack
 		}
@@ -127,13 +131,15 @@
 	return Shifting
 }
 
-// ShiftStart is the age from which requests move, if an answer takes so long at most.
+// ShiftStart returns the age of the order at which requests start to shift, if responses take at
+// most longest.
 func (o Order) ShiftStart(longest time.Duration) time.Duration {
 	need := longest + shiftMargin + o.RampDuration()
 	return o.Duration - min(max(need, fraction(minShiftShare, o.Duration)), fraction(maxShiftShare, o.Duration))
 }
 
-// latestShiftStart is the age from which requests move though some doubt is left.
+// latestShiftStart returns the age of the order at which requests start to shift even if the
+// version is suspect.
 func (o Order) latestShiftStart(longest time.Duration) time.Duration {
 	at := o.ShiftStart(longest)
 	return at + fraction(suspectExtensionShare, o.Duration-at)
--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// buckets of a Histogram: each is half a power of two wide, from firstBucket on.
+// buckets is the number of buckets of a Histogram. Each is half a power of two wide, from
+// firstBucket on.
 const (
 	buckets     = 26
 	firstBucket = time.Millisecond
 )
 
-// Histogram counts times, by buckets that each are about 1.4 times the one before.
+// Histogram counts durations in buckets whose bounds grow by a factor of about 1.4.
 type Histogram [buckets]uint32
 
-// bucketOf is the bucket of a time.
+// bucketOf returns the bucket of a duration.
 func bucketOf(d time.Duration) int {
 	if d <= firstBucket {
 		return 0
@@ -24,13 +25,13 @@
 	return min(buckets-1, int(b))
 }
 
-// Observe counts a time.
+// Observe counts a duration.
 func (h *Histogram) Observe(d time.Duration) { h[bucketOf(d)]++ }
 
-// Total is the number of times counted.
+// Total returns the number of durations counted.
 func (h *Histogram) Total() int { return h.CountFrom(0) }
 
-// CountFrom is the number of times in a bucket and those above.
+// CountFrom returns the number of durations in a bucket and those above.
 func (h *Histogram) CountFrom(bucket int) int {
 	n := 0
 	for _, c := range h[min(bucket, buckets):] {
@@ -39,7 +40,7 @@
 	return n
 }
 
-// MedianBucket is the bucket of the median.
+// MedianBucket returns the bucket of the median.
 func (h *Histogram) MedianBucket() int {
 	half, n := (h.Total()+1)/2, 0
 	for b, c := range h {
@@ -68,22 +69,24 @@
 	}
 }
 
-// saturatingSub is the difference of two counts, of which the first should be the greater.
+// saturatingSub returns a-b, or 0 if b is greater.
 func saturatingSub(a, b uint32) uint32 { return a - min(a, b) }
 
-// Counts are answers of one group. They only grow.
+// Counts are the responses of one group. They only grow.
 type Counts struct {
 	Answers uint32
-	// Failures are answers that say so or cannot be trusted, Cuts requests that broke off or
-	// fell silent. They are compared apart: a broken link cuts off what goes to one endpoint,
-	// whatever its version, and would hide a version that answers with failures.
+	// Failures are responses that report a failure or cannot be trusted, Cuts requests whose
+	// connection broke or that got no response. They are compared separately: a broken link cuts
+	// off the requests to one endpoint, whatever its version, and would hide a version that
+	// responds with failures.
 	Failures, Cuts uint32
-	// FirstEvent are the times to the first event of a stream, WholeAnswer those to the end of an
-	// answer. Those of endpoints that had just started are left out.
+	// FirstEvent are the times to the first event of a stream, WholeAnswer those to the end of a
+	// response. They exclude endpoints that had just started.
 	FirstEvent, WholeAnswer Histogram
 }
 
-// max takes the greater of each count: what another VM told later says more.
+// max sets each count to the maximum of both: the later report of a source has the higher
+// counts.
 func (c *Counts) max(other Counts) {
 	c.Answers, c.Failures, c.Cuts = max(c.Answers, other.Answers), max(c.Failures, other.Failures), max(c.Cuts, other.Cuts)
 	c.FirstEvent.max(&other.FirstEvent)
@@ -104,33 +107,35 @@
 	c.WholeAnswer.subtract(&other.WholeAnswer)
 }
 
-// Group names answers that are counted together: those of a route by the old version, or by
-// one endpoint of the new version, since one endpoint that fails does not make a bad version.
+// Group identifies responses that are counted together: those of a route by the old version, or
+// by one endpoint of the new version, since a single failing endpoint does not make a version
+// bad.
 type Group struct {
 	Route string
-	// Endpoint is the number of one of the new version (Slots), 0 for the old version.
+	// Endpoint is the number of an endpoint of the new version (AssignSlots), 0 for the old
+	// version.
 	Endpoint uint64
 }
 
-// Evidence is what was seen, by group.
+// Evidence maps groups to their counts.
 type Evidence map[Group]Counts
 
-// Update adds an answer to its group.
+// Update applies a change to the counts of a group.
 func (e Evidence) Update(g Group, add func(*Counts)) {
 	c := e[g]
 	add(&c)
 	e[g] = c
 }
 
-// Add adds what was seen elsewhere.
+// Add adds the counts of other evidence.
 func (e Evidence) Add(other Evidence) {
 	for g, c := range other {
 		e.Update(g, func(sum *Counts) { sum.add(c) })
 	}
 }
 
-// Since is what was added to earlier evidence. If requests move, all of the old version's
-// answers count: it gets none any more to compare with.
+// Since returns the counts added since earlier evidence. While requests shift, all responses of
+// the old version are included, because it gets no further requests to compare with.
 func (e Evidence) Since(earlier Evidence, shifting bool) Evidence {
 	added := make(Evidence, len(e))
 	for g, c := range e {
@@ -142,8 +147,8 @@
 	return added
 }
 
-// Totals are the answers of the new version, those of them that failed or were cut off, and the
-// answers of the old one.
+// Totals returns the responses of the new version, those of them that failed or were cut off, and
+// the responses of the old version.
 func (e Evidence) Totals() (answers, failures, old int) {
 	for g, c := range e {
 		if g.Endpoint == 0 {
@@ -156,7 +161,8 @@
 	return answers, failures, old
 }
 
-// LongestAnswer is the longest time that an answer took at either version, up to a bucket.
+// LongestAnswer returns the longest time that a response of either version took, rounded up to
+// the end of its bucket.
 func (e Evidence) LongestAnswer() time.Duration {
 	maxBucket := 0
 	for _, c := range e {
@@ -170,17 +176,16 @@
 	return time.Duration(float64(firstBucket) * math.Exp2(float64(maxBucket+1)/2))
 }
 
-// Aggregator is the evidence of several sources: of processes, or of the VMs of a failure domain.
-// A source that is gone keeps what it told.
+// Aggregator merges the evidence of several sources: of processes, or of the VMs of a failure
+// domain. It keeps the evidence of sources that are gone.
 type Aggregator struct {
 	sources map[string]Evidence
 }
 
-// NewAggregator returns a ledger that knows nothing.
+// NewAggregator returns an empty aggregator.
 func NewAggregator() *Aggregator { return &Aggregator{sources: make(map[string]Evidence)} }
 
-// Merge takes in what a source says it has seen since it began, in any order and however
-// often.
+// Merge merges the cumulative evidence of a source. It is idempotent and commutative.
 func (a *Aggregator) Merge(source string, e Evidence) {
 	known := a.sources[source]
 	if known == nil {
@@ -192,7 +197,7 @@
 	}
 }
 
-// Sum is the evidence of all sources together.
+// Sum returns the sum of the evidence of all sources.
 func (a *Aggregator) Sum() Evidence {
 	sum := make(Evidence)
 	for _, e := range a.sources {
--- a/core/rollout/gate.go
+++ b/core/rollout/gate.go
@@ -3,31 +3,35 @@
 import "time"
 
 const (
-	// canaryShareOfBound is the part of the share that a bad version may get of the operator's bound
-	// that trials use. The rest is for requests that reach the new version before a VM has
-	// heard of the order, and for the time that a verdict takes while requests move.
+	// canaryShareOfBound is the fraction of the operator's bound on exposure that canary requests
+	// use. The rest is for requests that reach the new version before a VM has received the
+	// order, and for the time that a verdict takes while requests shift.
 	canaryShareOfBound = 0.75
-	// grantShare is the part of the fixed amount that a bad version may get which trials use: a
-	// service with few requests would learn nothing of it otherwise.
+	// grantShare is the fraction of the fixed number of requests that a bad version may receive
+	// which canary requests use. Without it a service with few requests would collect no
+	// evidence.
 	grantShare = 0.5
-	// maxSaved bounds what a gate saves while no endpoint of the new version has room:
-	// saved trials of all VMs would fall on a few endpoints at once.
+	// maxSaved bounds the credit that a gate saves while no endpoint of the new version has
+	// capacity. The saved canary requests of all VMs would otherwise reach a few endpoints at
+	// once.
 	maxSaved = 1
-	// rampShare is the part of the order's time over which requests move, and mostRamp bounds it.
+	// rampShare is the fraction of the order's time over which requests shift, and maxRamp its
+	// maximum.
 	rampShare = 0.1
 	maxRamp   = 2 * time.Second
 )
 
-// CanaryShare is the share of requests that go to a new version while it is tried, for the
-// share that a bad version may get at most.
+// CanaryShare returns the fraction of requests that go to a new version in the canary phase.
+// bound is the largest fraction that a bad version may receive.
 func CanaryShare(bound float64) float64 { return canaryShareOfBound * bound }
 
-// RampDuration is the time over which requests move to the new version.
+// RampDuration returns the time over which requests shift to the new version.
 func (o Order) RampDuration() time.Duration {
 	return min(maxRamp, time.Duration(rampShare*float64(o.Duration)))
 }
 
-// InitialGrant is one VM's part of the fixed number of requests that a bad version may get.
+// InitialGrant returns one VM's share of the fixed number of requests that a bad version may
+// receive.
 func InitialGrant(slack float64, vms int) float64 {
 	if vms == 0 {
 		return 0
@@ -35,26 +39,27 @@
 	return grantShare * slack / float64(vms)
 }
 
-// Gate bounds the requests that one process sends to the new version: each that it sends for
-// the service earns a share of one. A process that starts has earned nothing, so restarts
+// Gate limits the requests that one process sends to the new version: each request that it sends
+// to the service earns credit for a fraction of one. A process starts without credit, so restarts
 // add nothing to the sum.
 type Gate struct {
 	balance float64
-	// granted is what it began with.
+	// granted is the initial balance.
 	granted float64
 }
 
-// NewGate returns a gate that begins with a grant. Only a process that hears of an order as it
-// comes may have one, once: the next process of its VM cannot know whether it was spent.
+// NewGate returns a gate with an initial grant. Only a process that receives an order when it is
+// issued may use a grant, and only once: the VM's next process cannot know whether it was spent.
 func NewGate(grant float64) Gate { return Gate{balance: grant, granted: grant} }
 
-// maxBalance is the maxBalance that is saved.
+// maxBalance returns the maximum balance.
 func (g *Gate) maxBalance() float64 { return maxSaved + g.granted }
 
-// RecordSent notes that a request left for the service for the first time. share is what it earns.
+// RecordSent records that a request was sent to the service for the first time. share is the
+// credit that it earns.
 func (g *Gate) RecordSent(share float64) { g.balance = min(g.maxBalance(), g.balance+share) }
 
-// TryTake takes one request off the balance, and says whether there was enough.
+// TryTake takes one request off the balance and reports whether the balance sufficed.
 func (g *Gate) TryTake() bool {
 	if g.balance < 1 {
 		return false
@@ -63,5 +68,5 @@
 	return true
 }
 
-// Refund gives back a request that did not go to the new version.
+// Refund returns the credit of a request that was not sent to the new version.
 func (g *Gate) Refund() { g.balance = min(g.maxBalance(), g.balance+1) }
--- a/core/rollout/order.go
+++ b/core/rollout/order.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Order asks that a service's requests move to endpoints of another version.
+// Order is an operator's order to shift a service's requests to endpoints of another version.
 type Order struct {
 	Service string
-	// Version is that of the endpoints to move to.
+	// Version is the version to shift to.
 	Version string
 	// Duration is the time in which the operator wants a verdict.
 	Duration time.Duration
 }
 
-// SameTarget says whether two orders ask for the same. An operator who writes an order again, as
-// after the store lost it, does not begin it anew.
+// SameTarget reports whether two orders have the same service and version. An order that is
+// written again, for instance after the store lost it, does not restart the rollout.
 func (o Order) SameTarget(other Order) bool {
 	return o.Service == other.Service && o.Version == other.Version
 }
 
-// Phase is how far a roll-out is.
+// Phase is the phase of a rollout.
 type Phase int
 
-// Phases, in the order in which they replace one another.
+// Phases, in increasing order of precedence.
 const (
 	// Canary: a bounded share of the requests goes to the new version.
 	Canary Phase = iota
-	// Shifting: a growing share goes there, in the end all, and what runs at the old version
-	// goes on to its end.
+	// Shifting: a growing share of the requests, in the end all, goes to the new version.
+	// Requests that run at the old version are completed there.
 	Shifting
-	// RolledBack: the new version gets nothing any more.
+	// RolledBack: the new version gets no more requests.
 	RolledBack
 	// Completed: the old version is gone.
 	Completed
@@ -35,11 +35,11 @@
 
 var phaseNames = [...]string{"trying", "moving", "rolled_back", "completed"}
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Final says whether the phase is a verdict.
+// Final reports whether the phase is a verdict.
 func (p Phase) Final() bool { return p >= RolledBack }
 
-// Merge is the phase that two VMs agree on.
+// Merge returns the phase that results from those of two VMs.
 func (p Phase) Merge(other Phase) Phase { return max(p, other) }
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -13,18 +13,20 @@
 	"pgregory.net/rapid"
 )
 
-// version is how a version answers in the model.
+// version describes the responses of a version in the model.
 type version struct {
-	// failures is the part of its answers that fail, slow that which takes factor times as long.
+	// failures is the fraction of its responses that fail, slow the fraction that takes factor
+	// times as long.
 	failures, slow, factor float64
-	// from is after what part of the order's time it is so; before it is like the old one.
+	// from is the fraction of the order's time after which this applies; before it the version
+	// behaves like the old one.
 	from float64
-	// route is the only one on which it is so; empty for all.
+	// route is the only route to which this applies; empty for all.
 	route string
 }
 
-// model plays a service whose requests come at random and answers that take times spread as
-// engines' are, by a factor of two either way for one in ten.
+// model simulates a service with random requests. The times of responses vary as those of engines
+// do, by a factor of two either way for one in ten.
 type model struct {
 	rng        *rand.Rand
 	order      Order
@@ -38,25 +40,25 @@
 const (
 	stepDuration   = 100 * time.Millisecond
 	logNormalSigma = 0.55
-	// maxAnswerTime is how long the longest answers take.
+	// maxAnswerTime is the time that the longest responses take.
 	maxAnswerTime = time.Second
-	// What a bad version may get, and how many bad answers it may give before it must
-	// soon be stopped.
+	// exposureShare and exposureSlack bound the requests that a bad version may receive. After
+	// badAnswerLimit bad responses it must soon be stopped.
 	exposureShare, exposureSlack = 0.1, 50
 	badAnswerLimit               = 50
 )
 
 var modelRoutes = []string{"long", "short", "plain"}
 
-// result is what became of a roll-out.
+// result is the result of a simulated rollout.
 type result struct {
 	phase Phase
 	at    time.Duration
-	// answers and bad are those of the new version until then, sinceMany is the time since
-	// it had given as many bad ones as a bad version may before it must soon be stopped.
+	// answers and bad count responses of the new version until then. overLimitFor is the time
+	// since bad reached badAnswerLimit.
 	answers, bad int
 	overLimitFor time.Duration
-	// exposed of all requests of the order's time reached the new version.
+	// exposed of all requests in the order's time reached the new version.
 	exposed, all int
 	finding      Finding
 }
@@ -82,7 +84,7 @@
 	return failed || slow
 }
 
-// run plays an order to its verdict, and beyond to the end of its time.
+// run simulates an order up to its verdict, and on to the end of its time.
 func (m *model) run() result {
 	e := make(Evidence)
 	watch := NewMonitor(m.order)
@@ -122,7 +124,7 @@
 	return r
 }
 
-// shareAt is the share of the requests that the new version gets.
+// shareAt returns the fraction of the requests that goes to the new version.
 func (m *model) shareAt(p Phase, shifting time.Duration) float64 {
 	switch p {
 	case Canary:
@@ -142,26 +144,26 @@
 	}
 }
 
-// A version that is bad in any of the ways in which versions are bad is convicted. Once it has
-// given 50 bad answers it must be stopped within 5 s, of which one is left for telling all VMs.
+// A version that is bad in any of the usual ways is rolled back. After 50 bad responses it must
+// be stopped within 5 s, of which one is left for informing all VMs.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	const seeds, stopWithin = 40, 4 * time.Second
 	for _, c := range []struct {
 		name string
 		v    version
-		// within is the part of the seeds that must be rolled back in time.
+		// within is the fraction of the seeds that must be rolled back in time.
 		within float64
 	}{
 		{"10% failures", version{failures: 0.1}, 0.9},
 		{"20% failures", version{failures: 0.2}, 1},
 		{"40% failures", version{failures: 0.4}, 1},
-		{"40% failures from half of the time on", version{failures: 0.4, from: 0.5}, 0.9},
+		{"40% failures in the second half", version{failures: 0.4, from: 0.5}, 0.9},
 		{"40% failures on one route", version{failures: 0.4, route: "short"}, 1},
 		{"4 times slower", version{slow: 1, factor: 4}, 1},
 		{"8 times slower", version{slow: 1, factor: 8}, 1},
 		{"30% 8 times slower", version{slow: 0.3, factor: 8}, 0.9},
 		{"8 times slower on one route", version{slow: 1, factor: 8, route: "short"}, 1},
-		{"8 times slower from half of the time on", version{slow: 1, factor: 8, from: 0.5}, 0.9},
+		{"8 times slower in the second half", version{slow: 1, factor: 8, from: 0.5}, 0.9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []time.Duration
@@ -176,34 +178,35 @@
 					t.Errorf("seed %d: %v after %v: %d of %d requests reached the new version", seed, r.phase, r.at, r.exposed, r.all)
 				}
 				if r.overLimitFor > stopWithin {
-					t.Errorf("seed %d: convicted %v after %d bad answers, at most %v", seed, r.overLimitFor, badAnswerLimit, stopWithin)
+					t.Errorf("seed %d: stopped %v after %d bad responses, want at most %v", seed, r.overLimitFor, badAnswerLimit, stopWithin)
 				}
 				took, answers, bad = append(took, r.at), append(answers, r.answers), append(bad, r.bad)
 			}
 			slices.Sort(took)
 			slices.Sort(answers)
 			slices.Sort(bad)
-			t.Logf("%d of %d rolled back; median and most: after %v, %v; %d, %d answers; %d, %d bad",
+			t.Logf("%d of %d rolled back; median and maximum: after %v, %v; %d, %d responses; %d, %d bad",
 				rolledBack, seeds, took[seeds/2], took[seeds-1], answers[seeds/2], answers[seeds-1], bad[seeds/2], bad[seeds-1])
 			if float64(rolledBack) < c.within*seeds {
-				t.Errorf("%d of %d rolled back", rolledBack, seeds)
+				t.Errorf("only %d of %d rolled back", rolledBack, seeds)
 			}
 		})
 	}
 }
 
-// modelSeeds is how many roll-outs of good versions are played; 1,000 and more by hand.
-var modelSeeds = flag.Int("model-seeds", 100, "roll-outs of good versions to play")
+// modelSeeds is the number of simulated rollouts of good versions; use 1,000 and more in manual
+// runs.
+var modelSeeds = flag.Int("model-seeds", 100, "number of simulated rollouts of good versions")
 
-// A good version is taken for bad in less than one of a thousand roll-outs, also where a little
-// is slower since its caches are empty, and is completed in time.
+// A good version is rolled back in less than one of a thousand rollouts, also where some
+// responses are slower because its caches are empty, and it is completed in time.
 func TestGoodVersionsAreCompleted(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		v    version
 	}{
-		{"alike", version{failures: 0.01}},
-		{"a tenth takes half as long again", version{failures: 0.01, slow: 0.1, factor: 1.5}},
+		{"identical", version{failures: 0.01}},
+		{"a tenth 1.5 times slower", version{failures: 0.01, slow: 0.1, factor: 1.5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -217,16 +220,16 @@
 					late++
 				}
 			}
-			t.Logf("of %d: %d convicted, %d late", *modelSeeds, rolledBack, late)
+			t.Logf("of %d: %d rolled back, %d late", *modelSeeds, rolledBack, late)
 			if most := *modelSeeds / 1000; rolledBack > most || late > most {
-				t.Errorf("of %d good versions %d were convicted and %d late, at most %d", *modelSeeds, rolledBack, late, most)
+				t.Errorf("of %d good versions %d were rolled back and %d late, want at most %d", *modelSeeds, rolledBack, late, most)
 			}
 		})
 	}
 }
 
-// One endpoint that is sick says nothing of its version, though it gives most of the bad
-// answers; one that every other shares does.
+// A single faulty endpoint is no evidence against its version, though it gives most of the bad
+// responses. If a second endpoint fails too, it is.
 func TestFaultyEndpointDoesNotMakeVersionBad(t *testing.T) {
 	is := is.New(t)
 	e := Evidence{
@@ -240,9 +243,9 @@
 	is.True(Evaluate(e, 3).Bad())
 }
 
-// Symptom: a version of which 11 of 20 answers failed was completed. Sequence: in the same seconds
-// the link to one endpoint of the old version was broken, and a quarter of the old version's
-// requests were cut off. Cause: both were counted as failures.
+// Guards against completing a version of which 11 of 20 responses failed. In the same seconds the
+// link to one endpoint of the old version was broken, a quarter of the old version's requests
+// were cut off, and both were counted as failures.
 func TestBrokenLinkDoesNotHideBadVersion(t *testing.T) {
 	is := is.New(t)
 	e := Evidence{
@@ -254,9 +257,10 @@
 	is.Equal(Evaluate(e, 2).Kind, Failures)
 }
 
-// Symptom: a version was completed of which all 21 answers on one route were slow. Sequence: the
-// machine is busy, and 43 of 235 answers of the old version count as slow too. Cause: only which
-// version gave the bad answers was tested, not how many of its own were bad.
+// Guards against completing a version of which all 21 responses on one route were slow. The
+// machine was busy, and 43 of 235 responses of the old version counted as slow too. The test
+// looked only at which version gave the bad responses, not at how many of the new version's own
+// were bad.
 func TestSlowOldVersionDoesNotHideBadVersion(t *testing.T) {
 	is := is.New(t)
 	fast, slow := 10*time.Millisecond, 200*time.Millisecond
@@ -278,13 +282,14 @@
 		{Route: "r", Endpoint: 2}: counts(10, 10),
 	}
 	is.True(Evaluate(e, 2).Untrusted())
-	// As many as the old one gives are no sign.
+	// As many bad responses as the old version gives are no evidence.
 	e[Group{Route: "r", Endpoint: 1}], e[Group{Route: "r", Endpoint: 2}] = counts(11, 3), counts(10, 2)
 	is.True(!Evaluate(e, 2).Suspect())
 }
 
-// The bound on what a bad version gets holds at any moment, whatever the VMs believe, over
-// processes that are killed and start again, by the requests that each sent.
+// The bound on the exposure to a bad version holds at any moment, whatever state the VMs have,
+// with processes that are killed and restarted. It is relative to the requests that each process
+// sent.
 func TestExposureIsBounded(t *testing.T) {
 	const share = 0.075
 	rapid.Check(t, func(t *rapid.T) {
@@ -308,14 +313,14 @@
 				gates[i].RecordSent(share)
 			}
 			if float64(exposed) > share*float64(sent) {
-				t.Fatalf("%d exposed of %d", exposed, sent)
+				t.Fatalf("%d requests exposed of %d sent", exposed, sent)
 			}
 		}
 	})
 }
 
-// What VMs tell merges to the same sum in any order, told twice or late, and never counts an
-// answer twice.
+// Reports of VMs merge to the same sum in any order, also if duplicated or late, and never count
+// a response twice.
 func TestEvidenceMergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type report struct {
@@ -349,7 +354,7 @@
 	})
 }
 
-// A phase never goes back, and a verdict stays unless the store says that the move is done.
+// A phase never regresses, and a verdict is final.
 func TestPhasesOnlyAdvance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Order{Service: "s", Version: "v2", Duration: 10 * time.Second}
@@ -357,7 +362,7 @@
 		for range 30 {
 			next := o.Decide(phase, State{
 				Age:     time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "age")),
-				Finding: Finding{Strength: rapid.Float64Range(-5, 20).Draw(t, "strength"), TotalStrength: rapid.Float64Range(0, 20).Draw(t, "doubt")},
+				Finding: Finding{Strength: rapid.Float64Range(-5, 20).Draw(t, "strength"), TotalStrength: rapid.Float64Range(0, 20).Draw(t, "total strength")},
 				Answers: rapid.IntRange(0, 100).Draw(t, "answers"), OldAnswers: rapid.IntRange(0, 100).Draw(t, "old answers"), NewListed: rapid.IntRange(0, 2).Draw(t, "new"),
 				OldListed: rapid.IntRange(0, 2).Draw(t, "old"), Drained: rapid.Bool().Draw(t, "drained"), Held: rapid.Bool().Draw(t, "held"),
 			})
@@ -365,7 +370,7 @@
 				t.Fatalf("%v after %v", next, phase)
 			}
 			if next == Completed && phase == Canary {
-				t.Fatal("completed without a move")
+				t.Fatal("completed without the shifting phase")
 			}
 			phase = next
 		}
@@ -386,34 +391,34 @@
 		state State
 		want  Phase
 	}{
-		{"tried until it is time to move", Canary, with(func(s *State) { s.Age = 5 * time.Second }), Canary},
-		{"moved in time", Canary, base, Shifting},
-		{"not moved while an operator holds it", Canary, with(func(s *State) { s.Held = true }), Canary},
-		{"few answers: tried longer", Canary, with(func(s *State) { s.Answers = 3; s.Age = 9 * time.Second }), Canary},
-		{"few answers, beyond its time: tried longer", Canary, with(func(s *State) { s.Answers = 3; s.Age = 12 * time.Second }), Canary},
-		{"few answers, long beyond its time: rolled back", Canary, with(func(s *State) { s.Answers = 3; s.Age = 20 * time.Second }), RolledBack},
-		{"few answers of the old one, since processes ended: tried longer", Canary, with(func(s *State) { s.OldAnswers = 3 }), Canary},
-		{"so few requests that none can harm: moved late", Canary, with(func(s *State) { s.Answers = 1; s.OldAnswers = 20; s.Age = 10 * time.Second }), Shifting},
-		{"few are known since processes ended: tried longer", Canary, with(func(s *State) { s.Answers = 0; s.OldAnswers = 2 }), Canary},
-		{"suspect: tried longer", Canary, with(func(s *State) { s.Finding.TotalStrength = 3; s.Age = 7 * time.Second }), Canary},
-		{"suspect, time short: moved", Canary, with(func(s *State) { s.Finding.TotalStrength = 3; s.Age = 8500 * time.Millisecond }), Shifting},
-		{"not trusted: not moved", Canary, with(func(s *State) { s.Finding.TotalStrength = 7; s.Age = 9 * time.Second }), Canary},
-		{"not trusted to the end: rolled back", Canary, with(func(s *State) { s.Finding.TotalStrength = 7; s.Age = 10 * time.Second }), RolledBack},
-		{"no endpoint of the version: waits", Canary, with(func(s *State) { s.NewListed = 0 }), Canary},
-		{"no endpoint of the version to the end: rolled back", Canary, with(func(s *State) { s.NewListed = 0; s.Age = 11 * time.Second }), RolledBack},
-		{"only the new version is there: moved", Canary, with(func(s *State) { s.OldListed = 0; s.Age = 2 * time.Second }), Shifting},
-		{"bad while moving: rolled back", Shifting, with(func(s *State) { s.Finding.Strength = 13; s.Drained = true }), RolledBack},
-		{"requests still run at the old version", Shifting, base, Shifting},
-		{"nothing runs there any more, but there is time", Shifting, with(func(s *State) { s.Drained = true }), Shifting},
-		{"nothing runs there any more, and time is over", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9 * time.Second }), Completed},
-		{"suspect while moving: not completed yet", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9 * time.Second; s.Finding.TotalStrength = 3 }), Shifting},
-		{"suspect while moving, time short: completed", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9600 * time.Millisecond; s.Finding.TotalStrength = 3 }), Completed},
-		{"not trusted while moving: rolled back", Shifting, with(func(s *State) { s.Finding.TotalStrength = 7 }), RolledBack},
-		{"nothing is known of the old one any more, and some fail: not completed", Shifting, with(func(s *State) { s.Drained = true; s.Age = 11 * time.Second; s.OldAnswers = 0; s.Failures = 26 }), Shifting},
-		{"the same, for long: rolled back", Shifting, with(func(s *State) { s.Drained = true; s.Age = 20 * time.Second; s.OldAnswers = 0; s.Failures = 26 }), RolledBack},
-		{"nothing is known of the old one any more, but none fail: completed", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9500 * time.Millisecond; s.OldAnswers = 0 }), Completed},
-		{"no old endpoint is left to wait for", Shifting, with(func(s *State) { s.Drained = true; s.OldListed = 0 }), Completed},
-		{"a verdict stays", RolledBack, with(func(s *State) { s.Drained = true }), RolledBack},
+		{"canary until the shift starts", Canary, with(func(s *State) { s.Age = 5 * time.Second }), Canary},
+		{"shift starts on time", Canary, base, Shifting},
+		{"no shift while an operator holds it", Canary, with(func(s *State) { s.Held = true }), Canary},
+		{"few responses: canary continues", Canary, with(func(s *State) { s.Answers = 3; s.Age = 9 * time.Second }), Canary},
+		{"few responses, past the order's time: canary continues", Canary, with(func(s *State) { s.Answers = 3; s.Age = 12 * time.Second }), Canary},
+		{"few responses, at twice the order's time: rolled back", Canary, with(func(s *State) { s.Answers = 3; s.Age = 20 * time.Second }), RolledBack},
+		{"few responses of the old version known after processes ended: canary continues", Canary, with(func(s *State) { s.OldAnswers = 3 }), Canary},
+		{"negligible requests: shift starts late", Canary, with(func(s *State) { s.Answers = 1; s.OldAnswers = 20; s.Age = 10 * time.Second }), Shifting},
+		{"few responses known after processes ended: canary continues", Canary, with(func(s *State) { s.Answers = 0; s.OldAnswers = 2 }), Canary},
+		{"suspect: canary continues", Canary, with(func(s *State) { s.Finding.TotalStrength = 3; s.Age = 7 * time.Second }), Canary},
+		{"suspect, little time left: shift starts", Canary, with(func(s *State) { s.Finding.TotalStrength = 3; s.Age = 8500 * time.Millisecond }), Shifting},
+		{"untrusted: no shift", Canary, with(func(s *State) { s.Finding.TotalStrength = 7; s.Age = 9 * time.Second }), Canary},
+		{"untrusted at the order's end: rolled back", Canary, with(func(s *State) { s.Finding.TotalStrength = 7; s.Age = 10 * time.Second }), RolledBack},
+		{"no endpoint of the new version: canary continues", Canary, with(func(s *State) { s.NewListed = 0 }), Canary},
+		{"no endpoint of the new version at the order's end: rolled back", Canary, with(func(s *State) { s.NewListed = 0; s.Age = 11 * time.Second }), RolledBack},
+		{"only the new version is listed: shift starts", Canary, with(func(s *State) { s.OldListed = 0; s.Age = 2 * time.Second }), Shifting},
+		{"bad while shifting: rolled back", Shifting, with(func(s *State) { s.Finding.Strength = 13; s.Drained = true }), RolledBack},
+		{"not drained: shift continues", Shifting, base, Shifting},
+		{"drained, time left: shift continues", Shifting, with(func(s *State) { s.Drained = true }), Shifting},
+		{"drained, time over: completed", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9 * time.Second }), Completed},
+		{"suspect while shifting: not completed yet", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9 * time.Second; s.Finding.TotalStrength = 3 }), Shifting},
+		{"suspect while shifting, little time left: completed", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9600 * time.Millisecond; s.Finding.TotalStrength = 3 }), Completed},
+		{"untrusted while shifting: rolled back", Shifting, with(func(s *State) { s.Finding.TotalStrength = 7 }), RolledBack},
+		{"no responses of the old version known, some failures: not completed", Shifting, with(func(s *State) { s.Drained = true; s.Age = 11 * time.Second; s.OldAnswers = 0; s.Failures = 26 }), Shifting},
+		{"no responses of the old version known, some failures, at twice the order's time: rolled back", Shifting, with(func(s *State) { s.Drained = true; s.Age = 20 * time.Second; s.OldAnswers = 0; s.Failures = 26 }), RolledBack},
+		{"no responses of the old version known, no failures: completed", Shifting, with(func(s *State) { s.Drained = true; s.Age = 9500 * time.Millisecond; s.OldAnswers = 0 }), Completed},
+		{"no endpoint of the old version listed: completed", Shifting, with(func(s *State) { s.Drained = true; s.OldListed = 0 }), Completed},
+		{"a verdict is final", RolledBack, with(func(s *State) { s.Drained = true }), RolledBack},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is.New(t).Equal(o.Decide(c.phase, c.state), c.want)
@@ -444,22 +449,22 @@
 		keys[i] = fmt.Sprint("e", i)
 	}
 	picked := o.CanaryEndpoints(keys, 112, CanaryShare(0.1))
-	is.Equal(len(picked), 8) // each gets about as many requests as one of the old version
+	is.Equal(len(picked), 8) // each gets about as many requests as an endpoint of the old version
 	slices.Reverse(keys)
-	is.Equal(o.CanaryEndpoints(keys, 112, CanaryShare(0.1)), picked) // in whatever order they are listed
+	is.Equal(o.CanaryEndpoints(keys, 112, CanaryShare(0.1)), picked) // independent of the order of keys
 	is.Equal(len(o.CanaryEndpoints(keys[:5], 9, CanaryShare(0.1))), 2)
 	is.Equal(len(o.CanaryEndpoints(keys[:1], 9, CanaryShare(0.1))), 1)
 }
 
-// Guards against grants that add up to more than the fixed number, as VMs that were added during a cut are
-// not known to those that came before.
+// Guards against grants that add up to more than the fixed number, because VMs added during a
+// partition are not known to earlier ones.
 func TestGrantsStayWithinSlackWithDifferentFleetSizes(t *testing.T) {
 	const slack = 50.0
 	for before := 1; before <= 2000; before = before*3/2 + 1 {
 		for added := 0; added <= 2*before; added += 1 + before/5 {
 			sum := float64(before)*InitialGrant(slack, before) + float64(added)*InitialGrant(slack, before+added)
 			if sum > slack {
-				t.Fatalf("%d VMs and %d that they do not know are granted %.1f of %.0f", before, added, sum, slack)
+				t.Fatalf("%d VMs and %d unknown to them are granted %.1f, want at most %.0f", before, added, sum, slack)
 			}
 		}
 	}
--- a/core/rollout/test.go
+++ b/core/rollout/test.go
@@ -2,98 +2,104 @@
 
 import "math"
 
-// Test compares two versions side by side: the same routes in the same seconds, since
-// requests are chosen for the new version by a count, not by what they are.
+// Evaluate compares two versions side by side: on the same routes in the same seconds, since
+// requests are chosen for the new version by a count, not by their content.
 //
-// Of the answers that are bad (failures; or times far above the median of the old version)
-// each is one of the new version with the probability of that version's part of all answers,
-// if the versions are alike. A product of likelihood ratios over the bad answers, averaged
-// over several degrees of badness, is then a supermartingale: the chance that it ever exceeds
-// 1/a is at most a, however often one looks. A window with fixed thresholds has to be long
-// for small parts and short for large ones, and errs each time that one looks.
+// If the versions are alike, each bad response (a failure, or one that took far longer than the
+// median of the old version) is one of the new version with the probability of that version's
+// share of all responses. A product of likelihood ratios over the bad responses, averaged over
+// several odds ratios, is then a supermartingale: the probability that it ever exceeds 1/a is at
+// most a, however often it is evaluated. A window with fixed thresholds would have to be long for
+// small shares and short for large ones, and would have an error probability with each
+// evaluation.
 //
-// A version that is a little worse is not bad: the null hypothesis allows tolerated times
-// the odds.
+// A version that is slightly worse is not bad: the null hypothesis allows toleratedOddsRatio.
 
 const (
-	// toleratedOddsRatio are the odds of a bad answer, against those of the old version, up to which
-	// a version is not bad: its caches are empty, and fewer endpoints share its load.
+	// toleratedOddsRatio is the ratio of the odds of a bad response of the new version to those
+	// of the old one up to which the new version is not bad: its caches are empty, and fewer
+	// endpoints share its load.
 	toleratedOddsRatio = 2
-	// slowBucketOffset above the old version's median a time counts as slow: about two and a half times.
+	// slowBucketOffset is how many buckets above the old version's median a time counts as slow:
+	// about two and a half times the median.
 	slowBucketOffset = 3
-	// badThreshold is the logarithm of the evidence against a version at which it counts as
-	// bad: the chance of an error is below one in e^badThreshold for each comparison. With three
-	// routes and all, four kinds, two tests and nine beginnings that is below one in a thousand.
+	// badThreshold is the logarithm of the evidence at which a version counts as bad. The error
+	// probability is below e^-badThreshold for each comparison. With three routes and their sum,
+	// four kinds, two tests and nine baselines that is below one in a thousand.
 	badThreshold = 12.6
-	// suspectThreshold is that from which a step waits for more evidence, while there is time, and
-	// doubtAt that at which the version is not trusted once there is none. The answers of all
-	// its endpoints count: rolling a good version back costs a delay, moving to a bad one
-	// harms every caller, and once the old endpoints have stopped nothing brings them back.
+	// suspectThreshold is the logarithm of the evidence from which a step waits for more
+	// evidence, while there is time. untrustedThreshold is that from which requests are not
+	// shifted to the version even when there is no time left. For both, all endpoints of the new
+	// version count: rolling a good version back costs a delay, while a bad version harms every
+	// caller, and once the old endpoints have stopped there is no way back.
 	suspectThreshold   = 2
 	untrustedThreshold = 6.5
-	// toleratedOldOddsRatio are the odds that are tolerated against those of the old version's own
-	// answers, which are known less well than which version gave the bad ones. leastOld
-	// answers of the old version are wanted to say how many bad ones are usual.
+	// toleratedOldOddsRatio is the tolerated ratio to the odds among the old version's own
+	// responses, which are known less precisely than the versions' shares of the bad responses.
+	// minOldAnswers is the number of responses of the old version that an estimate of these odds
+	// needs.
 	toleratedOldOddsRatio = 3
 	minOldAnswers         = 100
 )
 
-// testedOddsRatios are the odds, in multiples of the tolerated ones, that the test looks for.
+// testedOddsRatios are the alternatives that the test averages over, in multiples of the
+// tolerated odds.
 var testedOddsRatios = [...]float64{2, 4, 8, 16, 64}
 
 // Finding is the strongest evidence against a version.
 type Finding struct {
 	Route string
-	// Kind says what is compared.
+	// Kind is the kind of comparison.
 	Kind Kind
-	// Strength is the logarithm of the evidence, without the endpoint of the new version with
-	// the most bad answers; 0 and less says nothing.
+	// Strength is the logarithm of the evidence, without the endpoint of the new version that has
+	// the most bad responses. Values of 0 and less are no evidence.
 	Strength float64
-	// Bad answers of Total, by the new and the old version.
+	// NewBad of NewTotal responses of the new version were bad, OldBad of OldTotal of the old
+	// one.
 	NewBad, NewTotal, OldBad, OldTotal int
-	// TotalStrength is the logarithm of the strongest evidence if all endpoints count.
+	// TotalStrength is the logarithm of the strongest evidence with all endpoints.
 	TotalStrength float64
 }
 
-// Bad says whether the version counts as bad.
+// Bad reports whether the version counts as bad.
 func (f Finding) Bad() bool { return f.Strength >= badThreshold }
 
-// Suspect says whether the version may turn out as bad.
+// Suspect reports whether the version may turn out to be bad.
 func (f Finding) Suspect() bool { return f.TotalStrength >= suspectThreshold }
 
-// Untrusted says whether so much speaks against the version that nothing may be moved to it.
+// Untrusted reports whether the evidence is too strong to shift requests to the version.
 func (f Finding) Untrusted() bool { return f.TotalStrength >= untrustedThreshold }
 
-// Kind is what is compared between versions.
+// Kind is what a comparison counts as bad.
 type Kind int
 
-// Kinds of comparisons.
+// Kinds of comparison.
 const (
-	// Failures: answers that are failures.
+	// Failures: responses that are failures.
 	Failures Kind = iota
-	// Cuts: answers that break off or do not come.
+	// Cuts: responses that are cut off or missing.
 	Cuts
-	// SlowFirstEvent: times to the first event.
+	// SlowFirstEvent: slow times to the first event.
 	SlowFirstEvent
-	// SlowAnswer: times to the end of the answer.
+	// SlowAnswer: slow times to the end of the response.
 	SlowAnswer
 )
 
 var kindNames = [...]string{"failures", "cuts", "slow_first_event", "slow_answer"}
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// sample is bad answers of a number.
+// sample is a number of bad responses out of a total.
 type sample struct{ bad, total int }
 
 func (s sample) plus(o sample) sample { return sample{s.bad + o.bad, s.total + o.total} }
 
 func (s sample) minus(o sample) sample { return sample{s.bad - o.bad, s.total - o.total} }
 
-// Evaluate returns the strongest evidence against the new version, whose requests go to a number
-// of endpoints. It looks at each route, since a version may be bad on one alone, and at all
-// together, since one that is bad everywhere is found sooner so.
+// Evaluate returns the strongest evidence against the new version. endpoints is the number of
+// endpoints that its requests go to. It tests each route, since a version may be bad on a single
+// one, and all routes together, since a version that is bad on all is found sooner that way.
 func Evaluate(e Evidence, endpoints int) Finding {
 	var worst Finding
 	routes := groupByRoute(e)
@@ -109,10 +115,10 @@
 	return worst
 }
 
-// AllRoutes is the route of a finding that holds for all together.
+// AllRoutes is the route of a finding over all routes together.
 const AllRoutes = "all"
 
-// stronger is the finding with the stronger evidence, with the greater doubt of both.
+// stronger returns the finding with the greater Strength, with the greater TotalStrength of both.
 func (f Finding) stronger(other Finding) Finding {
 	doubt := max(f.TotalStrength, other.TotalStrength)
 	if other.Strength > f.Strength {
@@ -122,7 +128,7 @@
 	return f
 }
 
-// routeEvidence is what was seen on one route; fresh is by endpoint.
+// routeEvidence is the evidence of one route. byEndpoint holds the counts of the new version.
 type routeEvidence struct {
 	old        Counts
 	byEndpoint map[uint64]Counts
@@ -145,7 +151,8 @@
 	return m
 }
 
-// comparison is the bad answers of one kind by both versions; fresh is by endpoint.
+// comparison holds the samples of both versions for one kind. byEndpoint holds those of the new
+// version.
 type comparison struct {
 	kind       Kind
 	old        sample
@@ -172,9 +179,9 @@
 	return c
 }
 
-// finding tests a comparison. The endpoint of the new version with the most bad answers is
-// left out, if there are others: a version is bad at each of its endpoints, an endpoint that
-// is sick is sick alone.
+// finding tests a comparison. It leaves out the endpoint of the new version with the most bad
+// responses, if there are others: a bad version is bad at each of its endpoints, a faulty
+// endpoint is faulty alone.
 func (c *comparison) finding(route string, endpoints int) Finding {
 	var newVersion, worst sample
 	for _, s := range c.byEndpoint {
@@ -192,7 +199,7 @@
 	return f
 }
 
-// slowBucket is the bucket from which a time counts as slow.
+// slowBucket returns the bucket from which a time counts as slow.
 func (r *routeEvidence) slowBucket(kind Kind) int {
 	switch kind {
 	case SlowFirstEvent:
@@ -215,10 +222,10 @@
 	return sample{int(c.Failures), int(c.Answers)}
 }
 
-// logEvidence is the logarithm of the evidence that the new version gives bad answers more often than
-// tolerated. Where bad answers are rare what counts is which version gave them. Where the old
-// version gives many, as on a machine that is busy, that alone hides a new one that gives
-// nothing else; so the share of its own answers that are bad is tested, too.
+// logEvidence returns the logarithm of the evidence that the new version gives bad responses more
+// often than tolerated. Where bad responses are rare, it tests which version gave them. Where the
+// old version gives many, as on a busy machine, that test alone would hide a new version that
+// gives only bad responses; so the share of bad responses among its own is tested as well.
 func logEvidence(newVersion, oldVersion sample) float64 {
 	if newVersion.bad == 0 || newVersion.total == 0 || oldVersion.total == 0 {
 		return 0
@@ -230,11 +237,11 @@
 	return max(byVersion, logLikelihoodRatio(toleratedOldOddsRatio*oldVersion.odds(), newVersion.bad, newVersion.total-newVersion.bad))
 }
 
-// odds are those of a bad answer, a little above what was seen.
+// odds returns the odds of a bad response, estimated slightly above the observed ones.
 func (s sample) odds() float64 { return float64(s.bad+1) / float64(s.total-s.bad+1) }
 
-// logLikelihoodRatio is the logarithm of the likelihood logLikelihoodRatio of hits and misses, averaged over degrees of
-// badness, against the odds of a hit that are tolerated.
+// logLikelihoodRatio returns the logarithm of the likelihood ratio of hits and misses against the
+// tolerated odds of a hit, averaged over testedOddsRatios.
 func logLikelihoodRatio(odds float64, hits, misses int) float64 {
 	null := odds / (1 + odds)
 	maxLog, sum := math.Inf(-1), 0.0
--- a/core/rollout/watch.go
+++ b/core/rollout/watch.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// maxBaselines is how many times in an order's time a comparison begins anew. A version that
-// turns bad late would otherwise be hidden for long behind what was seen while it was good.
+// maxBaselines is how many times in an order's time a further comparison starts from the evidence
+// of that moment. Otherwise the good responses of a version that turns bad late would hide its
+// bad ones for long.
 const maxBaselines = 8
 
-// Monitor tests the evidence of one roll-out as it grows.
+// Monitor evaluates the growing evidence of one rollout.
 type Monitor struct {
 	order Order
-	// baselines are the evidence at the beginnings of comparisons.
+	// baselines are the evidence at the starts of comparisons.
 	baselines []Evidence
 }
 
-// NewMonitor returns a watch of an order.
+// NewMonitor returns a monitor of an order's rollout.
 func NewMonitor(o Order) *Monitor { return &Monitor{order: o, baselines: []Evidence{nil}} }
 
-// Evaluate returns the strongest evidence against the new version, whose requests go to a number
-// of endpoints, in a phase and at an age of the order.
+// Evaluate returns the strongest evidence against the new version in a phase and at an age of the
+// order. endpoints is the number of endpoints that the new version's requests go to.
 func (m *Monitor) Evaluate(phase Phase, age time.Duration, e Evidence, endpoints int) Finding {
 	if len(m.baselines) <= maxBaselines && age >= m.order.Duration*time.Duration(len(m.baselines))/maxBaselines {
 		m.baselines = append(m.baselines, e)
