--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream sends requests to endpoints over kept connections, and tells
-// exactly how far each one came. The standard library's client repeats requests
-// by itself and hides whether a byte has left, which at-most-once needs to know;
-// so connections are kept here, and net/http only parses what comes back.
+// Package upstream sends requests to endpoints over persistent connections and reports exactly
+// how far each request came. The standard library's client retries requests by itself and does
+// not reveal whether a byte was sent, which at-most-once delivery needs to know. Connections are
+// therefore managed here, and net/http only parses responses.
 package upstream
 
 import (
@@ -19,46 +19,46 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Round trips are a few ms within
-	// a region and up to 100 between those that are far apart; an opening packet that
-	// is dropped is repeated after a second, by when another endpoint has answered.
+	// dialTimeout bounds the opening of a connection. Round trips take a few ms within a region
+	// and up to 100 ms between distant ones. A lost SYN packet is retransmitted after a second,
+	// by when another endpoint has responded.
 	dialTimeout = 200 * time.Millisecond
-	// defaultKeepAlive is how long a connection stays idle where the endpoint says
-	// nothing.
+	// defaultKeepAlive is how long a connection may be idle if the endpoint sends no Keep-Alive
+	// timeout.
 	defaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is left of the time that the endpoint says, so that a request
-	// does not cross the endpoint's close.
+	// keepAliveMargin is subtracted from the endpoint's Keep-Alive timeout, so that no request is
+	// sent while the endpoint closes the connection.
 	keepAliveMargin = 1200 * time.Millisecond
-	// maxStaleResponses bounds the answers to earlier requests that are passed over on one
+	// maxStaleResponses bounds the responses to earlier requests that are skipped on one
 	// connection.
 	maxStaleResponses = 3
-	// maxStaleBytes bounds the body of such an answer.
+	// maxStaleBytes bounds the body of such a response.
 	maxStaleBytes = 1 << 20
 	readBuffer    = 4 << 10
-	// asyncWriteSize is the size from which a body is written while the answer is
-	// awaited, since an endpoint may answer before it has read it all.
+	// asyncWriteSize is the size from which a body is written while the response is awaited,
+	// since an endpoint may respond before it has read the whole body.
 	asyncWriteSize = 32 << 10
 )
 
-// Stage says how far a request came before it failed.
+// Stage is how far a request came before it failed.
 type Stage int
 
 // Stages of a request.
 const (
-	// NotSent: no byte of it left.
+	// NotSent: no byte of it was sent.
 	NotSent Stage = iota
-	// Sent: some of it may have been read by the endpoint.
+	// Sent: the endpoint may have read some of it.
 	Sent
 )
 
-// ExchangeError reports a request that got no answer.
+// ExchangeError reports a request that got no response.
 type ExchangeError struct {
 	Address string
 	Stage   Stage
 	Err     error
 }
 
-// Error describes the failure.
+// Error returns the address, whether the request may have been sent, and the cause.
 func (e *ExchangeError) Error() string {
 	return fmt.Sprintf("endpoint %s: sent=%t: %v", e.Address, e.Stage == Sent, e.Err)
 }
@@ -66,36 +66,35 @@
 // Unwrap returns the cause.
 func (e *ExchangeError) Unwrap() error { return e.Err }
 
-// StaleResponsesError reports a connection on which only answers to other
-// requests came.
+// StaleResponsesError reports a connection that delivered only responses to other requests.
 type StaleResponsesError struct{ Count int }
 
-// Error describes the failure.
+// Error returns the number of responses to other requests.
 func (e *StaleResponsesError) Error() string {
-	return fmt.Sprintf("%d answers to other requests came first", e.Count)
+	return fmt.Sprintf("received %d responses to other requests", e.Count)
 }
 
-// EarlyResponseError reports an answer that came before its request was written.
+// EarlyResponseError reports a response that arrived before its request was written.
 type EarlyResponseError struct{}
 
 // Error describes the failure.
-func (e *EarlyResponseError) Error() string { return "the answer came before the request was written" }
+func (e *EarlyResponseError) Error() string { return "response arrived before the request was written" }
 
-// Request is what is sent, unchanged.
+// Request is a request that is sent unchanged.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// HasBody says that a body was sent, even an empty one.
+	// HasBody reports whether the request has a body, even an empty one.
 	HasBody bool
-	// Matches says whether an answer belongs to this request.
+	// Matches reports whether a response belongs to this request.
 	Matches func(*http.Response) bool
 }
 
-// Response is an endpoint's answer whose body is still to be read.
+// Response is an endpoint's response whose body has not been read yet.
 type Response struct {
 	*http.Response
-	// Reused says that the connection had served other requests before.
+	// Reused reports whether the connection had served other requests before.
 	Reused    bool
 	conn      *conn
 	pool      *Pool
@@ -113,7 +112,7 @@
 	requests  int
 }
 
-// Pool keeps connections by endpoint.
+// Pool keeps idle connections by endpoint.
 type Pool struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// MaxIdle bounds the idle connections kept for one endpoint.
@@ -128,9 +127,9 @@
 	return &Pool{Dial: dial, MaxIdle: maxIdle, idle: make(map[string][]*conn)}
 }
 
-// Do sends a request to an endpoint and returns its answer. key names the
-// endpoint's incarnation, so that no connection outlives it. fresh asks for a new
-// connection. Cancelling ctx closes the connection, which tells the endpoint.
+// Do sends a request to an endpoint and returns its response. key identifies the endpoint's
+// incarnation, so that no connection is reused for another one. newConn asks for a new
+// connection. Cancelling ctx closes the connection, which notifies the endpoint.
 func (p *Pool) Do(ctx context.Context, key, address string, r *Request, newConn bool) (*Response, error) {
 	c, err := p.get(ctx, key, address, newConn)
 	if err != nil {
@@ -150,8 +149,8 @@
 	return resp, nil
 }
 
-// abandon closes a connection and discards what the endpoint has not been sent yet: on a link that is
-// cut or full it would arrive when the request has long gone on elsewhere.
+// abandon closes a connection and discards data that has not been sent to the endpoint yet. On a
+// link that is cut or congested the data would arrive long after the request was sent elsewhere.
 func (c *conn) abandon() {
 	if l, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		// A connection that is closed already has nothing left to discard.
@@ -185,7 +184,7 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), key: key, keepAlive: defaultKeepAlive}, nil
 }
 
-// takeIdle returns the idle connection used last that is still good.
+// takeIdle returns the most recently used idle connection that is still reusable.
 func (p *Pool) takeIdle(key string) *conn {
 	for {
 		p.mu.Lock()
@@ -204,8 +203,8 @@
 	}
 }
 
-// reusable says that nothing came on an idle connection: neither its end nor bytes
-// of nobody's answer, which the next request would take for its own.
+// reusable reports whether an idle connection has received nothing: neither its end nor bytes of
+// an unrelated response, which would be taken for the response to the next request.
 func (c *conn) reusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -251,9 +250,9 @@
 	return response, nil
 }
 
-// readMatching reads answers until one belongs to the request. An endpoint may send
-// a second answer to an earlier request late; taken for this one it would give a
-// caller somebody else's answer.
+// readMatching reads responses until one belongs to the request. An endpoint may send a second
+// response to an earlier request late; without this check a caller would get somebody else's
+// response.
 func (c *conn) readMatching(r *Request) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
 	for stale := 0; ; {
@@ -289,7 +288,7 @@
 	return []byte(b.String())
 }
 
-// Read reads the body, and notes its end.
+// Read reads the body and records whether its end was reached.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.Body.Read(p)
 	if err == io.EOF {
@@ -298,8 +297,8 @@
 	return n, err
 }
 
-// Finish ends the exchange: the connection is kept if the answer was read to
-// its end and nothing speaks against it, else it is closed.
+// Finish ends the exchange. It keeps the connection if the response was read to its end and the
+// connection may serve another request, and closes it otherwise.
 func (r *Response) Finish() {
 	notCancelled := r.stop()
 	c := r.conn
@@ -315,12 +314,13 @@
 	r.pool.put(c)
 }
 
-// Unframed answers end with their connection: nothing tells whether they are whole.
+// Unframed reports whether the response ends with its connection, so that its completeness cannot
+// be verified.
 func (r *Response) Unframed() bool {
 	return r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
-// requestWritten says that the request was requestWritten whole before the answer came. If
+// requestWritten reports whether the whole request was written before the response arrived. If
 // not, the endpoint still expects the rest of it.
 func (r *Response) requestWritten() bool {
 	if r.writeDone == nil {
@@ -334,7 +334,8 @@
 	}
 }
 
-// parseKeepAlive is how long a connection may be idle, by the endpoint's word.
+// parseKeepAlive returns how long a connection may be idle, from the endpoint's Keep-Alive
+// header.
 func parseKeepAlive(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a request that went on elsewhere and that its first endpoint reads all the same, once
-// its link or its process goes on.
+// Guards against a request that was sent elsewhere after a timeout and that its first endpoint
+// still reads once its link or its process recovers.
 func TestAbandonedRequestDoesNotArriveLater(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 	p := NewPool((&net.Dialer{}).DialContext, 1)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	// More than the endpoint's side takes in unread, less than the sender's side holds.
+	// More than the endpoint's receive buffer, less than the sender's send buffer.
 	_, err = p.Do(ctx, "e", l.Addr().String(), &Request{Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 1<<20)}, false)
 	is.True(err != nil)
 	time.Sleep(50 * time.Millisecond)
