--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -130,33 +130,33 @@
 // Acquire spends the credit for one retry, the oldest first, or takes one of the fixed number. It
 // reports whether either sufficed.
 func (b *Budget) Acquire(now time.Duration) (Permit, bool) {
-	r, ok := b.acquireEarned(now)
+	p, ok := b.acquireEarned(now)
 	if !ok {
-		r, ok = b.acquireFixed(now)
+		p, ok = b.acquireFixed(now)
 	}
 	if ok {
 		b.counts.Acquired++
 	} else {
 		b.counts.Refused++
 	}
-	return r, ok
+	return p, ok
 }
 
 func (b *Budget) acquireEarned(now time.Duration) (Permit, bool) {
 	if b.Balance(now) < 1-roundingError {
 		return Permit{}, false
 	}
-	r := Permit{oldestSlice: -1}
+	p := Permit{oldestSlice: -1}
 	missing := 1.0
 	for n := b.oldestSlice(); n <= b.newestSlice && missing > roundingError; n++ {
 		used := min(missing, b.credit[n%windowSlices])
-		if used > 0 && r.oldestSlice < 0 {
-			r.oldestSlice = n
+		if used > 0 && p.oldestSlice < 0 {
+			p.oldestSlice = n
 		}
 		missing -= used
 		b.credit[n%windowSlices] -= used
 	}
-	return r, true
+	return p, true
 }
 
 func (b *Budget) acquireFixed(now time.Duration) (Permit, bool) {
@@ -171,36 +171,36 @@
 
 // Renew reports whether a retry that holds a permit may be sent now. If the credit behind the
 // permit has expired while the retry waited, Renew spends new credit.
-func (b *Budget) Renew(now time.Duration, r Permit) (Permit, bool) {
+func (b *Budget) Renew(now time.Duration, p Permit) (Permit, bool) {
 	b.advance(now)
-	if r.fixed || r.oldestSlice >= b.oldestSlice() {
-		return r, true
+	if p.fixed || p.oldestSlice >= b.oldestSlice() {
+		return p, true
 	}
-	r, ok := b.acquireEarned(now)
+	p, ok := b.acquireEarned(now)
 	if !ok {
 		b.counts.Expired++
 	}
-	return r, ok
+	return p, ok
 }
 
 // RecordSent records that a retry was sent.
-func (b *Budget) RecordSent(now time.Duration, r Permit) {
+func (b *Budget) RecordSent(now time.Duration, p Permit) {
 	b.counts.Sent++
-	if r.fixed {
-		b.fixedSlots[r.slot] = fixedSlot{freeAt: now + b.window}
+	if p.fixed {
+		b.fixedSlots[p.slot] = fixedSlot{freeAt: now + b.window}
 	}
 }
 
 // Refund returns the credit of a retry that was not sent.
-func (b *Budget) Refund(now time.Duration, r Permit) {
+func (b *Budget) Refund(now time.Duration, p Permit) {
 	b.advance(now)
 	b.counts.Refunded++
-	if r.fixed {
-		b.fixedSlots[r.slot].taken = false
+	if p.fixed {
+		b.fixedSlots[p.slot].taken = false
 		return
 	}
-	if r.oldestSlice >= b.oldestSlice() {
-		b.credit[r.oldestSlice%windowSlices]++
+	if p.oldestSlice >= b.oldestSlice() {
+		b.credit[p.oldestSlice%windowSlices]++
 	}
 }
 
--- a/core/cell/recipients.go
+++ b/core/cell/recipients.go
@@ -39,7 +39,7 @@
 // through them, so that the traffic of a VM does not grow with the deployment. selfIsPlacer
 // reports whether the sender places requests itself, so that others need its loads.
 func ChooseRecipients(peers []Peer, i uint64, selfIsPlacer bool) Recipients {
-	var near, far, nearOthers, farOthers []string
+	var sameDomain, otherDomains, sameDomainRest, otherDomainsRest []string
 	var r Recipients
 	for _, p := range peers {
 		switch {
@@ -48,18 +48,18 @@
 		case p.SameCell:
 			r.State = append(r.State, p.Address)
 		case selfIsPlacer && p.IsPlacer && p.SameDomain:
-			near = append(near, p.Address)
+			sameDomain = append(sameDomain, p.Address)
 		case selfIsPlacer && p.IsPlacer:
-			far = append(far, p.Address)
+			otherDomains = append(otherDomains, p.Address)
 		case p.SameDomain:
-			nearOthers = append(nearOthers, p.Address)
+			sameDomainRest = append(sameDomainRest, p.Address)
 		default:
-			farOthers = append(farOthers, p.Address)
+			otherDomainsRest = append(otherDomainsRest, p.Address)
 		}
 	}
-	r.Loads = append(r.Loads, rotate(near, maxLoadsSameDomain, i)...)
-	r.Loads = append(r.Loads, rotate(far, maxLoadsOtherDomains, i)...)
-	r.Heartbeats = append(rotate(nearOthers, maxHeartbeatsSameDomain, i), rotate(farOthers, maxHeartbeatsOtherDomains, i)...)
+	r.Loads = append(r.Loads, rotate(sameDomain, maxLoadsSameDomain, i)...)
+	r.Loads = append(r.Loads, rotate(otherDomains, maxLoadsOtherDomains, i)...)
+	r.Heartbeats = append(rotate(sameDomainRest, maxHeartbeatsSameDomain, i), rotate(otherDomainsRest, maxHeartbeatsOtherDomains, i)...)
 	return r
 }
 
--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -121,9 +121,9 @@
 type Evidence map[Group]Counts
 
 // Update applies a change to the counts of a group.
-func (e Evidence) Update(g Group, add func(*Counts)) {
+func (e Evidence) Update(g Group, change func(*Counts)) {
 	c := e[g]
-	add(&c)
+	change(&c)
 	e[g] = c
 }
 
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -87,7 +87,7 @@
 // run simulates an order up to its verdict, and on to the end of its time.
 func (m *model) run() result {
 	e := make(Evidence)
-	watch := NewMonitor(m.order)
+	monitor := NewMonitor(m.order)
 	r := result{}
 	var shiftStart time.Duration
 	for age := time.Duration(0); age < m.order.Duration+stepDuration; age += stepDuration {
@@ -109,7 +109,7 @@
 		if r.bad >= badAnswerLimit {
 			r.overLimitFor += stepDuration
 		}
-		r.at, r.finding, r.answers = age+stepDuration, watch.Evaluate(r.phase, age, e, m.endpoints), r.exposed
+		r.at, r.finding, r.answers = age+stepDuration, monitor.Evaluate(r.phase, age, e, m.endpoints), r.exposed
 		state := State{
 			Age: age, Finding: r.finding, LongestAnswer: e.LongestAnswer(), NewListed: m.endpoints, OldListed: m.endpoints,
 			Drained: r.phase == Shifting && age-shiftStart >= m.order.RampDuration()+maxAnswerTime,
@@ -341,11 +341,11 @@
 			want.Add(seen)
 		}
 		order := rapid.Permutation(append(all, all...)).Draw(t, "order")
-		l := NewAggregator()
+		a := NewAggregator()
 		for _, m := range order {
-			l.Merge(m.source, m.e)
+			a.Merge(m.source, m.e)
 		}
-		got := l.Sum()
+		got := a.Sum()
 		for g, c := range want {
 			if got[g] != c {
 				t.Fatalf("%v: %+v, want %+v", g, got[g], c)
--- a/core/rollout/test.go
+++ b/core/rollout/test.go
@@ -120,11 +120,11 @@
 
 // stronger returns the finding with the greater Strength, with the greater TotalStrength of both.
 func (f Finding) stronger(other Finding) Finding {
-	doubt := max(f.TotalStrength, other.TotalStrength)
+	totalStrength := max(f.TotalStrength, other.TotalStrength)
 	if other.Strength > f.Strength {
 		f = other
 	}
-	f.TotalStrength = doubt
+	f.TotalStrength = totalStrength
 	return f
 }
 
