--- a/core/allowance/allowance.go
+++ b/core/allowance/allowance.go
@@ -6,10 +6,12 @@
 // refills at its share of the rate and holds at most its share of burst and tolerance; other VMs
 // request units from the holders. The sender of units deducts them from its balance before it
 // sends them, so a lost message loses units and can never double them. The receiver returns what
-// it cannot use. A process cannot know what its predecessor, or VMs that it has not seen, spent a
-// moment ago. It therefore starts with an empty balance, also when the whole deployment starts
-// for the first time. A part of the tolerance is set aside as a restart allowance. A process gets
-// its share of that only if its VM took none within the window (AddRestartGrant).
+// it cannot use.
+//
+// A process has no record of what its predecessor, or VMs that it has not seen, spent a moment
+// ago. It therefore starts with an empty balance, also when the whole deployment starts for the
+// first time. A part of the tolerance is set aside as a restart allowance. A process gets its
+// share of that only if its VM took none within the window (AddRestartGrant).
 package allowance
 
 import "time"
@@ -74,8 +76,8 @@
 	return &Limiter{tol: tol, buckets: make(map[string]*bucket), shareOf: func(string) float64 { return 0 }}
 }
 
-// SetShares sets this VM's share of each organisation's allowance; 0 where it holds none or does
-// not know its share yet.
+// SetShares sets the function that returns this VM's share of each organisation's allowance: 0
+// where it holds none or its share is not known yet.
 func (l *Limiter) SetShares(now time.Duration, shareOf func(organisation string) float64) {
 	l.shareOf = shareOf
 	for name, b := range l.buckets {
--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -30,10 +30,10 @@
 	maxFixed   = 2
 )
 
-// FixedRetries returns how many retries of the fixed number a VM that knows vms VMs may send in a
-// window. A VM knows at least those that started before it, so only the first of all VMs get any,
-// whatever the order in which they start and whatever they know of later ones. Together they get
-// at most half of the fixed number.
+// FixedRetries returns how many retries of the fixed number a VM may send in a window. vms is the
+// number of VMs in its list, which has at least those that started before it. So only the first of
+// all VMs get any, whatever the order in which they start and however many later ones they list.
+// Together they get at most half of the fixed number.
 func FixedRetries(slack float64, vms int) int {
 	if vms == 0 {
 		return 0
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -86,7 +86,7 @@
 }
 
 // Guards against VMs that together exceed the fixed number, because they started at different
-// times and know different numbers of VMs.
+// times and list different numbers of VMs.
 func TestFixedRetriesOfStaggeredStartsStayWithinHalf(t *testing.T) {
 	is := is.New(t)
 	for _, slack := range []float64{0, 3, 20, 56, 176, 5000} {
--- a/core/rollout/choose.go
+++ b/core/rollout/choose.go
@@ -17,7 +17,7 @@
 const maxSlots = 16
 
 // AssignSlots maps the keys of the new version's endpoints to the numbers, from 1 on, under which
-// evidence counts them. All VMs that know the same endpoints compute the same numbers. If there
+// evidence counts them. All VMs with the same list of endpoints compute the same numbers. If there
 // are more than maxSlots endpoints, several share a number.
 func AssignSlots(keys []string) map[string]uint64 {
 	slots := make(map[string]uint64, len(keys))
--- a/core/rollout/gate.go
+++ b/core/rollout/gate.go
@@ -49,7 +49,8 @@
 }
 
 // NewGate returns a gate with an initial grant. Only a process that receives an order when it is
-// issued may use a grant, and only once: the VM's next process cannot know whether it was spent.
+// issued may use a grant, and only once: the VM's next process has no record of whether it was
+// spent.
 func NewGate(grant float64) Gate { return Gate{balance: grant, granted: grant} }
 
 // maxBalance returns the maximum balance.
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -354,7 +354,7 @@
 	})
 }
 
-// A phase never regresses, and a verdict is final.
+// A phase never regresses, and Decide never changes a verdict. Only the store can, with Completed.
 func TestPhasesOnlyAdvance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Order{Service: "s", Version: "v2", Duration: 10 * time.Second}
