--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// buckets of a Histogram: each is half a power of two wide, from firstBucket on.
+// buckets is the number of buckets of a Histogram. Each is half a power of two wide, from
+// firstBucket on.
 const (
 	buckets     = 26
 	firstBucket = time.Millisecond
 )
 
-// Histogram counts times, by buckets that each are about 1.4 times the one before.
+// Histogram counts durations in buckets whose bounds grow by a factor of about 1.4.
 type Histogram [buckets]uint32
 
-// bucketOf is the bucket of a time.
+// bucketOf returns the bucket of a duration.
 func bucketOf(d time.Duration) int {
 	if d <= firstBucket {
 		return 0
@@ -24,14 +25,14 @@
 	return min(buckets-1, int(b))
 }
 
-// Observe counts a time.
+// Observe counts a duration.
 func (h *Histogram) Observe(d time.Duration) { h[bucketOf(d)]++ }
 
-// Total is the number of times counted.
-func (h *Histogram) Total() int { return h.From(0) }
+// Total returns the number of durations counted.
+func (h *Histogram) Total() int { return h.CountFrom(0) }
 
-// From is the number of times in a bucket and those above.
-func (h *Histogram) From(bucket int) int {
+// CountFrom returns the number of durations in a bucket and those above.
+func (h *Histogram) CountFrom(bucket int) int {
 	n := 0
 	for _, c := range h[min(bucket, buckets):] {
 		n += int(c)
@@ -39,8 +40,8 @@
 	return n
 }
 
-// Median is the bucket of the median.
-func (h *Histogram) Median() int {
+// MedianBucket returns the bucket of the median.
+func (h *Histogram) MedianBucket() int {
 	half, n := (h.Total()+1)/2, 0
 	for b, c := range h {
 		if n += int(c); n >= half {
@@ -64,77 +65,81 @@
 
 func (h *Histogram) subtract(other *Histogram) {
 	for i := range h {
-		h[i] = less(h[i], other[i])
+		h[i] = saturatingSub(h[i], other[i])
 	}
 }
 
-// less is the difference of two counts, of which the first should be the greater.
-func less(a, b uint32) uint32 { return a - min(a, b) }
+// saturatingSub returns a-b, or 0 if b is greater.
+func saturatingSub(a, b uint32) uint32 { return a - min(a, b) }
 
-// Counts are answers of one group. They only grow.
+// Counts are the responses of one group. They only grow.
 type Counts struct {
 	Answers uint32
-	// Failures are answers that say so or cannot be trusted, Cuts requests that broke off or
-	// fell silent. They are compared apart: a broken link cuts off what goes to one endpoint,
-	// whatever its version, and would hide a version that answers with failures.
+	// Failures are responses that report a failure or cannot be trusted, Cuts requests whose
+	// connection broke or that got no response. They are compared separately: a broken link cuts
+	// off the requests to one endpoint, whatever its version, and would hide a version that
+	// responds with failures.
 	Failures, Cuts uint32
-	// First are the times to the first event of a stream, Whole those to the end of an
-	// answer. Those of endpoints that had just started are left out.
-	First, Whole Histogram
+	// FirstEvent are the times to the first event of a stream, WholeAnswer those to the end of a
+	// response. They exclude endpoints that had just started.
+	FirstEvent, WholeAnswer Histogram
 }
 
-// max takes the greater of each count: what another VM told later says more.
+// max sets each count to the maximum of both: the later report of a source has the higher
+// counts.
 func (c *Counts) max(other Counts) {
 	c.Answers, c.Failures, c.Cuts = max(c.Answers, other.Answers), max(c.Failures, other.Failures), max(c.Cuts, other.Cuts)
-	c.First.max(&other.First)
-	c.Whole.max(&other.Whole)
+	c.FirstEvent.max(&other.FirstEvent)
+	c.WholeAnswer.max(&other.WholeAnswer)
 }
 
 func (c *Counts) add(other Counts) {
 	c.Answers += other.Answers
 	c.Failures += other.Failures
 	c.Cuts += other.Cuts
-	c.First.add(&other.First)
-	c.Whole.add(&other.Whole)
+	c.FirstEvent.add(&other.FirstEvent)
+	c.WholeAnswer.add(&other.WholeAnswer)
 }
 
 func (c *Counts) subtract(other Counts) {
-	c.Answers, c.Failures, c.Cuts = less(c.Answers, other.Answers), less(c.Failures, other.Failures), less(c.Cuts, other.Cuts)
-	c.First.subtract(&other.First)
-	c.Whole.subtract(&other.Whole)
+	c.Answers, c.Failures, c.Cuts = saturatingSub(c.Answers, other.Answers), saturatingSub(c.Failures, other.Failures), saturatingSub(c.Cuts, other.Cuts)
+	c.FirstEvent.subtract(&other.FirstEvent)
+	c.WholeAnswer.subtract(&other.WholeAnswer)
 }
 
-// Group names answers that are counted together: those of a route by the old version, or by
-// one endpoint of the new version, since one endpoint that fails does not make a bad version.
+// Group identifies responses that are counted together: those of a route by the old version, or
+// by one endpoint of the new version, since a single failing endpoint does not make a version
+// bad.
 type Group struct {
 	Route string
-	// Endpoint is the number of one of the new version (Slots), 0 for the old version.
+	// Endpoint is the number of an endpoint of the new version (AssignSlots), 0 for the old
+	// version.
 	Endpoint uint64
 }
 
-// Evidence is what was seen, by group.
+// Evidence maps groups to their counts.
 type Evidence map[Group]Counts
 
-// Count adds an answer to its group.
-func (e Evidence) Count(g Group, add func(*Counts)) {
+// Update applies a change to the counts of a group.
+func (e Evidence) Update(g Group, change func(*Counts)) {
 	c := e[g]
-	add(&c)
+	change(&c)
 	e[g] = c
 }
 
-// Add adds what was seen elsewhere.
+// Add adds the counts of other evidence.
 func (e Evidence) Add(other Evidence) {
 	for g, c := range other {
-		e.Count(g, func(sum *Counts) { sum.add(c) })
+		e.Update(g, func(sum *Counts) { sum.add(c) })
 	}
 }
 
-// Since is what was added to earlier evidence. If requests move, all of the old version's
-// answers count: it gets none any more to compare with.
-func (e Evidence) Since(earlier Evidence, moving bool) Evidence {
+// Since returns the counts added since earlier evidence. While requests shift, all responses of
+// the old version are included, because it gets no further requests to compare with.
+func (e Evidence) Since(earlier Evidence, shifting bool) Evidence {
 	added := make(Evidence, len(e))
 	for g, c := range e {
-		if g.Endpoint != 0 || !moving {
+		if g.Endpoint != 0 || !shifting {
 			c.subtract(earlier[g])
 		}
 		added[g] = c
@@ -142,8 +147,8 @@
 	return added
 }
 
-// Totals are the answers of the new version, those of them that failed or were cut off, and the
-// answers of the old one.
+// Totals returns the responses of the new version, those of them that failed or were cut off, and
+// the responses of the old version.
 func (e Evidence) Totals() (answers, failures, old int) {
 	for g, c := range e {
 		if g.Endpoint == 0 {
@@ -156,46 +161,46 @@
 	return answers, failures, old
 }
 
-// Longest is the longest time that an answer took at either version, up to a bucket.
-func (e Evidence) Longest() time.Duration {
-	most := 0
+// LongestAnswer returns the longest time that a response of either version took, rounded up to
+// the end of its bucket.
+func (e Evidence) LongestAnswer() time.Duration {
+	maxBucket := 0
 	for _, c := range e {
-		for b := buckets - 1; b > most; b-- {
-			if c.Whole[b] > 0 {
-				most = b
+		for b := buckets - 1; b > maxBucket; b-- {
+			if c.WholeAnswer[b] > 0 {
+				maxBucket = b
 				break
 			}
 		}
 	}
-	return time.Duration(float64(firstBucket) * math.Exp2(float64(most+1)/2))
+	return time.Duration(float64(firstBucket) * math.Exp2(float64(maxBucket+1)/2))
 }
 
-// Ledger is the evidence of several sources: of processes, or of the VMs of a failure domain.
-// A source that is gone keeps what it told.
-type Ledger struct {
+// Aggregator merges the evidence of several sources: of processes, or of the VMs of a failure
+// domain. It keeps the evidence of sources that are gone.
+type Aggregator struct {
 	sources map[string]Evidence
 }
 
-// NewLedger returns a ledger that knows nothing.
-func NewLedger() *Ledger { return &Ledger{sources: make(map[string]Evidence)} }
+// NewAggregator returns an empty aggregator.
+func NewAggregator() *Aggregator { return &Aggregator{sources: make(map[string]Evidence)} }
 
-// Merge takes in what a source says it has seen since it began, in any order and however
-// often.
-func (l *Ledger) Merge(source string, e Evidence) {
-	known := l.sources[source]
+// Merge merges the cumulative evidence of a source. It is idempotent and commutative.
+func (a *Aggregator) Merge(source string, e Evidence) {
+	known := a.sources[source]
 	if known == nil {
-		l.sources[source] = maps.Clone(e)
+		a.sources[source] = maps.Clone(e)
 		return
 	}
 	for g, c := range e {
-		known.Count(g, func(have *Counts) { have.max(c) })
+		known.Update(g, func(have *Counts) { have.max(c) })
 	}
 }
 
-// Sum is the evidence of all sources together.
-func (l *Ledger) Sum() Evidence {
+// Sum returns the sum of the evidence of all sources.
+func (a *Aggregator) Sum() Evidence {
 	sum := make(Evidence)
-	for _, e := range l.sources {
+	for _, e := range a.sources {
 		sum.Add(e)
 	}
 	return sum
--- a/core/rollout/gate.go
+++ b/core/rollout/gate.go
@@ -3,59 +3,65 @@
 import "time"
 
 const (
-	// trialPart is the part of the share that a bad version may get of the operator's bound
-	// that trials use. The rest is for requests that reach the new version before a VM has
-	// heard of the order, and for the time that a verdict takes while requests move.
-	trialPart = 0.75
-	// grantPart is the part of the fixed amount that a bad version may get which trials use: a
-	// service with few requests would learn nothing of it otherwise.
-	grantPart = 0.5
-	// mostSaved bounds what a gate saves while no endpoint of the new version has room:
-	// saved trials of all VMs would fall on a few endpoints at once.
-	mostSaved = 1
-	// rampPart is the part of the order's time over which requests move, and mostRamp bounds it.
-	rampPart = 0.1
-	mostRamp = 2 * time.Second
+	// canaryShareOfBound is the fraction of the operator's bound on exposure that canary requests
+	// use. The rest is for requests that reach the new version before a VM has received the
+	// order, and for the time that a verdict takes while requests shift.
+	canaryShareOfBound = 0.75
+	// grantShare is the fraction of the fixed number of requests that a bad version may receive
+	// which canary requests use. Without it a service with few requests would collect no
+	// evidence.
+	grantShare = 0.5
+	// maxSaved bounds the credit that a gate saves while no endpoint of the new version has
+	// capacity. The saved canary requests of all VMs would otherwise reach a few endpoints at
+	// once.
+	maxSaved = 1
+	// rampShare is the fraction of the order's time over which requests shift, and maxRamp its
+	// maximum.
+	rampShare = 0.1
+	maxRamp   = 2 * time.Second
 )
 
-// TrialShare is the share of requests that go to a new version while it is tried, for the
-// share that a bad version may get at most.
-func TrialShare(bound float64) float64 { return trialPart * bound }
+// CanaryShare returns the fraction of requests that go to a new version in the canary phase.
+// bound is the largest fraction that a bad version may receive.
+func CanaryShare(bound float64) float64 { return canaryShareOfBound * bound }
 
-// Ramp is the time over which requests move to the new version.
-func (o Order) Ramp() time.Duration {
-	return min(mostRamp, time.Duration(rampPart*float64(o.Duration)))
+// RampDuration returns the time over which requests shift to the new version.
+func (o Order) RampDuration() time.Duration {
+	return min(maxRamp, time.Duration(rampShare*float64(o.Duration)))
 }
 
-// Grant is one VM's part of the fixed number of requests that a bad version may get.
-func Grant(slack float64, vms int) float64 {
+// InitialGrant returns one VM's share of the fixed number of requests that a bad version may
+// receive.
+func InitialGrant(slack float64, vms int) float64 {
 	if vms == 0 {
 		return 0
 	}
-	return grantPart * slack / float64(vms)
+	return grantShare * slack / float64(vms)
 }
 
-// Gate bounds the requests that one process sends to the new version: each that it sends for
-// the service earns a share of one. A process that starts has earned nothing, so restarts
+// Gate limits the requests that one process sends to the new version: each request that it sends
+// to the service earns credit for a fraction of one. A process starts without credit, so restarts
 // add nothing to the sum.
 type Gate struct {
 	balance float64
-	// granted is what it began with.
+	// granted is the initial balance.
 	granted float64
 }
 
-// NewGate returns a gate that begins with a grant. Only a process that hears of an order as it
-// comes may have one, once: the next process of its VM cannot know whether it was spent.
+// NewGate returns a gate with an initial grant. Only a process that receives an order when it is
+// issued may use a grant, and only once: the VM's next process has no record of whether it was
+// spent.
 func NewGate(grant float64) Gate { return Gate{balance: grant, granted: grant} }
 
-// most is the most that is saved.
-func (g *Gate) most() float64 { return mostSaved + g.granted }
+// maxBalance returns the maximum balance.
+func (g *Gate) maxBalance() float64 { return maxSaved + g.granted }
 
-// Sent notes that a request left for the service for the first time. share is what it earns.
-func (g *Gate) Sent(share float64) { g.balance = min(g.most(), g.balance+share) }
+// RecordSent records that a request was sent to the service for the first time. share is the
+// credit that it earns.
+func (g *Gate) RecordSent(share float64) { g.balance = min(g.maxBalance(), g.balance+share) }
 
-// Take takes one request off the balance, and says whether there was enough.
-func (g *Gate) Take() bool {
+// TryTake takes one request off the balance and reports whether the balance sufficed.
+func (g *Gate) TryTake() bool {
 	if g.balance < 1 {
 		return false
 	}
@@ -63,5 +69,5 @@
 	return true
 }
 
-// GiveBack gives back a request that did not go to the new version.
-func (g *Gate) GiveBack() { g.balance = min(g.most(), g.balance+1) }
+// Refund returns the credit of a request that was not sent to the new version.
+func (g *Gate) Refund() { g.balance = min(g.maxBalance(), g.balance+1) }
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -134,13 +134,13 @@
 	peers := make([]cell.Peer, 0, len(p.byAddress))
 	for a, pe := range p.byAddress {
 		peers = append(peers, cell.Peer{
-			Address: a, Near: pe.domain == p.d.set.Vm.FailureDomain, Places: pe.placesRequests(now),
-			Cell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
+			Address: a, SameDomain: pe.domain == p.d.set.Vm.FailureDomain, IsPlacer: pe.placesRequests(now),
+			SameCell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
 	// Each VM starts the rotation at another offset: otherwise a VM would hear from all others at
 	// once and then from none for a while.
-	return cell.RecipientsOf(peers, i+p.offset, placer == nil)
+	return cell.ChooseRecipients(peers, i+p.offset, placer == nil)
 }
 
 // turnOffsetRange bounds rotation offsets; it exceeds the rotation length of any list in use.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -47,7 +47,7 @@
 	offset uint64
 	// surplus decides, in the goroutine that sends notes, when this VM steps down as a placer;
 	// steppedDown reports that it has.
-	surplus     cell.Surplus
+	surplus     cell.SurplusDetector
 	steppedDown atomic.Bool
 	// eligible reports whether this process has received enough state to place requests for others.
 	eligible atomic.Bool
@@ -58,7 +58,7 @@
 	// byAddress holds all VMs ever learned of except this one.
 	byAddress map[string]*peer
 	// counts is the number of known VMs in this VM's region and failure domain, itself included.
-	counts cell.Fleet
+	counts cell.FleetSize
 	// listIsComplete is set once the whole list of VMs was read, from the store or from a VM that
 	// had read it. Before that, shared amounts would be divided by too few VMs.
 	listIsComplete bool
@@ -147,7 +147,7 @@
 
 func newPeers(d *Daemon) *peers {
 	return &peers{
-		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.Fleet{Region: 1, Domain: 1}, offset: turnOffset(d.set.Listen.Peers),
+		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.FleetSize{Region: 1, Domain: 1}, offset: turnOffset(d.set.Listen.Peers),
 		relays: make(chan relay, relayBuffer), configHints: make(chan configHint, hintBuffer),
 		client: &http.Client{Transport: &http.Transport{DialContext: d.opts.Dial, DisableKeepAlives: true}},
 	}
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -18,8 +18,8 @@
 		v.count(func(c *rollout.Counts) {
 			c.Answers++
 			if !v.cold {
-				c.First.Observe(v.firstEventAfter)
-				c.Whole.Observe(took)
+				c.FirstEvent.Observe(v.firstEventAfter)
+				c.WholeAnswer.Observe(took)
 			}
 		})
 	case dispatch.CallerLeft:
@@ -47,7 +47,7 @@
 	}
 	v.count(func(c *rollout.Counts) {
 		c.Answers++
-		c.First.Observe(first)
+		c.FirstEvent.Observe(first)
 	})
 }
 
@@ -58,7 +58,7 @@
 	})
 }
 
-func (v *trackedAttempt) count(add func(*rollout.Counts)) { v.rollout.evidence.Count(v.group, add) }
+func (v *trackedAttempt) count(add func(*rollout.Counts)) { v.rollout.evidence.Update(v.group, add) }
 
 // countCut counts a request that was cut off cutSettleTime ago, unless its endpoint has ended or is
 // leaving.
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -29,8 +29,8 @@
 // judge is the state of the VM that judges a rollout for its failure domain.
 type judge struct {
 	// vms is the evidence of the failure domain's processes, domains that of whole failure domains.
-	vms, domains *rollout.Ledger
-	watch        *rollout.Watch
+	vms, domains *rollout.Aggregator
+	watch        *rollout.Monitor
 	// drainedVMs and drainedDomains are those with no request at the old version.
 	drainedVMs, drainedDomains drainReports
 	// suspected and next are the last logged values.
@@ -60,7 +60,7 @@
 
 func newJudge(o rollout.Order) *judge {
 	return &judge{
-		vms: rollout.NewLedger(), domains: rollout.NewLedger(), watch: rollout.NewWatch(o),
+		vms: rollout.NewAggregator(), domains: rollout.NewAggregator(), watch: rollout.NewMonitor(o),
 		drainedVMs: make(drainReports), drainedDomains: make(drainReports),
 	}
 }
@@ -240,15 +240,15 @@
 	}
 	sum := m.judge.domains.Sum()
 	age := now - m.orderedAt
-	k := rollout.Known{
-		Age: age, Finding: m.judge.watch.Test(m.phase, age, sum, len(m.canaryEndpoints)), Longest: sum.Longest(),
+	k := rollout.State{
+		Age: age, Finding: m.judge.watch.Evaluate(m.phase, age, sum, len(m.canaryEndpoints)), LongestAnswer: sum.LongestAnswer(),
 		NewListed: m.listedNew, OldListed: m.listedOld, Held: slices.Contains(r.held, m.order.Service),
 	}
 	k.Answers, k.Failures, k.OldAnswers = sum.Totals()
-	k.Drained = m.phase == rollout.Moving && r.allDrained(m, now, interval, judges)
+	k.Drained = m.phase == rollout.Shifting && r.allDrained(m, now, interval, judges)
 	next := m.order.Decide(m.phase, k)
 	r.logFinding(m, k, next)
-	if next == rollout.RolledBack || lead && next == rollout.Moving {
+	if next == rollout.RolledBack || lead && next == rollout.Shifting {
 		r.advance(m, next, learnedSeen)
 	}
 	if lead && next == rollout.Completed {
@@ -257,7 +257,7 @@
 }
 
 // logFinding logs the evidence against a version when it becomes suspect and at the verdict.
-func (r *rollouts) logFinding(m *rolloutState, k rollout.Known, next rollout.Phase) {
+func (r *rollouts) logFinding(m *rolloutState, k rollout.State, next rollout.Phase) {
 	suspect := k.Finding.Suspect()
 	logged := next == m.judge.next && (!suspect || m.judge.suspected)
 	m.judge.suspected, m.judge.next = suspect, next
@@ -268,7 +268,7 @@
 	r.d.log.Info().Str("service", m.order.Service).Str("version", m.order.Version).Stringer("phase", m.phase).Stringer("next", next).
 		Dur("age", k.Age).Str("route", f.Route).Stringer("kind", f.Kind).Str("strength", strconv.FormatFloat(f.Strength, 'f', 1, 64)).
 		Int("new_bad", f.NewBad).Int("new_total", f.NewTotal).Int("old_bad", f.OldBad).Int("old_total", f.OldTotal).
-		Str("doubt", strconv.FormatFloat(f.Doubt, 'f', 1, 64)).Int("answers", k.Answers).Int("failures", k.Failures).Int("old_answers", k.OldAnswers).Int("listed_new", k.NewListed).Int("listed_old", k.OldListed).Bool("drained", k.Drained).Msg("rollout_judged")
+		Str("doubt", strconv.FormatFloat(f.TotalStrength, 'f', 1, 64)).Int("answers", k.Answers).Int("failures", k.Failures).Int("old_answers", k.OldAnswers).Int("listed_new", k.NewListed).Int("listed_old", k.OldListed).Bool("drained", k.Drained).Msg("rollout_judged")
 }
 
 // mergeVMReport merges the evidence of a process of this VM's failure domain. source identifies the
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -18,8 +18,8 @@
 // queueStatus queues the writing of a rollout's status unless the store has it. The caller holds
 // the lock.
 func (r *rollouts) queueStatus(m *rolloutState, phase rollout.Phase) {
-	if phase == rollout.Moving {
-		phase = rollout.Trying
+	if phase == rollout.Shifting {
+		phase = rollout.Canary
 	}
 	if m.writing && m.targetPhase >= phase {
 		return
@@ -110,7 +110,7 @@
 	switch {
 	case m.phase.Final():
 		status.Phase = m.phase
-	case m.phase == rollout.Moving && m.targetPhase == rollout.Completed:
+	case m.phase == rollout.Shifting && m.targetPhase == rollout.Completed:
 		// No judge has rolled the version back meanwhile, as far as this VM knows.
 		status.Phase = rollout.Completed
 	}
--- a/entry/rollout_versions.go
+++ b/entry/rollout_versions.go
@@ -71,8 +71,8 @@
 		keys = append(keys, e.Key())
 	}
 	m.listedOld, m.listedNew = len(old), len(updated)
-	m.slots = rollout.Slots(keys)
-	m.canaryEndpoints = m.order.TrialEndpoints(keys, len(old), rollout.TrialShare(bound))
+	m.slots = rollout.AssignSlots(keys)
+	m.canaryEndpoints = m.order.CanaryEndpoints(keys, len(old), rollout.CanaryShare(bound))
 	_, all := m.trafficShare(now, bound)
 	switch {
 	case m.phase == rollout.Completed && now-m.finalSince < oldVersionGoneAfter && len(updated) > 0:
@@ -83,7 +83,7 @@
 		return old
 	case len(old) == 0, all && len(updated) > 0:
 		return updated
-	case m.phase == rollout.Moving:
+	case m.phase == rollout.Shifting:
 		return append(old, markCanaries(updated)...)
 	}
 	return append(old, markCanaries(slices.DeleteFunc(updated, func(e *members.Endpoint) bool { return !m.canaryEndpoints[e.Key()] }))...)
@@ -102,11 +102,11 @@
 
 // trafficShare returns the share of the requests that go to the new version, and whether all do.
 func (m *rolloutState) trafficShare(now time.Duration, bound float64) (share float64, all bool) {
-	share = rollout.TrialShare(bound)
-	if m.phase != rollout.Moving {
+	share = rollout.CanaryShare(bound)
+	if m.phase != rollout.Shifting {
 		return share, false
 	}
-	ramp := m.order.Ramp()
+	ramp := m.order.RampDuration()
 	moved := now - m.shiftingSince
 	if moved >= ramp {
 		return 1, true
@@ -122,7 +122,7 @@
 		return !moved || m.listedNew == 0
 	}
 	switch m.phase {
-	case rollout.Completed, rollout.Moving:
+	case rollout.Completed, rollout.Shifting:
 		// While requests shift, the VM that places them decides: it may be some ms ahead.
 		return true
 	case rollout.RolledBack:
@@ -137,7 +137,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range r.byService {
-		if m.phase == rollout.Moving && now-m.shiftingSince < m.order.Ramp()+resyncMargin ||
+		if m.phase == rollout.Shifting && now-m.shiftingSince < m.order.RampDuration()+resyncMargin ||
 			m.phase == rollout.Completed && now-m.finalSince < oldVersionGoneAfter+resyncMargin {
 			return true
 		}
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -131,7 +131,7 @@
 	changed := false
 	m := r.byService[o.Service]
 	switch {
-	case m != nil && m.order.Same(o):
+	case m != nil && m.order.SameTarget(o):
 		if m.position.Before(at) {
 			m.position = at
 		}
@@ -144,7 +144,7 @@
 		before := m
 		m = &rolloutState{order: o, position: at, orderedAt: orderedAt, evidence: make(rollout.Evidence), phaseKnown: r.statusesRead}
 		if r.isNew(orderedAt) {
-			m.gate = rollout.NewGate(rollout.Grant(r.d.set.Bounds.ExposureSlack, r.d.peers.fleetSize()))
+			m.gate = rollout.NewGate(rollout.InitialGrant(r.d.set.Bounds.ExposureSlack, r.d.peers.fleetSize()))
 		}
 		if before != nil {
 			m.superseded = append(before.superseded, before.order.Version)
@@ -202,7 +202,7 @@
 	r.d.count("rollouts." + next.String())
 	m.phase = next
 	switch {
-	case next == rollout.Moving:
+	case next == rollout.Shifting:
 		m.shiftingSince = r.d.now()
 	case next == rollout.Completed && !m.phaseKnown:
 		// Completed before this process knew of it: other versions may have come since.
@@ -234,7 +234,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[service]
-	return m != nil && m.phaseKnown && !m.phase.Final() && m.gate.Take()
+	return m != nil && m.phaseKnown && !m.phase.Final() && m.gate.TryTake()
 }
 
 // releaseCanary returns the reservation of a request that did not try the new version.
@@ -242,7 +242,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m := r.byService[service]; m != nil {
-		m.gate.GiveBack()
+		m.gate.Refund()
 	}
 }
 
@@ -297,7 +297,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[service]
-	return m != nil && m.phase == rollout.Moving
+	return m != nil && m.phase == rollout.Shifting
 }
 
 // markFirstEvent records that the endpoint began to answer.
@@ -323,7 +323,7 @@
 	}
 	if !again {
 		share, _ := v.rollout.trafficShare(v.rollouts.d.now(), v.rollouts.d.set.Bounds.ExposureShare)
-		v.rollout.gate.Sent(share)
+		v.rollout.gate.RecordSent(share)
 	}
 	v.observe(a)
 }
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -54,15 +54,15 @@
 		{"canary phase", func(m *rolloutState) {}, both, map[string]int{"v1": 20, "v2 canary": 2}},
 		{"phase unknown: old version", func(m *rolloutState) { m.phaseKnown = false }, both, map[string]int{"v1": 20}},
 		{"phase unknown and no old version: new version", func(m *rolloutState) { m.phaseKnown = false }, both[20:], map[string]int{"v2": 20}},
-		{"moving", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now }, both, map[string]int{"v1": 20, "v2 canary": 20}},
-		{"moved", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both, map[string]int{"v2": 20}},
-		{"moved, but the new version is gone", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Moving, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
+		{"moving", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Shifting, now }, both, map[string]int{"v1": 20, "v2 canary": 20}},
+		{"moved", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Shifting, now-5*time.Second }, both, map[string]int{"v2": 20}},
+		{"moved, but the new version is gone", func(m *rolloutState) { m.phase, m.shiftingSince = rollout.Shifting, now-5*time.Second }, both[:20], map[string]int{"v1": 20}},
 		{"rolled back", func(m *rolloutState) { m.phase = rollout.RolledBack }, both, map[string]int{"v1": 20}},
 		{"just completed", func(m *rolloutState) { m.phase, m.finalSince = rollout.Completed, now }, both, map[string]int{"v2": 20}},
 		{"completed long ago: all listed versions are used", func(m *rolloutState) { m.phase = rollout.Completed }, both, map[string]int{"v1": 20, "v2": 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := testRollout(rollout.Trying)
+			m := testRollout(rollout.Canary)
 			c.m(m)
 			is.New(t).Equal(countVersions(m.usableEndpoints(now, c.list, testBound)), c.want)
 		})
@@ -76,10 +76,10 @@
 func TestPlacerIsAheadWhileRequestsMove(t *testing.T) {
 	is := is.New(t)
 	ep := versioned("v2", 1)[0]
-	m := testRollout(rollout.Moving)
+	m := testRollout(rollout.Shifting)
 	m.listedOld, m.listedNew = 1, 1
 	is.True(m.admits(0, ep, false, testBound)) // the shift has just begun
-	m.phase = rollout.Trying
+	m.phase = rollout.Canary
 	is.True(!m.admits(0, ep, false, testBound))
 	is.True(m.admits(0, ep, true, testBound))
 	m.phase = rollout.RolledBack
@@ -99,7 +99,7 @@
 	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 5}, 0, nil)
 	is.Equal(r.byService["s"].phase, rollout.RolledBack)
 	r.applyOrder(rollout.Order{Service: "s", Version: "v3", Duration: time.Second}, Position{Offset: 7}, 0, nil)
-	is.Equal(r.byService["s"].phase, rollout.Trying)
+	is.Equal(r.byService["s"].phase, rollout.Canary)
 	r.applyOrder(rollout.Order{Service: "s", Version: "v2", Duration: time.Second}, Position{Offset: 6}, 0, nil)
 	is.Equal(r.byService["s"].order.Version, "v3")
 }
@@ -136,14 +136,14 @@
 	for i := range keys {
 		keys[i] = fmt.Sprint("e", i)
 	}
-	slots := rollout.Slots(keys)
+	slots := rollout.AssignSlots(keys)
 	for _, route := range []string{"r-6q5rmmv", "r-tdhbjph", "r-a", "r-b"} {
 		for _, key := range append(keys, "old") {
-			e.Count(rollout.Group{Route: route, Endpoint: slots[key]}, func(c *rollout.Counts) {
+			e.Update(rollout.Group{Route: route, Endpoint: slots[key]}, func(c *rollout.Counts) {
 				c.Answers += 100
 				for ms := range 4000 {
-					c.Whole.Observe(time.Duration(ms) * time.Millisecond)
-					c.First.Observe(time.Duration(ms/4) * time.Millisecond)
+					c.WholeAnswer.Observe(time.Duration(ms) * time.Millisecond)
+					c.FirstEvent.Observe(time.Duration(ms/4) * time.Millisecond)
 				}
 			})
 		}
@@ -161,7 +161,7 @@
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
 	own := d.set.Vm.FailureDomain
 	r := d.rollouts
-	m := testRollout(rollout.Moving)
+	m := testRollout(rollout.Shifting)
 	m.judge = newJudge(m.order)
 	const pause = time.Second
 	drained := func(now time.Duration, domains ...string) bool {
--- a/entry/sharing.go
+++ b/entry/sharing.go
@@ -19,7 +19,7 @@
 	set *settings.Entry
 
 	mu     sync.Mutex
-	ledger *allowance.Ledger
+	ledger *allowance.Limiter
 	// vms are all VMs, empty until they are known; holders are the VMs that hold a share of an
 	// organisation's allowance.
 	vms     []allowance.VM
@@ -42,19 +42,19 @@
 func (s *sharedAllowances) setTable(t *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	terms := make([]allowance.Terms, 0, len(t.Document.Organisations))
+	terms := make([]allowance.Limit, 0, len(t.Document.Organisations))
 	s.reserves = reservesByTier(t.Document.Routes)
 	for _, o := range t.Document.Organisations {
-		terms = append(terms, allowance.Terms{Organisation: o.Name, Rate: o.Rate, Burst: o.Burst})
+		terms = append(terms, allowance.Limit{Organisation: o.Name, Rate: o.Rate, Burst: o.Burst})
 	}
-	s.ledger.SetTerms(s.now(), terms)
+	s.ledger.SetLimits(s.now(), terms)
 }
 
 // creditRestartAllowance adds the allowance reserved for restarted processes.
 func (s *sharedAllowances) creditRestartAllowance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Restarted(s.now())
+	s.ledger.AddRestartGrant(s.now())
 }
 
 // setVMs sets the list of all VMs of the deployment, this one included.
@@ -66,7 +66,7 @@
 	}
 	s.vms = vms
 	s.holders = make(map[string][]allowance.VM)
-	s.ledger.SetParts(s.now(), s.shareOf)
+	s.ledger.SetShares(s.now(), s.shareOf)
 }
 
 // holdersOf returns the VMs that hold a share of an organisation's allowance.
@@ -79,7 +79,7 @@
 func (s *sharedAllowances) holdersLocked(organisation string) []allowance.VM {
 	k, ok := s.holders[organisation]
 	if !ok {
-		k = allowance.Keepers(organisation, s.vms)
+		k = allowance.Holders(organisation, s.vms)
 		s.holders[organisation] = k
 	}
 	return k
@@ -104,17 +104,17 @@
 
 // spend deducts an amount from the organisation's allowance. If this VM's balance is too low, it
 // asks other VMs for grants and waits up to grantTimeout.
-func (s *sharedAllowances) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.Verdict {
+func (s *sharedAllowances) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.SpendResult {
 	s.mu.Lock()
 	v := s.ledger.Spend(s.now(), r)
 	if v.OK {
 		s.mu.Unlock()
 		return v
 	}
-	s.pending[r.Organisation] += r.Units + v.Lacking
-	held := r.Units + v.Lacking
+	s.pending[r.Organisation] += r.Units + v.Shortfall
+	held := r.Units + v.Shortfall
 	s.mu.Unlock()
-	want := allowance.Request{Amount: allowance.Amount{Organisation: r.Organisation, Units: v.Lacking}, Reserve: r.Reserve}
+	want := allowance.Request{Amount: allowance.Amount{Organisation: r.Organisation, Units: v.Shortfall}, Reserve: r.Reserve}
 	ask(want, false)
 	timeout, more := time.NewTimer(grantTimeout), time.NewTimer(askMoreAfter)
 	defer timeout.Stop()
@@ -126,7 +126,7 @@
 		select {
 		case <-arrived:
 		case <-more.C:
-			want.Units = v.Lacking
+			want.Units = v.Shortfall
 			ask(want, true)
 		case <-timeout.C:
 			done = true
@@ -148,14 +148,14 @@
 func (s *sharedAllowances) grant(want allowance.Request) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Give(s.now(), want)
+	return s.ledger.Grant(s.now(), want)
 }
 
 // receiveGrant credits an amount granted by another VM and returns the excess to send back.
 func (s *sharedAllowances) receiveGrant(got allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	back = s.ledger.Receive(s.now(), got, s.pending[got.Organisation])
+	back = s.ledger.Credit(s.now(), got, s.pending[got.Organisation])
 	close(s.grantArrived)
 	s.grantArrived = make(chan struct{})
 	return back
@@ -194,5 +194,5 @@
 func (s *sharedAllowances) refund(a allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Receive(s.now(), a, 0)
+	return s.ledger.Credit(s.now(), a, 0)
 }
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -145,7 +145,7 @@
 
 // recordSuccess records that an endpoint gave a request a complete response. A response that ends
 // with its connection is ignored: it may be incomplete.
-func (s *suspects) recordSuccess(d suspect.Digest, ans *upstream.Answer) {
+func (s *suspects) recordSuccess(d suspect.Digest, ans *upstream.Response) {
 	if ans.Unframed() {
 		return
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream sends requests to endpoints over kept connections, and tells
-// exactly how far each one came. The standard library's client repeats requests
-// by itself and hides whether a byte has left, which at-most-once needs to know;
-// so connections are kept here, and net/http only parses what comes back.
+// Package upstream sends requests to endpoints over persistent connections and reports exactly
+// how far each request came. The standard library's client retries requests by itself and does
+// not reveal whether a byte was sent, which at-most-once delivery needs to know. Connections are
+// therefore managed here, and net/http only parses responses.
 package upstream
 
 import (
@@ -19,46 +19,46 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Round trips are a few ms within
-	// a region and up to 100 between those that are far apart; an opening packet that
-	// is dropped is repeated after a second, by when another endpoint has answered.
+	// dialTimeout bounds the opening of a connection. Round trips take a few ms within a region
+	// and up to 100 ms between distant ones. A lost SYN packet is retransmitted after a second,
+	// by when another endpoint has responded.
 	dialTimeout = 200 * time.Millisecond
-	// defaultKeep is how long a connection stays idle where the endpoint says
-	// nothing.
-	defaultKeep = 4 * time.Second
-	// keepMargin is left of the time that the endpoint says, so that a request
-	// does not cross the endpoint's close.
-	keepMargin = 1200 * time.Millisecond
-	// maxStale bounds the answers to earlier requests that are passed over on one
+	// defaultKeepAlive is how long a connection may be idle if the endpoint sends no Keep-Alive
+	// timeout.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is subtracted from the endpoint's Keep-Alive timeout, so that no request is
+	// sent while the endpoint closes the connection.
+	keepAliveMargin = 1200 * time.Millisecond
+	// maxStaleResponses bounds the responses to earlier requests that are skipped on one
 	// connection.
-	maxStale = 3
-	// maxStaleBytes bounds the body of such an answer.
+	maxStaleResponses = 3
+	// maxStaleBytes bounds the body of such a response.
 	maxStaleBytes = 1 << 20
 	readBuffer    = 4 << 10
-	// asideBody is the size from which a body is written while the answer is
-	// awaited, since an endpoint may answer before it has read it all.
-	asideBody = 32 << 10
+	// asyncWriteSize is the size from which a body is written while the response is awaited,
+	// since an endpoint may respond before it has read the whole body.
+	asyncWriteSize = 32 << 10
 )
 
-// Stage says how far a request came before it failed.
+// Stage is how far a request came before it failed.
 type Stage int
 
 // Stages of a request.
 const (
-	// NotSent: no byte of it left.
+	// NotSent: no byte of it was sent.
 	NotSent Stage = iota
-	// Sent: some of it may have been read by the endpoint.
+	// Sent: the endpoint may have read some of it.
 	Sent
 )
 
-// ExchangeError reports a request that got no answer.
+// ExchangeError reports a request that got no response.
 type ExchangeError struct {
 	Address string
 	Stage   Stage
 	Err     error
 }
 
-// Error describes the failure.
+// Error returns the address, whether the request may have been sent, and the cause.
 func (e *ExchangeError) Error() string {
 	return fmt.Sprintf("endpoint %s: sent=%t: %v", e.Address, e.Stage == Sent, e.Err)
 }
@@ -66,54 +66,53 @@
 // Unwrap returns the cause.
 func (e *ExchangeError) Unwrap() error { return e.Err }
 
-// StaleAnswersError reports a connection on which only answers to other
-// requests came.
-type StaleAnswersError struct{ Count int }
+// StaleResponsesError reports a connection that delivered only responses to other requests.
+type StaleResponsesError struct{ Count int }
 
-// Error describes the failure.
-func (e *StaleAnswersError) Error() string {
-	return fmt.Sprintf("%d answers to other requests came first", e.Count)
+// Error returns the number of responses to other requests.
+func (e *StaleResponsesError) Error() string {
+	return fmt.Sprintf("received %d responses to other requests", e.Count)
 }
 
-// EarlyAnswerError reports an answer that came before its request was written.
-type EarlyAnswerError struct{}
+// EarlyResponseError reports a response that arrived before its request was written.
+type EarlyResponseError struct{}
 
 // Error describes the failure.
-func (e *EarlyAnswerError) Error() string { return "the answer came before the request was written" }
+func (e *EarlyResponseError) Error() string { return "response arrived before the request was written" }
 
-// Request is what is sent, unchanged.
+// Request is a request that is sent unchanged.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// HasBody says that a body was sent, even an empty one.
+	// HasBody reports whether the request has a body, even an empty one.
 	HasBody bool
-	// Mine says whether an answer belongs to this request.
-	Mine func(*http.Response) bool
+	// Matches reports whether a response belongs to this request.
+	Matches func(*http.Response) bool
 }
 
-// Answer is an endpoint's answer whose body is still to be read.
-type Answer struct {
+// Response is an endpoint's response whose body has not been read yet.
+type Response struct {
 	*http.Response
-	// Reused says that the connection had served other requests before.
-	Reused bool
-	conn   *conn
-	pool   *Pool
-	stop   func() bool
-	whole  bool
-	wrote  chan error
+	// Reused reports whether the connection had served other requests before.
+	Reused    bool
+	conn      *conn
+	pool      *Pool
+	stop      func() bool
+	bodyRead  bool
+	writeDone chan error
 }
 
 type conn struct {
 	net.Conn
-	br       *bufio.Reader
-	key      string
-	idleAt   time.Time
-	keep     time.Duration
-	requests int
+	br        *bufio.Reader
+	key       string
+	idleSince time.Time
+	keepAlive time.Duration
+	requests  int
 }
 
-// Pool keeps connections by endpoint.
+// Pool keeps idle connections by endpoint.
 type Pool struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// MaxIdle bounds the idle connections kept for one endpoint.
@@ -128,16 +127,16 @@
 	return &Pool{Dial: dial, MaxIdle: maxIdle, idle: make(map[string][]*conn)}
 }
 
-// Do sends a request to an endpoint and returns its answer. key names the
-// endpoint's incarnation, so that no connection outlives it. fresh asks for a new
-// connection. Cancelling ctx closes the connection, which tells the endpoint.
-func (p *Pool) Do(ctx context.Context, key, address string, r *Request, fresh bool) (*Answer, error) {
-	c, err := p.get(ctx, key, address, fresh)
+// Do sends a request to an endpoint and returns its response. key identifies the endpoint's
+// incarnation, so that no connection is reused for another one. newConn asks for a new
+// connection. Cancelling ctx closes the connection, which notifies the endpoint.
+func (p *Pool) Do(ctx context.Context, key, address string, r *Request, newConn bool) (*Response, error) {
+	c, err := p.get(ctx, key, address, newConn)
 	if err != nil {
 		return nil, &ExchangeError{Address: address, Stage: NotSent, Err: err}
 	}
 	stop := context.AfterFunc(ctx, c.abandon)
-	a, err := c.exchange(r)
+	resp, err := c.exchange(r)
 	if err != nil {
 		stop()
 		c.abandon()
@@ -146,12 +145,12 @@
 		}
 		return nil, &ExchangeError{Address: address, Stage: Sent, Err: err}
 	}
-	a.pool, a.stop = p, stop
-	return a, nil
+	resp.pool, resp.stop = p, stop
+	return resp, nil
 }
 
-// abandon closes a connection and discards what the endpoint has not been sent yet: on a link that is
-// cut or full it would arrive when the request has long gone on elsewhere.
+// abandon closes a connection and discards data that has not been sent to the endpoint yet. On a
+// link that is cut or congested the data would arrive long after the request was sent elsewhere.
 func (c *conn) abandon() {
 	if l, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		// A connection that is closed already has nothing left to discard.
@@ -160,8 +159,8 @@
 	_ = c.Close()
 }
 
-// Open opens a connection to an endpoint and keeps it as an idle one.
-func (p *Pool) Open(key, address string) error {
+// Preconnect opens a connection to an endpoint and keeps it as an idle one.
+func (p *Pool) Preconnect(key, address string) error {
 	c, err := p.get(context.Background(), key, address, true)
 	if err != nil {
 		return err
@@ -170,8 +169,8 @@
 	return nil
 }
 
-func (p *Pool) get(ctx context.Context, key, address string, fresh bool) (*conn, error) {
-	if !fresh {
+func (p *Pool) get(ctx context.Context, key, address string, newConn bool) (*conn, error) {
+	if !newConn {
 		if c := p.takeIdle(key); c != nil {
 			return c, nil
 		}
@@ -182,10 +181,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), key: key, keep: defaultKeep}, nil
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), key: key, keepAlive: defaultKeepAlive}, nil
 }
 
-// takeIdle returns the idle connection used last that is still good.
+// takeIdle returns the most recently used idle connection that is still reusable.
 func (p *Pool) takeIdle(key string) *conn {
 	for {
 		p.mu.Lock()
@@ -197,16 +196,16 @@
 		c := list[len(list)-1]
 		p.idle[key] = list[:len(list)-1]
 		p.mu.Unlock()
-		if time.Since(c.idleAt) < c.keep && c.quiet() {
+		if time.Since(c.idleSince) < c.keepAlive && c.reusable() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// quiet says that nothing came on an idle connection: neither its end nor bytes
-// of nobody's answer, which the next request would take for its own.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection has received nothing: neither its end nor bytes of
+// an unrelated response, which would be taken for the response to the next request.
+func (c *conn) reusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -218,43 +217,43 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noInput := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, rerr := syscall.Read(int(fd), b[:])
-		quiet = rerr == syscall.EAGAIN || rerr == syscall.EINTR
+		noInput = rerr == syscall.EAGAIN || rerr == syscall.EINTR
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noInput
 }
 
-func (c *conn) exchange(r *Request) (*Answer, error) {
+func (c *conn) exchange(r *Request) (*Response, error) {
 	c.requests++
-	a := &Answer{conn: c, Reused: c.requests > 1}
+	response := &Response{conn: c, Reused: c.requests > 1}
 	head := r.head()
-	if len(r.Body) < asideBody {
+	if len(r.Body) < asyncWriteSize {
 		if _, err := c.Write(append(head, r.Body...)); err != nil {
 			return nil, err
 		}
 	} else {
-		a.wrote = make(chan error, 1)
+		response.writeDone = make(chan error, 1)
 		go func() {
 			_, err := c.Write(append(head, r.Body...))
-			a.wrote <- err
+			response.writeDone <- err
 		}()
 	}
-	resp, err := c.readMine(r)
+	resp, err := c.readMatching(r)
 	if err != nil {
 		return nil, err
 	}
-	a.Response = resp
-	return a, nil
+	response.Response = resp
+	return response, nil
 }
 
-// readMine reads answers until one belongs to the request. An endpoint may send
-// a second answer to an earlier request late; taken for this one it would give a
-// caller somebody else's answer.
-func (c *conn) readMine(r *Request) (*http.Response, error) {
+// readMatching reads responses until one belongs to the request. An endpoint may send a second
+// response to an earlier request late; without this check a caller would get somebody else's
+// response.
+func (c *conn) readMatching(r *Request) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
 	for stale := 0; ; {
 		resp, err := http.ReadResponse(c.br, req)
@@ -264,12 +263,12 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine(resp) {
+		if r.Matches(resp) {
 			return resp, nil
 		}
 		stale++
-		if stale > maxStale || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, &StaleAnswersError{Count: stale}
+		if stale > maxStaleResponses || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
+			return nil, &StaleResponsesError{Count: stale}
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBytes)); err != nil {
 			return nil, err
@@ -289,53 +288,55 @@
 	return []byte(b.String())
 }
 
-// Read reads the body, and notes its end.
-func (a *Answer) Read(p []byte) (int, error) {
-	n, err := a.Body.Read(p)
+// Read reads the body and records whether its end was reached.
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.Body.Read(p)
 	if err == io.EOF {
-		a.whole = true
+		r.bodyRead = true
 	}
 	return n, err
 }
 
-// Finish ends the exchange: the connection is kept if the answer was read to
-// its end and nothing speaks against it, else it is closed.
-func (a *Answer) Finish() {
-	live := a.stop()
-	c := a.conn
-	if !live || !a.whole || a.Close || !a.written() || a.Unframed() || c.br.Buffered() > 0 {
+// Finish ends the exchange. It keeps the connection if the response was read to its end and the
+// connection may serve another request, and closes it otherwise.
+func (r *Response) Finish() {
+	notCancelled := r.stop()
+	c := r.conn
+	if !notCancelled || !r.bodyRead || r.Close || !r.requestWritten() || r.Unframed() || c.br.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
-	c.keep = keepFor(a.Header.Get("Keep-Alive"))
-	if c.keep <= 0 {
+	c.keepAlive = parseKeepAlive(r.Header.Get("Keep-Alive"))
+	if c.keepAlive <= 0 {
 		_ = c.Close()
 		return
 	}
-	a.pool.put(c)
+	r.pool.put(c)
 }
 
-// Unframed answers end with their connection: nothing tells whether they are whole.
-func (a *Answer) Unframed() bool {
-	return a.ContentLength < 0 && len(a.TransferEncoding) == 0
+// Unframed reports whether the response ends with its connection, so that its completeness cannot
+// be verified.
+func (r *Response) Unframed() bool {
+	return r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
-// written says that the request was written whole before the answer came. If
+// requestWritten reports whether the whole request was written before the response arrived. If
 // not, the endpoint still expects the rest of it.
-func (a *Answer) written() bool {
-	if a.wrote == nil {
+func (r *Response) requestWritten() bool {
+	if r.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-a.wrote:
+	case err := <-r.writeDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// keepFor is how long a connection may be idle, by the endpoint's word.
-func keepFor(header string) time.Duration {
+// parseKeepAlive returns how long a connection may be idle, from the endpoint's Keep-Alive
+// header.
+func parseKeepAlive(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
@@ -343,15 +344,15 @@
 		}
 		n, err := strconv.Atoi(v)
 		if err != nil {
-			return defaultKeep
+			return defaultKeepAlive
 		}
-		return time.Duration(n)*time.Second - keepMargin
+		return time.Duration(n)*time.Second - keepAliveMargin
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
 
 func (p *Pool) put(c *conn) {
-	c.idleAt = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.key]) >= p.MaxIdle {
@@ -361,15 +362,15 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// Sweep closes connections that were idle for too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections that were idle for too long.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleAt) >= c.keep {
+			if now.Sub(c.idleSince) >= c.keepAlive {
 				_ = c.Close()
 				continue
 			}
