--- a/entry/amounts.go
+++ b/entry/amounts.go
@@ -51,9 +51,9 @@
 // distance orders VMs by whom to ask first.
 func (p *peers) distance(now time.Duration, pe *peer) int {
 	switch {
-	case !pe.heardLately(now):
+	case !pe.isAlive(now):
 		return 2
-	case pe.domain != p.d.set.Vm.FailureDomain:
+	case pe.domain != p.d.settings.Vm.FailureDomain:
 		return 1
 	}
 	return 0
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -32,9 +32,9 @@
 		again.succeeded()
 		d.noteEra(list.era)
 		d.learnVMs(list)
-		d.retries.noteListed(d.apart)
+		d.retryBudgets.setFleetKnown(d.noRecentPredecessor)
 		d.claim()
-		if d.peers.reads() {
+		if d.peers.isStoreReader() {
 			d.heal(ctx, list)
 			d.pauseOrEra(ctx, announceEvery)
 		} else {
@@ -62,7 +62,7 @@
 			return *before, nil
 		}
 	}
-	records, next, err := d.opts.Store.Newest(ctx, FeedVMs)
+	records, next, err := d.opts.Store.Snapshot(ctx, FeedVMs)
 	return vmList{records, next.Era}, err
 }
 
@@ -71,19 +71,19 @@
 // started since, so no two can miss each other.
 func (d *Daemon) writeRecord(ctx context.Context) (*vmList, error) {
 	self := d.ownRecord()
-	before, next, err := d.opts.Store.Newest(ctx, FeedVMs)
+	before, next, err := d.opts.Store.Snapshot(ctx, FeedVMs)
 	if err != nil {
 		return nil, err
 	}
 	self.era = next.Era
 	last, found := d.lastRecord(before)
-	if err := d.opts.Store.Write(ctx, Record{Key: d.set.Vm.Name, Value: []byte(self.String())}); err != nil {
+	if err := d.opts.Store.Write(ctx, Record{Key: d.settings.Vm.Name, Value: []byte(self.String())}); err != nil {
 		return nil, err
 	}
-	d.claimed = found && mayClaim(last, self, d.set.AllowanceWindow)
-	d.apart = found && mayClaim(last, self, d.set.RetryWindow) || !found && next.Era == 0
-	d.log.Info().Bool("started_before", found).Dur("since_last_start", self.started.Sub(last.started)).Bool("claims", d.claimed).
-		Bool("apart", d.apart).Msg("previous_start")
+	d.restartClaimed = found && mayClaim(last, self, d.settings.AllowanceWindow)
+	d.noRecentPredecessor = found && mayClaim(last, self, d.settings.RetryWindow) || !found && next.Era == 0
+	d.log.Info().Bool("started_before", found).Dur("since_last_start", self.started.Sub(last.started)).Bool("claims", d.restartClaimed).
+		Bool("apart", d.noRecentPredecessor).Msg("previous_start")
 	if slices.ContainsFunc(before, d.isOwn) {
 		d.peers.noteKnownBefore()
 		return &vmList{before, next.Era}, nil
@@ -94,7 +94,7 @@
 // lastRecord is the record of this VM's process before this one.
 func (d *Daemon) lastRecord(before []Record) (last vmRecord, found bool) {
 	for _, r := range before {
-		if r.Key != d.set.Vm.Name {
+		if r.Key != d.settings.Vm.Name {
 			continue
 		}
 		last, err := parseVMRecord(string(r.Value))
@@ -109,13 +109,13 @@
 // isOwn says whether a record of the list of VMs is that of this VM at its address.
 func (d *Daemon) isOwn(r Record) bool {
 	own, err := parseVMRecord(string(r.Value))
-	return err == nil && r.Key == d.set.Vm.Name && own.Address == d.set.Listen.Peers
+	return err == nil && r.Key == d.settings.Vm.Name && own.Address == d.settings.Listen.Peers
 }
 
 func (d *Daemon) learnVMs(list vmList) {
 	d.suspects.learn(list.records)
 	d.rollouts.learn(list.records)
-	d.noteInformed()
+	d.markInitialised()
 	named := make(map[string]string)
 	for _, r := range list.records {
 		if d.isVM(r) {
@@ -143,11 +143,11 @@
 
 // claim takes what is kept for restarts once this VM's parts are known.
 func (d *Daemon) claim() {
-	if !d.claimed {
+	if !d.restartClaimed {
 		return
 	}
-	d.claimed = false
-	if d.now() > restartLate || d.set.Off.Has(mechanism.RestartAllowance) {
+	d.restartClaimed = false
+	if d.now() > restartLate || d.settings.Off.Has(mechanism.RestartAllowance) {
 		return
 	}
 	d.shares.restarted()
--- a/entry/copies.go
+++ b/entry/copies.go
@@ -105,7 +105,7 @@
 
 // ownRecord is this VM's record.
 func (d *Daemon) ownRecord() vmRecord {
-	return vmRecord{VM: allowance.VM{Address: d.set.Listen.Peers, Domain: d.set.Vm.FailureDomain}, started: d.startedAt}
+	return vmRecord{VM: allowance.VM{Address: d.settings.Listen.Peers, Domain: d.settings.Vm.FailureDomain}, started: d.startedAt}
 }
 
 // marks are the eras in which the records of failure domains were last whole.
@@ -128,21 +128,21 @@
 // none, and before the first start of the deployment there was nothing to lose; after a copy each
 // failure domain says when its own are there again.
 func (d *Daemon) isComplete(l vmList) bool {
-	if l.era == 0 || d.set.Vm.FirstStart || d.now() >= completeAfter {
+	if l.era == 0 || d.settings.Vm.FirstStart || d.now() >= completeAfter {
 		return true
 	}
 	marks := l.marks()
-	for _, domain := range d.set.FailureDomains {
+	for _, domain := range d.settings.FailureDomains {
 		if marks[domain.Name] != l.era {
 			return false
 		}
 	}
-	return marks[d.set.Vm.FailureDomain] == l.era
+	return marks[d.settings.Vm.FailureDomain] == l.era
 }
 
 // heal writes again what the store may have lost of this failure domain's VMs.
 func (d *Daemon) heal(ctx context.Context, l vmList) {
-	domain := d.set.Vm.FailureDomain
+	domain := d.settings.Vm.FailureDomain
 	if l.era == 0 || l.marks()[domain] == l.era || d.now() < healUptime {
 		return
 	}
@@ -162,8 +162,8 @@
 			current[r.Key] = true
 		}
 	}
-	known := d.peers.recordsOf(d.set.Vm.FailureDomain)
-	known[d.set.Vm.Name] = d.ownRecord()
+	known := d.peers.recordsOf(d.settings.Vm.FailureDomain)
+	known[d.settings.Vm.Name] = d.ownRecord()
 	var records []Record
 	for name, rec := range known {
 		if !current[name] {
--- a/entry/copies_test.go
+++ b/entry/copies_test.go
@@ -24,7 +24,7 @@
 	whole int
 }
 
-func (s *scripted) Newest(context.Context, Feed) ([]Record, Position, error) {
+func (s *scripted) Snapshot(context.Context, Feed) ([]Record, Position, error) {
 	s.whole++
 	return s.records, s.next, s.err
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -48,69 +48,69 @@
 
 // Daemon is one VM's process.
 type Daemon struct {
-	opts  Options
-	set   *settings.Entry
-	log   zerolog.Logger
-	codec Codec
-	start time.Time
+	opts     Options
+	settings *settings.Entry
+	log      zerolog.Logger
+	codec    Codec
+	start    time.Time
 
 	table atomic.Pointer[routing.Table]
-	// takeMu orders the taking in of configurations; configRecord is the store's
+	// configMu orders the taking in of configurations; configRecord is the store's
 	// record of the one in force.
-	takeMu       sync.Mutex
+	configMu     sync.Mutex
 	configRecord atomic.Pointer[Record]
-	// endpointsKnown is set once the registry was read.
-	endpointsKnown atomic.Bool
-	// informed is closed once configuration and endpoints are known.
-	informed     chan struct{}
-	informedOnce sync.Once
+	// endpointsLoaded is set once the registry was read.
+	endpointsLoaded atomic.Bool
+	// initialised is closed once configuration and endpoints are known.
+	initialised     chan struct{}
+	initialisedOnce sync.Once
 	// registryLostAt is when this VM last failed to read the registry, 0 if it did not
 	// or could read it since.
 	registryLostAt atomic.Int64
 	registry       registry
-	// unreadable are the entries of the registry that could not be understood, with
+	// invalidEntries are the entries of the registry that could not be understood, with
 	// their faults. Only the goroutine that follows the registry uses it.
-	unreadable map[string]string
-	// claimed says that this process may take what is kept for restarts, apart that its
+	invalidEntries map[string]string
+	// restartClaimed says that this process may take what is kept for restarts, noRecentPredecessor that its
 	// predecessor started long ago or there was none. Only the goroutine that announces it uses
 	// them.
-	claimed, apart bool
+	restartClaimed, noRecentPredecessor bool
 
 	draining atomic.Bool
 	active   atomic.Int64
 	// lastHandle starts at random: handles are unique over all VMs.
 	lastHandle atomic.Uint64
 
-	sched      *scheduling
-	placing    *placing
+	sched      *sharedScheduler
+	placing    *placement
 	remoteJobs *remoteJobs
 	suspects   *suspects
 	notices    *notices
 	rollouts   *rollouts
 	eras       *eras
 	// startedAt is when the process started, by the VM's clock.
-	startedAt time.Time
-	shares    *sharing
-	retries   *retries
-	pool      *upstream.Pool
-	idle      *idleLimit
-	bodies    *memoryBudget
-	metrics   metrics.Registry
-	peers     *peers
+	startedAt    time.Time
+	shares       *sharing
+	retryBudgets *retryBudgets
+	pool         *upstream.Pool
+	idleConns    *idleConnCloser
+	bodyMemory   *memoryBudget
+	metrics      metrics.Registry
+	peers        *peers
 }
 
 const (
 	// maxIdlePerEndpoint bounds kept connections; an endpoint's own bound is
 	// shared by all VMs.
 	maxIdlePerEndpoint = 16
-	sweepEvery         = time.Second
+	sweepInterval      = time.Second
 	// headerTimeout bounds the reading of a request's head. Callers stay within
 	// what the operator sets, which is less.
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes guards memory; the operator's own limit is checked after.
 	maxHeaderBytes = 64 << 10
-	// bodyShare is the part of the memory limit that bodies may take together.
-	bodyShare = 0.2
+	// bodyMemoryShare is the part of the memory limit that bodies may take together.
+	bodyMemoryShare = 0.2
 )
 
 // New prepares a daemon.
@@ -125,22 +125,22 @@
 		opts.Dial = (&net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: false}}).DialContext
 	}
 	d := &Daemon{
-		opts: opts, set: opts.Settings, log: opts.Log, codec: opts.Codec, start: time.Now(),
-		metrics: metrics.NewRegistry(), eras: newEras(), startedAt: time.Now(), idle: newIdleLimit(), unreadable: make(map[string]string), informed: make(chan struct{}),
+		opts: opts, settings: opts.Settings, log: opts.Log, codec: opts.Codec, start: time.Now(),
+		metrics: metrics.NewRegistry(), eras: newEras(), startedAt: time.Now(), idleConns: newIdleConnCloser(), invalidEntries: make(map[string]string), initialised: make(chan struct{}),
 	}
 	d.pool = upstream.NewPool(opts.Dial, maxIdlePerEndpoint)
-	d.bodies = newMemoryBudget(int64(float64(d.set.Limits.MemoryMb) * bodyShare * (1 << 20)))
-	d.sched = newScheduling(d.set.Vm.Name, d.set.Vm.FailureDomain, d.set.Off, d.now)
-	d.sched.probe, d.sched.noteEjection, d.sched.countImpossible = d.probe, d.noteEjection, d.countImpossible
+	d.bodyMemory = newMemoryBudget(int64(float64(d.settings.Limits.MemoryMb) * bodyMemoryShare * (1 << 20)))
+	d.sched = newSharedScheduler(d.settings.Vm.Name, d.settings.Vm.FailureDomain, d.settings.Off, d.now)
+	d.sched.probe, d.sched.logEjection, d.sched.countInvalid = d.probe, d.logEjection, d.countInvalid
 	d.lastHandle.Store(rand.Uint64())
-	d.placing, d.remoteJobs = newPlacing(d), newRemoteJobs(d)
-	d.sched.remote = d.remoteJobs.decided
+	d.placing, d.remoteJobs = newPlacement(d), newRemoteJobs(d)
+	d.sched.deliverRemote = d.remoteJobs.deliver
 	d.suspects, d.notices = newSuspects(d), newNotices(d)
 	d.rollouts = newRollouts(d)
-	d.sched.usable = d.rollouts.usable
-	d.sched.departed = d.suspects.departed
-	d.sched.follow(d.set.Listen.Peers, false)
-	d.shares, d.retries = newSharing(d.set, d.now), newRetries(d)
+	d.sched.filterUsable = d.rollouts.usable
+	d.sched.onDepartures = d.suspects.departed
+	d.sched.setPlacer(d.settings.Listen.Peers, false)
+	d.shares, d.retryBudgets = newSharing(d.settings, d.now), newRetryBudgets(d)
 	d.peers = newPeers(d)
 	return d
 }
@@ -150,63 +150,63 @@
 
 // Run serves until ctx ends and the graceful shutdown is over.
 func (d *Daemon) Run(ctx context.Context) error {
-	callers, err := d.opts.Listen(d.set.Listen.Callers)
+	callersListener, err := d.opts.Listen(d.settings.Listen.Callers)
 	if err != nil {
 		return err
 	}
-	ready, err := d.opts.Listen(d.set.Listen.Ready)
+	readyListener, err := d.opts.Listen(d.settings.Listen.Ready)
 	if err != nil {
 		return err
 	}
-	var operators net.Listener
-	if d.set.Listen.Metrics != "" {
-		if operators, err = d.opts.Listen(d.set.Listen.Metrics); err != nil {
+	var metricsListener net.Listener
+	if d.settings.Listen.Metrics != "" {
+		if metricsListener, err = d.opts.Listen(d.settings.Listen.Metrics); err != nil {
 			return err
 		}
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, work := errgroup.WithContext(work)
-	front := &http.Server{
+	group, workCtx := errgroup.WithContext(workCtx)
+	callersServer := &http.Server{
 		Handler: http.HandlerFunc(d.serveCaller), ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes: maxHeaderBytes, ConnState: d.idle.connState, ErrorLog: nil,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: d.idleConns.connState, ErrorLog: nil,
 	}
-	d.serve(group, work, front, callers)
-	d.serve(group, work, &http.Server{Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}, ready)
-	if operators != nil {
-		d.serve(group, work, &http.Server{Handler: http.HandlerFunc(d.serveMetrics), ReadHeaderTimeout: headerTimeout}, operators)
+	d.serve(group, workCtx, callersServer, callersListener)
+	d.serve(group, workCtx, &http.Server{Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}, readyListener)
+	if metricsListener != nil {
+		d.serve(group, workCtx, &http.Server{Handler: http.HandlerFunc(d.serveMetrics), ReadHeaderTimeout: headerTimeout}, metricsListener)
 	}
 	if err := d.peers.listen(); err != nil {
 		return err
 	}
-	relays, err := d.opts.Listen(d.set.Listen.Peers)
+	relayListener, err := d.opts.Listen(d.settings.Listen.Peers)
 	if err != nil {
 		return err
 	}
-	d.serve(group, work, &http.Server{Handler: d.peers.relayHandler(), ReadHeaderTimeout: headerTimeout}, relays)
-	group.Go(func() error { return d.peers.receive(work) })
-	group.Go(func() error { return d.peers.tell(work) })
-	group.Go(func() error { return d.followConfig(work) })
-	group.Go(func() error { return d.fetchConfigs(work) })
-	group.Go(func() error { return d.followEndpoints(work) })
-	group.Go(func() error { return d.announce(work) })
-	group.Go(func() error { return d.suspects.keep(work) })
-	group.Go(func() error { return d.rollouts.keep(work) })
-	group.Go(func() error { return d.rollouts.follow(work) })
-	group.Go(func() error { return d.retries.keep(work) })
-	group.Go(func() error { return d.sched.tick(work) })
-	group.Go(func() error { return d.sweep(work) })
-	group.Go(func() error { return d.reload(work) })
-	group.Go(func() error { return d.shutdown(ctx, work, front, stop) })
-	d.log.Info().Str("failure_domain", d.set.Vm.FailureDomain).
-		Bool("first_start", d.set.Vm.FirstStart).Stringer("switched_off", d.set.Off).Msg("started")
+	d.serve(group, workCtx, &http.Server{Handler: d.peers.relayHandler(), ReadHeaderTimeout: headerTimeout}, relayListener)
+	group.Go(func() error { return d.peers.receive(workCtx) })
+	group.Go(func() error { return d.peers.tell(workCtx) })
+	group.Go(func() error { return d.followConfig(workCtx) })
+	group.Go(func() error { return d.fetchConfigs(workCtx) })
+	group.Go(func() error { return d.followEndpoints(workCtx) })
+	group.Go(func() error { return d.announce(workCtx) })
+	group.Go(func() error { return d.suspects.keep(workCtx) })
+	group.Go(func() error { return d.rollouts.keep(workCtx) })
+	group.Go(func() error { return d.rollouts.follow(workCtx) })
+	group.Go(func() error { return d.retryBudgets.logPeriodically(workCtx) })
+	group.Go(func() error { return d.sched.run(workCtx) })
+	group.Go(func() error { return d.sweep(workCtx) })
+	group.Go(func() error { return d.reload(workCtx) })
+	group.Go(func() error { return d.shutdown(ctx, workCtx, callersServer, stop) })
+	d.log.Info().Str("failure_domain", d.settings.Vm.FailureDomain).
+		Bool("first_start", d.settings.Vm.FirstStart).Stringer("switched_off", d.settings.Off).Msg("started")
 	err = group.Wait()
 	d.log.Info().Err(err).Msg("stopped")
 	return err
 }
 
 // serve runs a server until the process's duties end.
-func (d *Daemon) serve(group *errgroup.Group, work context.Context, s *http.Server, l net.Listener) {
+func (d *Daemon) serve(group *errgroup.Group, workCtx context.Context, s *http.Server, l net.Listener) {
 	group.Go(func() error {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return err
@@ -214,7 +214,7 @@
 		return nil
 	})
 	group.Go(func() error {
-		<-work.Done()
+		<-workCtx.Done()
 		return s.Close()
 	})
 }
@@ -235,40 +235,40 @@
 // ready says whether requests can be served here. An outage of the store does
 // not change that: what was known stays in force.
 func (d *Daemon) ready() bool {
-	return !d.draining.Load() && d.knowsAll()
+	return !d.draining.Load() && d.hasInitialState()
 }
 
-// informedWithin is up to what uptime a request waits until configuration and endpoints
+// initialisationWait is up to what uptime a request waits until configuration and endpoints
 // are known. Both are read soon after a start; callers that are turned away meanwhile return
 // too late for their objective.
-const informedWithin = 500 * time.Millisecond
+const initialisationWait = 500 * time.Millisecond
 
-// knowsAll says whether configuration and endpoints are known.
-func (d *Daemon) knowsAll() bool { return d.table.Load() != nil && d.endpointsKnown.Load() }
+// hasInitialState says whether configuration and endpoints are known.
+func (d *Daemon) hasInitialState() bool { return d.table.Load() != nil && d.endpointsLoaded.Load() }
 
-// noteInformed lets requests go on that wait for what a process must know.
-func (d *Daemon) noteInformed() {
-	if d.knowsAll() && d.rollouts.allKnown() {
-		d.informedOnce.Do(func() { close(d.informed) })
+// markInitialised lets requests go on that wait for what a process must know.
+func (d *Daemon) markInitialised() {
+	if d.hasInitialState() && d.rollouts.allKnown() {
+		d.initialisedOnce.Do(func() { close(d.initialised) })
 	}
 }
 
-// awaitInformed waits in the first moments of a process until it can serve, but not beyond
+// awaitInitialised waits in the first moments of a process until it can serve, but not beyond
 // ctx.
-func (d *Daemon) awaitInformed(ctx context.Context) {
+func (d *Daemon) awaitInitialised(ctx context.Context) {
 	select {
-	case <-d.informed:
+	case <-d.initialised:
 		return
 	default:
 	}
-	left := informedWithin - d.now()
-	if left <= 0 || d.set.Off.Has(mechanism.StartWait) {
+	remaining := initialisationWait - d.now()
+	if remaining <= 0 || d.settings.Off.Has(mechanism.StartWait) {
 		return
 	}
-	t := time.NewTimer(left)
+	t := time.NewTimer(remaining)
 	defer t.Stop()
 	select {
-	case <-d.informed:
+	case <-d.initialised:
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -282,26 +282,26 @@
 // probe sees whether an endpoint can be reached. The connection is kept for the
 // next request.
 func (d *Daemon) probe(p dispatch.Probe) {
-	err := d.openTo(p)
+	err := d.openConnection(p)
 	d.log.Info().Str("endpoint", p.Key).Str("address", p.Address).Err(err).Msg("endpoint_probed")
-	d.sched.probeEnded(p.Key, err == nil)
+	d.sched.recordProbe(p.Key, err == nil)
 }
 
-// openTo opens a connection to an endpoint and keeps it for the next request.
-func (d *Daemon) openTo(p dispatch.Probe) error {
+// openConnection opens a connection to an endpoint and keeps it for the next request.
+func (d *Daemon) openConnection(p dispatch.Probe) error {
 	d.count("probes")
 	return d.pool.Open(p.Key, p.Address)
 }
 
-// countImpossible counts quantities that callers or other VMs told and that cannot be.
-func (d *Daemon) countImpossible(n int) {
+// countInvalid counts quantities that callers or other VMs told and that cannot be.
+func (d *Daemon) countInvalid(n int) {
 	if n > 0 {
 		d.countMany("impossible_quantities", n)
 	}
 }
 
-// noteEjection logs which endpoint gets requests on trial only, and why.
-func (d *Daemon) noteEjection(c dispatch.EjectionChange) {
+// logEjection logs which endpoint gets requests on trial only, and why.
+func (d *Daemon) logEjection(c dispatch.EjectionChange) {
 	event := "endpoint_taken_back"
 	if c.Ejected {
 		event = "endpoint_ejected"
@@ -311,7 +311,7 @@
 }
 
 func (d *Daemon) sweep(ctx context.Context) error {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -326,9 +326,9 @@
 }
 
 const (
-	// refusalSeen is how long after SIGTERM new connections may still come: the
+	// readinessRefusalDelay is how long after SIGTERM new connections may still come: the
 	// balancer asks once a second and acts on the second refusal.
-	refusalSeen = 2600 * time.Millisecond
+	readinessRefusalDelay = 2600 * time.Millisecond
 	// graceMargin is left of the time until SIGKILL.
 	graceMargin = 500 * time.Millisecond
 )
@@ -338,25 +338,25 @@
 // connection. Then idle connections are closed too: a caller that keeps one open
 // could send a request so late that it would be cut at the end of the grace time.
 // What runs goes on to its end.
-func (d *Daemon) shutdown(signal, work context.Context, front *http.Server, stop context.CancelFunc) error {
+func (d *Daemon) shutdown(signal, workCtx context.Context, callersServer *http.Server, stop context.CancelFunc) error {
 	select {
-	case <-work.Done():
+	case <-workCtx.Done():
 		return nil
 	case <-signal.Done():
 	}
 	since := time.Now()
 	d.draining.Store(true)
 	d.log.Info().Int64("active", d.active.Load()).Msg("draining")
-	seen := time.NewTimer(refusalSeen)
+	seen := time.NewTimer(readinessRefusalDelay)
 	defer seen.Stop()
 	select {
-	case <-work.Done():
+	case <-workCtx.Done():
 		return nil
 	case <-seen.C:
 	}
-	end, cancel := context.WithTimeout(work, d.set.Grace-graceMargin-time.Since(since))
+	end, cancel := context.WithTimeout(workCtx, d.settings.Grace-graceMargin-time.Since(since))
 	defer cancel()
-	if err := front.Shutdown(end); err != nil {
+	if err := callersServer.Shutdown(end); err != nil {
 		d.log.Warn().Err(err).Int64("active", d.active.Load()).Msg("drain_bound_reached")
 	}
 	stop()
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -14,27 +14,27 @@
 	return "the endpoint did not run the request, status " + itoa(e.Status)
 }
 
-// UntrustedAnswerError reports an answer that cannot be the endpoint's own whole
+// UntrustedResponseError reports an answer that cannot be the endpoint's own whole
 // answer, or promises what it cannot know.
-type UntrustedAnswerError struct{ Status int }
+type UntrustedResponseError struct{ Status int }
 
 // Error describes the failure.
-func (e *UntrustedAnswerError) Error() string {
+func (e *UntrustedResponseError) Error() string {
 	return "the answer cannot be passed on, status " + itoa(e.Status)
 }
 
-// FailedAnswerError reports an endpoint's own failure that is tried elsewhere.
-type FailedAnswerError struct{ Status int }
+// FailedResponseError reports an endpoint's own failure that is tried elsewhere.
+type FailedResponseError struct{ Status int }
 
 // Error describes the failure.
-func (e *FailedAnswerError) Error() string { return "the endpoint failed, status " + itoa(e.Status) }
+func (e *FailedResponseError) Error() string { return "the endpoint failed, status " + itoa(e.Status) }
 
-// UnpaidRepeatError reports a request that was not sent once more: it waited until what paid for that
+// RetryBudgetError reports a request that was not sent once more: it waited until what paid for that
 // had expired.
-type UnpaidRepeatError struct{ Service string }
+type RetryBudgetError struct{ Service string }
 
 // Error describes the failure.
-func (e *UnpaidRepeatError) Error() string { return "no repeat of " + e.Service + " is left" }
+func (e *RetryBudgetError) Error() string { return "no repeat of " + e.Service + " is left" }
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -20,132 +20,132 @@
 }
 
 const (
-	// maxAnswer bounds an answer that is not a stream, in bytes.
-	maxAnswer = 16 << 20
+	// maxResponseBytes bounds an answer that is not a stream, in bytes.
+	maxResponseBytes = 16 << 20
 	// maxAttempts bounds endpoints that are tried in vain without a byte sent.
 	maxAttempts = 6
 )
 
-// attempt is the outcome of one try at an endpoint.
-type attempt struct {
+// attemptResult is the outcome of one try at an endpoint.
+type attemptResult struct {
 	outcome dispatch.Outcome
 	// delivered says that the caller has its final answer, whole or broken.
 	delivered bool
-	// unpaid says that it was not sent once more, since nothing pays for that now.
-	unpaid bool
-	// cut says that the connection broke under the request, or fell silent.
-	cut bool
-	// stopped says that the request was not sent, since it ends endpoints, heldBack that it was
+	// retryDenied says that it was not sent once more, since nothing pays for that now.
+	retryDenied bool
+	// connectionLost says that the connection broke under the request, or fell silent.
+	connectionLost bool
+	// blocked says that the request was not sent, since it ends endpoints, rolloutBlocked that it was
 	// not, since the endpoint's version may not get it.
-	stopped, heldBack bool
-	err               error
+	blocked, rolloutBlocked bool
+	err                     error
 }
 
-// run tries endpoints until the caller has an answer.
-func (c *caller) run(ctx context.Context) {
-	var last attempt
-	var s *stream
+// forward tries endpoints until the caller has an answer.
+func (c *callerRequest) forward(ctx context.Context) {
+	var last attemptResult
+	var s *eventStream
 	for try := 0; ; try++ {
-		j := c.jobFor(s)
+		j := c.nextJob(s)
 		j.Trial = c.d.rollouts.reserve(c.service)
-		dec, ok := c.d.placing.place(ctx, c.call.ID, j)
-		c.trial = j.Trial && dec.Endpoint != nil && dec.Endpoint.Trial
-		if j.Trial && !c.trial {
+		dec, ok := c.d.placing.place(ctx, c.reqHeaders.ID, j)
+		c.canary = j.Trial && dec.Endpoint != nil && dec.Endpoint.Trial
+		if j.Trial && !c.canary {
 			c.d.rollouts.giveBack(c.service)
 		}
 		if !ok {
-			c.giveUp(s)
+			c.endCancelled(s)
 			return
 		}
 		if dec.Endpoint == nil {
-			c.end(s, dec.Reason, dec.RetryAfter)
+			c.fail(s, dec.Reason, dec.RetryAfter)
 			return
 		}
-		c.logPlaced(dec)
+		c.logPlacement(dec)
 		if c.route.Repeat == routing.Stream && s == nil {
-			s = &stream{c: c, lastID: c.call.LastEventID}
+			s = &eventStream{c: c, lastEventID: c.reqHeaders.LastEventID}
 		}
-		last = c.try(ctx, dec, s)
-		c.d.placing.end(dec.Handle, last.outcome)
+		last = c.tryEndpoint(ctx, dec, s)
+		c.d.placing.endRun(dec.Handle, last.outcome)
 		if last.delivered {
 			return
 		}
-		if last.stopped {
-			c.end(s, reasonEndsEndpoints, 0)
+		if last.blocked {
+			c.fail(s, reasonEndsEndpoints, 0)
 			return
 		}
-		if last.heldBack && try < maxAttempts {
+		if last.rolloutBlocked && try < maxAttempts {
 			c.avoided = append(c.avoided, dispatch.NameOf(dec.Endpoint.Key()))
 			continue
 		}
 		c.tried = append(c.tried, dispatch.NameOf(dec.Endpoint.Key()))
-		c.d.log.Info().Str("request", c.call.ID).Stringer("digest", c.digest).Str("endpoint", dec.Endpoint.ID).Stringer("outcome", last.outcome).
-			Int("sent", c.sent).Bool("ran", c.ran).Err(last.err).Msg("attempt_failed")
+		c.d.log.Info().Str("request", c.reqHeaders.ID).Stringer("digest", c.digest).Str("endpoint", dec.Endpoint.ID).Stringer("outcome", last.outcome).
+			Int("sent", c.sendCount).Bool("ran", c.mayHaveRun).Err(last.err).Msg("attempt_failed")
 		if ctx.Err() != nil {
-			c.giveUp(s)
+			c.endCancelled(s)
 			return
 		}
 		if !c.mayRetry(last, try) {
-			c.end(s, "attempts_spent", shortWait)
+			c.fail(s, "attempts_spent", shortRetryAfter)
 			return
 		}
 	}
 }
 
-// shortWait is when a caller may return after an endpoint refused its request:
+// shortRetryAfter is when a caller may return after an endpoint refused its request:
 // elsewhere there may be room at once.
-const shortWait = 100 * time.Millisecond
+const shortRetryAfter = 100 * time.Millisecond
 
-// jobFor is the job of the next try. A stream that is under way waits as long
+// nextJob is the job of the next try. A stream that is under way waits as long
 // as its caller waits for the next event.
-func (c *caller) jobFor(s *stream) dispatch.Job {
-	j := c.job()
-	if s != nil && s.begun {
-		j.Abandon = c.d.now() + min(time.Until(c.limit), c.patience()/2)
+func (c *callerRequest) nextJob(s *eventStream) dispatch.Job {
+	j := c.dispatchJob()
+	if s != nil && s.headersSent {
+		j.Abandon = c.d.now() + min(time.Until(c.deadline), c.eventTimeout()/2)
 		j.Objective = c.d.now()
 	}
 	return j
 }
 
 // mayRetry says whether another endpoint may be tried.
-func (c *caller) mayRetry(last attempt, try int) bool {
+func (c *callerRequest) mayRetry(last attemptResult, try int) bool {
 	if try >= maxAttempts {
 		return false
 	}
 	if last.outcome == dispatch.Unreachable {
 		return true
 	}
-	if last.unpaid || c.ran && !c.route.Repeatable() {
+	if last.retryDenied || c.mayHaveRun && !c.route.Repeatable() {
 		return false
 	}
-	return c.sent < c.route.MaxEndpoints && (c.sent == 0 || c.again.pay())
+	return c.sendCount < c.route.MaxEndpoints && (c.sendCount == 0 || c.retryPermit.acquire())
 }
 
-// giveUp ends a request whose caller left or whose time is over.
-func (c *caller) giveUp(s *stream) {
+// endCancelled ends a request whose caller left or whose time is over.
+func (c *callerRequest) endCancelled(s *eventStream) {
 	if c.r.Context().Err() != nil {
 		c.d.count("callers_left")
-		c.d.log.Info().Str("request", c.call.ID).Dur("held", time.Since(c.arrived)).Msg("caller_left")
+		c.d.log.Info().Str("request", c.reqHeaders.ID).Dur("held", time.Since(c.arrived)).Msg("caller_left")
 		panic(http.ErrAbortHandler)
 	}
-	if c.stopped.Load() {
-		c.end(s, reasonEndsEndpoints, 0)
+	if c.blocked.Load() {
+		c.fail(s, reasonEndsEndpoints, 0)
 		return
 	}
-	c.end(s, "time_over", shortWait)
+	c.fail(s, "time_over", shortRetryAfter)
 }
 
-// end gives the caller the truth: a failed answer of an endpoint if that is all
+// fail gives the caller the truth: a failed answer of an endpoint if that is all
 // there is, "not run" only if that is so, else a failure that promises nothing.
-func (c *caller) end(s *stream, reason string, after time.Duration) {
-	if s != nil && s.begun {
+func (c *callerRequest) fail(s *eventStream, reason string, retryAfter time.Duration) {
+	if s != nil && s.headersSent {
 		c.d.count("streams_broken")
-		c.d.log.Warn().Str("request", c.call.ID).Str("reason", reason).Int("events", s.events).Msg("stream_broken")
+		c.d.log.Warn().Str("request", c.reqHeaders.ID).Str("reason", reason).Int("events", s.events).Msg("stream_broken")
 		panic(http.ErrAbortHandler)
 	}
 	switch {
-	case !c.ran:
-		c.refuse(refusal{http.StatusServiceUnavailable, reason, after})
+	case !c.mayHaveRun:
+		c.refuse(refusal{http.StatusServiceUnavailable, reason, retryAfter})
 	case reason == "time_over":
 		c.refuse(refusal{status: http.StatusGatewayTimeout, reason: reason})
 	default:
@@ -153,25 +153,25 @@
 	}
 }
 
-func (c *caller) logPlaced(dec dispatch.Decision) {
-	c.d.log.Info().Str("request", c.call.ID).Str("route", c.route.Name).Str("endpoint", dec.Endpoint.ID).
+func (c *callerRequest) logPlacement(dec dispatch.Decision) {
+	c.d.log.Info().Str("request", c.reqHeaders.ID).Str("route", c.route.Name).Str("endpoint", dec.Endpoint.ID).
 		Str("address", dec.Endpoint.Address).Str("by", dec.By).Dur("predicted", dec.Predicted).Int("candidates", dec.Candidates).
-		Int("waiting", dec.Waiting).Int("running", dec.Load.Running).Int("unread", dec.Load.PromptTokens).Int("prompt", c.call.Prompt).Int("output", c.call.GuessedOutput).Dur("gap", dec.Load.Gap).Dur("waited", time.Since(c.arrived)).Int("try", len(c.tried)).Msg("placed")
+		Int("waiting", dec.Waiting).Int("running", dec.Load.Running).Int("unread", dec.Load.PromptTokens).Int("prompt", c.reqHeaders.PromptTokens).Int("output", c.reqHeaders.EstimatedOutputTokens).Dur("gap", dec.Load.Gap).Dur("waited", time.Since(c.arrived)).Int("try", len(c.tried)).Msg("placed")
 }
 
-// headers are those for the endpoint.
-func (c *caller) headers(ep *members.Endpoint, lastEventID string) http.Header {
+// upstreamHeaders are those for the endpoint.
+func (c *callerRequest) upstreamHeaders(ep *members.Endpoint, lastEventID string) http.Header {
 	h := c.r.Header.Clone()
-	dropHop(h)
-	o := Outgoing{Endpoint: ep.ID, TimeLeft: time.Until(c.limit), LastEventID: lastEventID}
+	removeHopHeaders(h)
+	o := UpstreamHeaders{Endpoint: ep.ID, Timeout: time.Until(c.deadline), LastEventID: lastEventID}
 	if c.org != nil {
 		o.Organisation = c.org.Name
 	}
-	c.d.codec.Outgoing(h, o)
+	c.d.codec.SetUpstreamHeaders(h, o)
 	return h
 }
 
-func dropHop(h http.Header) {
+func removeHopHeaders(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for _, name := range splitList(v) {
 			h.Del(name)
@@ -182,90 +182,90 @@
 	}
 }
 
-// try sends the request to one endpoint and passes its answer on.
-func (c *caller) try(ctx context.Context, dec dispatch.Decision, s *stream) attempt {
+// tryEndpoint sends the request to one endpoint and passes its answer on.
+func (c *callerRequest) tryEndpoint(ctx context.Context, dec dispatch.Decision, s *eventStream) attemptResult {
 	ep := dec.Endpoint
 	// The one place where bytes of a caller's request leave for an endpoint, whichever VM
 	// chose it and however long that took.
 	view := c.d.suspects.look(c.digest)
 	if view.Convicted() {
-		return attempt{outcome: dispatch.Left, stopped: true}
+		return attemptResult{outcome: dispatch.Left, blocked: true}
 	}
-	if c.sent > 0 && !c.again.mayLeave() {
-		return attempt{outcome: dispatch.Left, unpaid: true, err: &UnpaidRepeatError{Service: c.service}}
+	if c.sendCount > 0 && !c.retryPermit.renew() {
+		return attemptResult{outcome: dispatch.Left, retryDenied: true, err: &RetryBudgetError{Service: c.service}}
 	}
-	lastID := c.call.LastEventID
+	lastID := c.reqHeaders.LastEventID
 	if s != nil {
-		lastID = s.lastID
+		lastID = s.lastEventID
 	}
 	req := &upstream.Request{
-		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: c.headers(ep, lastID),
+		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: c.upstreamHeaders(ep, lastID),
 		Body: c.body, HasBody: c.r.ContentLength != 0 || c.r.Header.Get("Content-Length") != "",
-		Mine: func(resp *http.Response) bool { return c.mine(resp) },
+		Mine: func(resp *http.Response) bool { return c.ownsResponse(resp) },
 	}
-	visit, ok := c.d.rollouts.begin(c, ep, c.trial)
+	tracked, ok := c.d.rollouts.begin(c, ep, c.canary)
 	if !ok {
-		return attempt{outcome: dispatch.Left, heldBack: true}
+		return attemptResult{outcome: dispatch.Left, rolloutBlocked: true}
 	}
-	c.visit = visit
-	before := c.sent
-	tctx, cancel := context.WithCancel(ctx)
+	c.tracked = tracked
+	before := c.sendCount
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.d.sched.onRestart(dec.Handle, cancel)
-	watch := c.watch(dec, cancel)
+	c.d.sched.cancelOnRestart(dec.Handle, cancel)
+	watchdog := c.startWatchdog(dec, cancel)
 	sent := c.d.now()
-	a := c.exchange(tctx, ctx, dec, req, sent, s, watch)
-	if watch.over() {
-		c.again.take(watch.repeat)
+	a := c.exchange(attemptCtx, ctx, dec, req, sent, s, watchdog)
+	if watchdog.stop() {
+		c.retryPermit.adopt(watchdog.permit)
 		if !a.delivered {
-			a.outcome, a.cut = dispatch.Silent, true
+			a.outcome, a.connectionLost = dispatch.Silent, true
 		}
 	}
 	c.d.suspects.tried(c, ep, sent, view.Generation, a)
-	visit.end(a, c.sent > before, before > 0)
+	tracked.end(a, c.sendCount > before, before > 0)
 	return a
 }
 
 // exchange sends the request, which is at sent, and passes the answer on. ctx ends with the
 // attempt, whole with the request.
-func (c *caller) exchange(ctx, whole context.Context, dec dispatch.Decision, req *upstream.Request, sent time.Duration, s *stream, watch *stall) attempt {
+func (c *callerRequest) exchange(ctx, requestCtx context.Context, dec dispatch.Decision, req *upstream.Request, sent time.Duration, s *eventStream, watchdog *stallWatchdog) attemptResult {
 	ep := dec.Endpoint
-	ans, err := c.d.pool.Do(ctx, ep.Key(), ep.Address, req, false)
+	resp, err := c.d.pool.Do(ctx, ep.Key(), ep.Address, req, false)
 	var ex *upstream.ExchangeError
 	if errors.As(err, &ex) && ex.Stage == upstream.NotSent {
-		if whole.Err() != nil {
-			return attempt{outcome: dispatch.Left, err: err}
+		if requestCtx.Err() != nil {
+			return attemptResult{outcome: dispatch.Left, err: err}
 		}
-		return attempt{outcome: dispatch.Unreachable, err: err}
+		return attemptResult{outcome: dispatch.Unreachable, err: err}
 	}
-	if c.sent > 0 {
-		c.again.sent()
+	if c.sendCount > 0 {
+		c.retryPermit.recordSent()
 	}
-	c.sent++
+	c.sendCount++
 	if err != nil {
-		c.ran = true
-		if whole.Err() != nil {
-			return attempt{outcome: dispatch.Left, err: err}
+		c.mayHaveRun = true
+		if requestCtx.Err() != nil {
+			return attemptResult{outcome: dispatch.Left, err: err}
 		}
-		return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
+		return attemptResult{outcome: dispatch.Broken, connectionLost: brokeOff(err), err: err}
 	}
-	defer ans.Finish()
-	reply := c.d.codec.Reply(ans.Response)
-	c.d.notices.heard(ep, sent, reply)
-	c.d.suspects.answering(c, ep, sent, reply)
-	return c.pass(whole, dec.Handle, ans, reply, s, watch)
+	defer resp.Finish()
+	headers := c.d.codec.ParseResponse(resp.Response)
+	c.d.notices.heard(ep, sent, headers)
+	c.d.suspects.answering(c, ep, sent, headers)
+	return c.forwardResponse(requestCtx, dec.Handle, resp, headers, s, watchdog)
 }
 
-// mine says whether an answer belongs to this request. Answers without an id are
+// ownsResponse says whether an answer belongs to this request. Answers without an id are
 // the endpoint's word on a request that it did not read.
-func (c *caller) mine(resp *http.Response) bool {
-	id := c.d.codec.Reply(resp).ID
-	return id == c.call.ID || id == "" && resp.StatusCode >= http.StatusBadRequest
+func (c *callerRequest) ownsResponse(resp *http.Response) bool {
+	id := c.d.codec.ParseResponse(resp).ID
+	return id == c.reqHeaders.ID || id == "" && resp.StatusCode >= http.StatusBadRequest
 }
 
-// promisesNotRun says whether a status promises that a request was not run; from an
+// impliesNotExecuted says whether a status promises that a request was not run; from an
 // endpoint that does not say so itself it must not be passed on.
-func promisesNotRun(status int) bool {
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -273,49 +273,49 @@
 	return false
 }
 
-// pass judges an answer and passes it on if it is one.
-func (c *caller) pass(ctx context.Context, handle uint64, ans *upstream.Answer, reply Reply, s *stream, watch *stall) attempt {
-	if reply.NotRun {
-		_, _ = io.Copy(io.Discard, io.LimitReader(ans, maxAnswer))
-		if reply.Replaced {
-			return attempt{outcome: dispatch.Replaced, err: &RejectedError{Status: ans.StatusCode}}
+// forwardResponse judges an answer and passes it on if it is one.
+func (c *callerRequest) forwardResponse(ctx context.Context, handle uint64, resp *upstream.Answer, headers ResponseHeaders, s *eventStream, watch *stallWatchdog) attemptResult {
+	if headers.NotExecuted {
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxResponseBytes))
+		if headers.Replaced {
+			return attemptResult{outcome: dispatch.Replaced, err: &RejectedError{Status: resp.StatusCode}}
 		}
-		return attempt{outcome: dispatch.Rejected, err: &RejectedError{Status: ans.StatusCode}}
+		return attemptResult{outcome: dispatch.Rejected, err: &RejectedError{Status: resp.StatusCode}}
 	}
-	c.ran = true
-	ok := ans.StatusCode < http.StatusMultipleChoices
-	if reply.Encoded || ok && !reply.Sealed || promisesNotRun(ans.StatusCode) {
-		return attempt{outcome: dispatch.Broken, err: &UntrustedAnswerError{Status: ans.StatusCode}}
+	c.mayHaveRun = true
+	ok := resp.StatusCode < http.StatusMultipleChoices
+	if headers.Encoded || ok && !headers.Sealed || impliesNotExecuted(resp.StatusCode) {
+		return attemptResult{outcome: dispatch.Broken, err: &UntrustedResponseError{Status: resp.StatusCode}}
 	}
 	if ok && s != nil {
-		return s.pass(ctx, handle, ans, watch)
+		return s.forward(ctx, handle, resp, watch)
 	}
-	if s != nil && s.begun {
-		return attempt{outcome: dispatch.Broken, err: &UntrustedAnswerError{Status: ans.StatusCode}}
+	if s != nil && s.headersSent {
+		return attemptResult{outcome: dispatch.Broken, err: &UntrustedResponseError{Status: resp.StatusCode}}
 	}
-	body, err := io.ReadAll(io.LimitReader(ans, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp, maxResponseBytes))
 	if err != nil {
 		if ctx.Err() != nil {
-			return attempt{outcome: dispatch.Left, err: err}
+			return attemptResult{outcome: dispatch.Left, err: err}
 		}
-		return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
+		return attemptResult{outcome: dispatch.Broken, connectionLost: brokeOff(err), err: err}
 	}
-	c.d.suspects.succeeded(c.digest, ans)
-	if ans.StatusCode >= http.StatusInternalServerError && c.route.Repeatable() && c.sent < c.route.MaxEndpoints &&
-		time.Until(c.limit) > shortWait && c.again.pay() {
-		return attempt{outcome: dispatch.Failed, err: &FailedAnswerError{Status: ans.StatusCode}}
+	c.d.suspects.succeeded(c.digest, resp)
+	if resp.StatusCode >= http.StatusInternalServerError && c.route.Repeatable() && c.sendCount < c.route.MaxEndpoints &&
+		time.Until(c.deadline) > shortRetryAfter && c.retryPermit.acquire() {
+		return attemptResult{outcome: dispatch.Failed, err: &FailedResponseError{Status: resp.StatusCode}}
 	}
-	c.visit.event()
-	c.d.placing.events(handle, 1)
-	c.write(ans.Response, body)
-	if ans.StatusCode >= http.StatusInternalServerError {
-		return attempt{outcome: dispatch.Failed, delivered: true}
+	c.tracked.event()
+	c.d.placing.recordEvents(handle, 1)
+	c.writeResponse(resp.Response, body)
+	if resp.StatusCode >= http.StatusInternalServerError {
+		return attemptResult{outcome: dispatch.Failed, delivered: true}
 	}
-	return attempt{outcome: dispatch.Answered, delivered: true}
+	return attemptResult{outcome: dispatch.Answered, delivered: true}
 }
 
-// write passes on a whole answer.
-func (c *caller) write(resp *http.Response, body []byte) {
+// writeResponse passes on a whole answer.
+func (c *callerRequest) writeResponse(resp *http.Response, body []byte) {
 	copyHeaders(c.w.Header(), resp.Header)
 	c.w.Header().Set("Content-Length", itoa(len(body)))
 	c.w.WriteHeader(resp.StatusCode)
@@ -323,20 +323,20 @@
 	took := time.Since(c.arrived)
 	c.d.count("answers")
 	c.d.observe("answer", took)
-	c.d.log.Info().Str("request", c.call.ID).Int("status", resp.StatusCode).Dur("took", took).
-		Bool("late", took > c.route.Objective).Int("sent", c.sent).Err(err).Msg("answered")
+	c.d.log.Info().Str("request", c.reqHeaders.ID).Int("status", resp.StatusCode).Dur("took", took).
+		Bool("late", took > c.route.Objective).Int("sent", c.sendCount).Err(err).Msg("answered")
 }
 
-func copyHeaders(to, from http.Header) {
-	h := from.Clone()
-	dropHop(h)
+func copyHeaders(dst, src http.Header) {
+	h := src.Clone()
+	removeHopHeaders(h)
 	for name, values := range h {
-		to[name] = values
+		dst[name] = values
 	}
-	if _, ok := from["Date"]; !ok {
-		to["Date"] = nil
+	if _, ok := src["Date"]; !ok {
+		dst["Date"] = nil
 	}
-	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil
+	if _, ok := src["Content-Type"]; !ok {
+		dst["Content-Type"] = nil
 	}
 }
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -31,11 +31,11 @@
 	}
 	f.Add([]byte{0xff})
 	// What the VM would send goes nowhere.
-	closed, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	closedConn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		f.Fatal(err)
 	}
-	if err := closed.Close(); err != nil {
+	if err := closedConn.Close(); err != nil {
 		f.Fatal(err)
 	}
 	from := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 5}
@@ -45,11 +45,11 @@
 			return
 		}
 		d := New(Options{Settings: set, Log: logging.New(io.Discard)})
-		d.peers.conn = closed
+		d.peers.conn = closedConn
 		d.peers.take(n, from)
 		d.peers.take(n, from)
-		d.remoteJobs.sweep()
-		d.placing.choose()
+		d.remoteJobs.expireRequesters()
+		d.placing.updatePlacer()
 		d.peers.tellOnce(0)
 	})
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// reservoir is the number of samples that a histogram keeps.
-const reservoir = 256
+// reservoirSize is the number of samples that a histogram keeps.
+const reservoirSize = 256
 
 func (d *Daemon) count(name string) { d.countMany(name, 1) }
 
@@ -19,11 +19,11 @@
 	metrics.GetOrRegisterCounter(name, d.metrics).Inc(int64(n))
 }
 
-func (d *Daemon) observe(name string, took time.Duration) {
+func (d *Daemon) observe(name string, elapsed time.Duration) {
 	h := d.metrics.GetOrRegister(name, func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewUniformSample(reservoir))
+		return metrics.NewHistogram(metrics.NewUniformSample(reservoirSize))
 	}).(metrics.Histogram)
-	h.Update(took.Microseconds())
+	h.Update(elapsed.Microseconds())
 }
 
 // quantiles are those that histograms are served with.
--- a/entry/note_test.go
+++ b/entry/note_test.go
@@ -76,16 +76,16 @@
 // With the requests of all VMs in one map it takes 168 us on a busy machine, with a map for
 // each VM 1.3 us; ten notes a second of each come to 8% of a core and 0.1%.
 func BenchmarkReconcile(b *testing.B) {
-	d := startedAgo(b, time.Minute)
+	d := newDaemonWithUptime(b, time.Minute)
 	d.peers.eligible.Store(true)
 	notes := make([]*schema.PeerNote, 49)
 	froms := make([]*net.UDPAddr, 49)
 	for i := range notes {
 		froms[i] = &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 20000 + i}
-		notes[i] = &schema.PeerNote{Address: froms[i].String(), Loads: true, Placer: d.set.Listen.Peers}
+		notes[i] = &schema.PeerNote{Address: froms[i].String(), Loads: true, Placer: d.settings.Listen.Peers}
 		for k := range 12 {
 			h := uint64(i*100 + k)
-			d.remoteJobs.ask(&schema.PlaceAsk{Handle: h, Service: "v"}, froms[i])
+			d.remoteJobs.handleRequest(&schema.PlaceAsk{Handle: h, Service: "v"}, froms[i])
 			notes[i].Placed = append(notes[i].Placed, h)
 		}
 	}
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -28,11 +28,11 @@
 		names = append(names, entryOf(allowance.VM{Address: a, Domain: pe.domain}))
 	}
 	slices.Sort(names)
-	return append(names, entryOf(allowance.VM{Address: p.d.set.Listen.Peers, Domain: p.d.set.Vm.FailureDomain}))
+	return append(names, entryOf(allowance.VM{Address: p.d.settings.Listen.Peers, Domain: p.d.settings.Vm.FailureDomain}))
 }
 
 func (p *peers) note() *schema.PeerNote {
-	n := &schema.PeerNote{Vm: p.d.set.Vm.Name, Incarnation: p.inc, Address: p.d.set.Listen.Peers, FailureDomain: p.d.set.Vm.FailureDomain}
+	n := &schema.PeerNote{Vm: p.d.settings.Vm.Name, Incarnation: p.inc, Address: p.d.settings.Listen.Peers, FailureDomain: p.d.settings.Vm.FailureDomain}
 	if t := p.d.table.Load(); t != nil {
 		n.ConfigVersion = t.Document.Version
 	}
@@ -57,10 +57,10 @@
 			continue
 		case <-t.C:
 		}
-		p.d.remoteJobs.sweep()
-		p.reconsider()
-		p.d.placing.choose()
-		p.d.sched.setReach(p.reach())
+		p.d.remoteJobs.expireRequesters()
+		p.updatePlacerRole()
+		p.d.placing.updatePlacer()
+		p.d.sched.setCoverage(p.reach())
 		p.d.rollouts.step()
 		p.tellOnce(i)
 	}
@@ -70,12 +70,12 @@
 func (p *peers) heartbeat(i uint64) *schema.PeerNote {
 	n := p.note()
 	n.Number = i + 1
-	n.Places, n.CpuShare = p.offers(), p.d.set.Limits.CpuShare
+	n.Places, n.CpuShare = p.offersPlacement(), p.d.settings.Limits.CpuShare
 	at := p.d.registry.position()
 	n.Registry, n.RegistryEra = at.Offset, at.Era
-	n.Members = uint32(len(p.d.remoteJobs.members()))
+	n.Members = uint32(len(p.d.remoteJobs.requesterAddresses()))
 	n.Rollouts = p.d.rollouts.describe()
-	if placer := p.d.placing.followed(); placer != nil {
+	if placer := p.d.placing.assignedPlacer(); placer != nil {
 		n.Placer = placer.addr.String()
 	}
 	return n
@@ -90,7 +90,7 @@
 	heartbeat.Suspects, heartbeat.Notices = p.d.suspects.news(whole), p.d.notices.news(whole)
 	p.writeAll(p.encode(heartbeat), to.Heartbeats)
 	state := proto.Clone(heartbeat).(*schema.PeerNote)
-	p.d.placing.describe(state)
+	p.d.placing.addRunState(state)
 	if whole {
 		state.Vms = p.names()
 		// Those who ask need the paces for when they place for themselves.
@@ -119,11 +119,11 @@
 
 // recipients chooses who gets the i-th note.
 func (p *peers) recipients(i uint64) cell.Recipients {
-	members := p.d.remoteJobs.members()
-	placer := p.d.placing.followed()
+	members := p.d.remoteJobs.requesterAddresses()
+	placer := p.d.placing.assignedPlacer()
 	var next []string
 	if placer == nil && len(members) > 0 {
-		self, willing := p.willing(p.d.now())
+		self, willing := p.willingPlacers(p.d.now())
 		next = cell.Successors(self, p.fleet(), willing)
 	}
 	now := p.d.now()
@@ -133,7 +133,7 @@
 	peers := make([]cell.Peer, 0, len(p.addrs))
 	for a, pe := range p.addrs {
 		peers = append(peers, cell.Peer{
-			Address: a, Near: pe.domain == p.d.set.Vm.FailureDomain, Places: pe.placing(now),
+			Address: a, Near: pe.domain == p.d.settings.Vm.FailureDomain, Places: pe.placing(now),
 			Cell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
@@ -196,8 +196,8 @@
 
 // take takes in one note.
 func (p *peers) take(n *schema.PeerNote, from *net.UDPAddr) {
-	p.d.placing.take(n, from)
-	p.d.remoteJobs.take(n, from)
+	p.d.placing.handleDecisions(n, from)
+	p.d.remoteJobs.handleNote(n, from)
 	if n.Address == "" {
 		// Messages on single requests say nothing else.
 		return
@@ -208,7 +208,7 @@
 	if pe != nil {
 		started = pe.incarnation != n.Incarnation
 		pe.incarnation, pe.name = n.Incarnation, n.Vm
-		pe.hear(p.d.now())
+		pe.recordContact(p.d.now())
 	}
 	if len(n.Vms) > 0 {
 		p.learnList(n.Vms)
@@ -235,7 +235,7 @@
 	if started {
 		p.tellStarted(pe)
 	}
-	p.takeRelayed(n)
+	p.handleRelay(n)
 	if n.Loads {
 		p.d.sched.peerUses(n)
 	}
@@ -250,7 +250,7 @@
 }
 
 // uses returns this VM's load as others need it.
-func (s *scheduling) uses(paces bool) []*schema.EndpointUse {
+func (s *sharedScheduler) uses(paces bool) []*schema.EndpointUse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*schema.EndpointUse
@@ -263,7 +263,7 @@
 	return list
 }
 
-func (s *scheduling) peerUses(n *schema.PeerNote) {
+func (s *sharedScheduler) peerUses(n *schema.PeerNote) {
 	uses := make([]dispatch.NamedUse, 0, len(n.Uses))
 	for _, u := range n.Uses {
 		uses = append(uses, dispatch.NamedUse{Name: u.Endpoint, Use: dispatch.Use{
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -50,13 +50,13 @@
 }
 
 // heard takes in an answer of an endpoint to a request that was sent at a time.
-func (n *notices) heard(ep *members.Endpoint, sent time.Duration, reply Reply) {
+func (n *notices) heard(ep *members.Endpoint, sent time.Duration, reply ResponseHeaders) {
 	if reply.Replaced {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.logUnreadable(ep, reply.Unreadable)
+	n.logUnreadable(ep, reply.HeaderErrors)
 	said := reply.Notice
 	// An answer without an id may be none of the incarnation's own: it ends nothing.
 	said.LimitUnknown = said.LimitUnknown || reply.ID == "" && !said.HasLimit
@@ -101,11 +101,11 @@
 	for _, m := range list {
 		r := noticeRecord(m)
 		if !r.Valid() {
-			n.d.countImpossible(1)
+			n.d.countInvalid(1)
 			continue
 		}
 		before := n.ledger.Holds(r.Endpoint)
-		if !n.ledger.Merge(n.d.now(), r, n.d.sched.lists(r.Endpoint)) {
+		if !n.ledger.Merge(n.d.now(), r, n.d.sched.isListed(r.Endpoint)) {
 			continue
 		}
 		n.apply(r.Endpoint)
@@ -119,10 +119,10 @@
 func (n *notices) apply(name uint64) {
 	holds := n.ledger.Holds(name)
 	own, others := n.ledger.Rests(name)
-	n.d.sched.setLimit(name, holds)
-	n.d.sched.setRest(name, n.spread(name, own), others)
+	n.d.sched.setRateLimit(name, holds)
+	n.d.sched.setBackoff(name, n.spread(name, own), others)
 	if holds.Leaving {
-		n.d.sched.leave(name)
+		n.d.sched.markLeaving(name)
 	}
 }
 
@@ -155,8 +155,8 @@
 		return
 	}
 	n.forgotAt = now
-	for _, name := range n.ledger.Forget(now, unlistedFor, n.d.sched.lists) {
-		n.d.sched.forget(name)
+	for _, name := range n.ledger.Forget(now, unlistedFor, n.d.sched.isListed) {
+		n.d.sched.clearNotice(name)
 	}
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -112,7 +112,7 @@
 // loads. One that was never heard does only if others say so: if all far VMs were told loads
 // in turns, those that place would hear them too seldom, and requests would meet full engines.
 func (pe *peer) placing(now time.Duration) bool {
-	return pe.heardLately(now) && !pe.asks || pe.named > 0 && now-pe.named < namedFor
+	return pe.isAlive(now) && !pe.asks || pe.named > 0 && now-pe.named < namedFor
 }
 
 // domain are the addresses of the other VMs of the own failure domain.
@@ -121,7 +121,7 @@
 	defer p.mu.Unlock()
 	var list []string
 	for a, pe := range p.addrs {
-		if pe.domain == p.d.set.Vm.FailureDomain {
+		if pe.domain == p.d.settings.Vm.FailureDomain {
 			list = append(list, a)
 		}
 	}
@@ -147,14 +147,14 @@
 
 func newPeers(d *Daemon) *peers {
 	return &peers{
-		d: d, inc: uint64(time.Now().UnixNano()), addrs: make(map[string]*peer), known: cell.Fleet{Region: 1, Domain: 1}, offset: turnOffset(d.set.Listen.Peers),
+		d: d, inc: uint64(time.Now().UnixNano()), addrs: make(map[string]*peer), known: cell.Fleet{Region: 1, Domain: 1}, offset: turnOffset(d.settings.Listen.Peers),
 		relays: make(chan relay, relayBuffer), hints: make(chan configHint, hintBuffer),
 		client: &http.Client{Transport: &http.Transport{DialContext: d.opts.Dial, DisableKeepAlives: true}},
 	}
 }
 
 func (p *peers) listen() (err error) {
-	p.conn, err = p.d.opts.ListenPacket(p.d.set.Listen.Peers)
+	p.conn, err = p.d.opts.ListenPacket(p.d.settings.Listen.Peers)
 	return err
 }
 
@@ -264,7 +264,7 @@
 		return
 	}
 	p.shared = len(p.addrs) + 1
-	vms := []allowance.VM{{Address: p.d.set.Listen.Peers, Domain: p.d.set.Vm.FailureDomain}}
+	vms := []allowance.VM{{Address: p.d.settings.Listen.Peers, Domain: p.d.settings.Vm.FailureDomain}}
 	for a, pe := range p.addrs {
 		vms = append(vms, allowance.VM{Address: a, Domain: pe.domain})
 	}
@@ -299,7 +299,7 @@
 
 // learn takes in one VM; nil if it is this one or cannot be understood.
 func (p *peers) learn(v allowance.VM) *peer {
-	if v.Address == p.d.set.Listen.Peers {
+	if v.Address == p.d.settings.Listen.Peers {
 		return nil
 	}
 	if known := p.addrs[v.Address]; known != nil {
@@ -313,7 +313,7 @@
 	}
 	pe := &peer{addr: net.UDPAddrFromAddrPort(ap), domain: v.Domain, learned: p.d.now()}
 	p.addrs[v.Address] = pe
-	p.countKnown(v.Domain)
+	p.countVM(v.Domain)
 	p.d.log.Info().Str("address", v.Address).Str("peer_domain", v.Domain).Int("vms", len(p.addrs)+1).Msg("peer_known")
 	return pe
 }
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -15,8 +15,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// startedAgo is a daemon that knows all it must and has run for a time.
-func startedAgo(t testing.TB, uptime time.Duration) *Daemon {
+// newDaemonWithUptime is a daemon that knows all it must and has run for a time.
+func newDaemonWithUptime(t testing.TB, uptime time.Duration) *Daemon {
 	d := New(Options{Settings: testSettings(t, false), Log: logging.New(io.Discard)})
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -26,7 +26,7 @@
 	d.peers.conn = conn
 	d.start = time.Now().Add(-uptime)
 	d.table.Store(routing.NewTable(&routing.Document{}))
-	d.endpointsKnown.Store(true)
+	d.endpointsLoaded.Store(true)
 	return d
 }
 
@@ -35,30 +35,30 @@
 // heard them for two seconds; each places for itself, several at each free slot. Cause: a
 // new process waited also where nobody else knew more. It places at once then, and waits
 // where another VM places already.
-func TestNewProcessPlacesWhereNobodyDoes(t *testing.T) {
+func TestNewProcessPlacesIfNoOtherDoes(t *testing.T) {
 	is := is.New(t)
-	d := startedAgo(t, 100*time.Millisecond)
-	d.peers.reconsider()
-	is.True(!d.remoteJobs.willing())
+	d := newDaemonWithUptime(t, 100*time.Millisecond)
+	d.peers.updatePlacerRole()
+	is.True(!d.remoteJobs.acceptsJobs())
 
-	d = startedAgo(t, 400*time.Millisecond)
-	d.peers.reconsider()
-	is.True(d.remoteJobs.willing())
+	d = newDaemonWithUptime(t, 400*time.Millisecond)
+	d.peers.updatePlacerRole()
+	is.True(d.remoteJobs.acceptsJobs())
 
-	d = startedAgo(t, 400*time.Millisecond)
+	d = newDaemonWithUptime(t, 400*time.Millisecond)
 	other := d.peers.learn(allowance.VM{Address: "127.0.0.1:9", Domain: "a"})
-	other.hear(d.now())
+	other.recordContact(d.now())
 	other.places, other.members = true, 7
-	d.peers.reconsider()
-	is.True(!d.remoteJobs.willing())
+	d.peers.updatePlacerRole()
+	is.True(!d.remoteJobs.acceptsJobs())
 	other.members = 0
-	d.peers.reconsider()
-	is.True(d.remoteJobs.willing())
+	d.peers.updatePlacerRole()
+	is.True(d.remoteJobs.acceptsJobs())
 
 	// Once it places for others it goes on.
 	other.members = 7
-	d.peers.reconsider()
-	is.True(d.remoteJobs.willing())
+	d.peers.updatePlacerRole()
+	is.True(d.remoteJobs.acceptsJobs())
 }
 
 // Symptom: 990 of 9,900 requests of seven seconds were placed on engines that were full,
@@ -67,9 +67,9 @@
 // and tells them all in turns, each one every four seconds; a load counts for 1.5 s. Cause: a
 // VM that was never heard was taken to place. A heartbeat names its sender's placer, which
 // is told each time then.
-func TestPlacersTellEachOtherEachTime(t *testing.T) {
+func TestPlacersSendLoadsToEachOtherInEveryRound(t *testing.T) {
 	is := is.New(t)
-	d := startedAgo(t, time.Minute)
+	d := newDaemonWithUptime(t, time.Minute)
 	var entries []string
 	for i := range 246 {
 		entries = append(entries, fmt.Sprintf("127.0.1.%d:7600 far", i))
--- a/entry/placing.go
+++ b/entry/placing.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// placerSilence is after how long without a note a placer counts as lost: notes
+	// placerTimeout is after how long without a note a placer counts as lost: notes
 	// come ten times a second, and one in a hundred datagrams is lost.
-	placerSilence = 350 * time.Millisecond
-	// askAgain is when an unanswered ask is sent again, twenty round trips within a
+	placerTimeout = 350 * time.Millisecond
+	// placeRetryInterval is when an unanswered ask is sent again, twenty round trips within a
 	// region; after maxAsks the VM places for itself.
-	askAgain = 40 * time.Millisecond
-	maxAsks  = 3
-	// avoidFor is how long a placer that did not answer is left alone.
-	avoidFor = time.Second
-	// willingAfter is how long a process hears others before it places for them:
+	placeRetryInterval = 40 * time.Millisecond
+	maxPlaceRequests   = 3
+	// placerAvoidTime is how long a placer that did not answer is left alone.
+	placerAvoidTime = time.Second
+	// placerWarmup is how long a process hears others before it places for them:
 	// until then it knows neither their loads nor the endpoints' paces. Where nobody else
 	// places, that is no better than what all others know: then it is willingAlone, three
 	// notes of those who place.
-	willingAfter = 2 * time.Second
-	willingAlone = 300 * time.Millisecond
+	placerWarmup     = 2 * time.Second
+	soloPlacerWarmup = 300 * time.Millisecond
 	// maxAvoided bounds the endpoints that a VM asks to be left out: the registry as
 	// this VM knows it may be a moment older than the placer's, or newer.
 	maxAvoided = 8
-	// answerBuffer holds the answers to one ask.
-	answerBuffer = 4
+	// decisionBuffer holds the answers to one ask.
+	decisionBuffer = 4
 )
 
-// placing finds out where requests go: it asks the VM that places for this one, its
+// placement finds out where requests go: it asks the VM that places for this one, its
 // placer, and falls back on its own scheduler if that one cannot be heard.
-type placing struct {
+type placement struct {
 	d *Daemon
 
 	mu sync.Mutex
 	// placer is the VM that is asked, nil if this VM places for itself; since is when
 	// it was chosen.
-	placer *peer
-	since  time.Duration
-	asks   map[uint64]*ask
-	// runs are this VM's requests that others placed.
-	runs map[uint64]*remoteRun
+	placer      *peer
+	placerSince time.Duration
+	pending     map[uint64]*pendingPlacement
+	// remoteRuns are this VM's requests that others placed.
+	remoteRuns map[uint64]*remoteRun
 }
 
-// ask is a request that waits for the placer's answer.
-type ask struct {
-	to      *peer
-	answers chan *schema.PlaceDecision
-	queued  bool
+// pendingPlacement is a request that waits for the placer's answer.
+type pendingPlacement struct {
+	placer    *peer
+	decisions chan *schema.PlaceDecision
+	queued    bool
 }
 
 // remoteRun is a request that another VM placed.
@@ -61,41 +61,41 @@
 	started bool
 }
 
-func newPlacing(d *Daemon) *placing {
-	return &placing{d: d, asks: make(map[uint64]*ask), runs: make(map[uint64]*remoteRun)}
+func newPlacement(d *Daemon) *placement {
+	return &placement{d: d, pending: make(map[uint64]*pendingPlacement), remoteRuns: make(map[uint64]*remoteRun)}
 }
 
 // place finds an endpoint for a job of a caller's request; ok is false if ctx ended first.
-func (p *placing) place(ctx context.Context, request string, j dispatch.Job) (dec dispatch.Decision, ok bool) {
-	if dec, ok, over := p.awaitRest(ctx, j); over {
+func (p *placement) place(ctx context.Context, request string, j dispatch.Job) (dec dispatch.Decision, ok bool) {
+	if dec, ok, ended := p.awaitBackoff(ctx, j); ended {
 		return dec, ok
 	}
-	j.Avoided = append(j.Avoided, p.d.sched.barred(j.Service)...)
-	for to := p.current(); to != nil; to = p.current() {
+	j.Avoided = append(j.Avoided, p.d.sched.unavailable(j.Service)...)
+	for placer := p.livePlacer(); placer != nil; placer = p.livePlacer() {
 		start := p.d.now()
-		dec, ok, alone := p.ask(ctx, to, j)
-		if alone == "" {
+		dec, ok, localReason := p.requestPlacement(ctx, placer, j)
+		if localReason == "" {
 			return dec, ok
 		}
-		p.d.log.Info().Str("request", request).Str("placer", to.addr.String()).Str("reason", alone).
+		p.d.log.Info().Str("request", request).Str("placer", placer.addr.String()).Str("reason", localReason).
 			Uint64("endpoint_hash", dec.Name).Dur("asked_for", p.d.now()-start).Msg("placer_passed_over")
-		if dec.Name != 0 && len(j.Avoided) < maxAvoided && alone != string(dispatch.HeldBack) {
+		if dec.Name != 0 && len(j.Avoided) < maxAvoided && localReason != string(dispatch.HeldBack) {
 			// Asked anew, as another request: what is left of this one may be on its way.
 			j.Avoided = append(j.Avoided, dec.Name)
 			j.Handle = p.d.lastHandle.Add(1)
 			continue
 		}
-		p.d.count("placed_alone." + alone)
+		p.d.count("placed_alone." + localReason)
 		break
 	}
 	return p.d.sched.place(ctx, j)
 }
 
-// awaitRest waits while all endpoints for a job want nothing from this VM; over says that the job ended, as
+// awaitBackoff waits while all endpoints for a job want nothing from this VM; over says that the job ended, as
 // they do for longer than its caller waits, or as ctx did.
-func (p *placing) awaitRest(ctx context.Context, j dispatch.Job) (dec dispatch.Decision, ok, over bool) {
+func (p *placement) awaitBackoff(ctx context.Context, j dispatch.Job) (dec dispatch.Decision, ok, ended bool) {
 	for {
-		wait := p.d.sched.restWait(j.Service, j.Tried)
+		wait := p.d.sched.backoffWait(j.Service, j.Tried)
 		if wait == 0 {
 			return dec, false, false
 		}
@@ -111,189 +111,189 @@
 // Reasons for placing a request here though another VM places, beside those why its
 // endpoint may not be used.
 const (
-	aloneUnknown = "not_known_there"
-	aloneSilent  = "no_answer"
-	aloneMoved   = "placer_changed"
+	localReasonUnknown       = "not_known_there"
+	localReasonNoAnswer      = "no_answer"
+	localReasonPlacerChanged = "placer_changed"
 )
 
-// current is the placer, if it is heard.
-func (p *placing) current() *peer {
+// livePlacer is the placer, if it is heard.
+func (p *placement) livePlacer() *peer {
 	p.mu.Lock()
 	to := p.placer
 	p.mu.Unlock()
-	if to == nil || !p.d.peers.heardWithin(to, placerSilence) {
+	if to == nil || !p.d.peers.seenWithin(to, placerTimeout) {
 		return nil
 	}
 	return to
 }
 
-// followed is the placer, heard or not.
-func (p *placing) followed() *peer {
+// assignedPlacer is the placer, heard or not.
+func (p *placement) assignedPlacer() *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.placer
 }
 
-// ask asks the placer; alone says why this VM has to place for itself, if it has.
-func (p *placing) ask(ctx context.Context, to *peer, j dispatch.Job) (dec dispatch.Decision, ok bool, alone string) {
-	a := &ask{to: to, answers: make(chan *schema.PlaceDecision, answerBuffer)}
+// requestPlacement asks the placer; alone says why this VM has to place for itself, if it has.
+func (p *placement) requestPlacement(ctx context.Context, placer *peer, j dispatch.Job) (dec dispatch.Decision, ok bool, localReason string) {
+	a := &pendingPlacement{placer: placer, decisions: make(chan *schema.PlaceDecision, decisionBuffer)}
 	p.mu.Lock()
-	p.asks[j.Handle] = a
+	p.pending[j.Handle] = a
 	p.mu.Unlock()
-	defer p.forget(j.Handle)
-	timer := time.NewTimer(askAgain)
+	defer p.removePending(j.Handle)
+	timer := time.NewTimer(placeRetryInterval)
 	defer timer.Stop()
-	p.d.peers.send(p.askNote(j), to.addr)
-	for sends := 1; ; {
+	p.d.peers.send(p.placeRequestNote(j), placer.addr)
+	for sent := 1; ; {
 		select {
-		case m := <-a.answers:
+		case m := <-a.decisions:
 			switch m.Verdict {
 			case schema.PlaceDecision_QUEUED:
-				p.setQueued(a)
-				timer.Reset(placerSilence)
+				p.markQueued(a)
+				timer.Reset(placerTimeout)
 			case schema.PlaceDecision_REFUSED:
-				return refused(m), true, ""
+				return refusedDecision(m), true, ""
 			case schema.PlaceDecision_PLACED:
-				dec, why := p.adopt(to, j, m)
+				dec, why := p.adoptDecision(placer, j, m)
 				return dec, dec.Endpoint != nil, string(why)
 			default:
-				return dec, false, aloneUnknown
+				return dec, false, localReasonUnknown
 			}
 		case <-timer.C:
-			if a.queued && p.current() == to && p.d.now() < j.Abandon {
-				timer.Reset(min(placerSilence, max(time.Millisecond, j.Abandon-p.d.now())))
+			if a.queued && p.livePlacer() == placer && p.d.now() < j.Abandon {
+				timer.Reset(min(placerTimeout, max(time.Millisecond, j.Abandon-p.d.now())))
 				continue
 			}
 			if p.d.now() >= j.Abandon {
 				// The placer should have refused it by now; its caller is about to leave.
-				p.leave(to, j.Handle)
-				return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonTooLate, RetryAfter: shortWait}, true, ""
+				p.cancelRemote(placer, j.Handle)
+				return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonTooLate, RetryAfter: shortRetryAfter}, true, ""
 			}
 			if a.queued {
 				// It has fallen silent, or another VM places now.
-				p.leave(to, j.Handle)
-				return dec, false, aloneMoved
+				p.cancelRemote(placer, j.Handle)
+				return dec, false, localReasonPlacerChanged
 			}
-			if sends == maxAsks {
-				p.leave(to, j.Handle)
-				p.avoid(to)
-				return dec, false, aloneSilent
+			if sent == maxPlaceRequests {
+				p.cancelRemote(placer, j.Handle)
+				p.avoidPlacer(placer)
+				return dec, false, localReasonNoAnswer
 			}
-			sends++
-			timer.Reset(askAgain)
-			p.d.peers.send(p.askNote(j), to.addr)
+			sent++
+			timer.Reset(placeRetryInterval)
+			p.d.peers.send(p.placeRequestNote(j), placer.addr)
 		case <-ctx.Done():
-			p.leave(to, j.Handle)
+			p.cancelRemote(placer, j.Handle)
 			return dec, false, ""
 		}
 	}
 }
 
-func (p *placing) setQueued(a *ask) {
+func (p *placement) markQueued(a *pendingPlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a.queued = true
 }
 
-func (p *placing) forget(handle uint64) {
+func (p *placement) removePending(handle uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.asks, handle)
+	delete(p.pending, handle)
 }
 
-// adopt takes over what the placer decided, unless this VM knows that the endpoint
+// adoptDecision takes over what the placer decided, unless this VM knows that the endpoint
 // may not be used.
-func (p *placing) adopt(to *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.Unusable) {
+func (p *placement) adoptDecision(placer *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.Unusable) {
 	// While requests move, which go to the new version is the placer's to say: it may be some ms
 	// ahead of this VM, whose own list still holds the new endpoints back.
 	j.Trial = j.Trial || p.d.rollouts.moving(j.Service)
 	j.Counted = m.Counted
 	dec, why := p.d.sched.adopt(j, m.Endpoint, micros(m.PredictedUs), int(m.PromptTokens))
 	if dec == nil {
-		p.leave(to, j.Handle)
+		p.cancelRemote(placer, j.Handle)
 		return dispatch.Decision{Name: m.Endpoint}, why
 	}
-	dec.By, dec.Candidates, dec.Waiting = to.addr.String(), int(m.Candidates), int(m.Waiting)
+	dec.By, dec.Candidates, dec.Waiting = placer.addr.String(), int(m.Candidates), int(m.Waiting)
 	dec.Load = dispatch.Use{Running: int(m.Running), PromptTokens: int(m.PromptTokens), Gap: micros(m.EventGapUs)}
 	p.mu.Lock()
-	p.runs[j.Handle] = &remoteRun{placer: to}
+	p.remoteRuns[j.Handle] = &remoteRun{placer: placer}
 	p.mu.Unlock()
 	return *dec, ""
 }
 
-func refused(m *schema.PlaceDecision) dispatch.Decision {
+func refusedDecision(m *schema.PlaceDecision) dispatch.Decision {
 	return dispatch.Decision{
 		Handle: m.Handle, Reason: m.Reason, RetryAfter: micros(m.RetryAfterUs), Candidates: int(m.Candidates), Waiting: int(m.Waiting),
 	}
 }
 
-// leave tells the placer that the request needs no place any more.
-func (p *placing) leave(to *peer, handle uint64) {
-	p.tell(to, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome_RUN_LEFT})
+// cancelRemote tells the placer that the request needs no place any more.
+func (p *placement) cancelRemote(placer *peer, handle uint64) {
+	p.sendProgress(placer, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome_RUN_LEFT})
 }
 
-func (p *placing) tell(to *peer, m *schema.RunProgress) {
+func (p *placement) sendProgress(to *peer, m *schema.RunProgress) {
 	p.d.peers.send(&schema.PeerNote{Progress: []*schema.RunProgress{m}}, to.addr)
 }
 
-// avoid leaves a placer alone that did not answer.
-func (p *placing) avoid(to *peer) {
-	p.d.peers.avoid(to, p.d.now()+avoidFor)
-	p.d.log.Warn().Str("placer", to.addr.String()).Int("asks", maxAsks).Dur("for", avoidFor).Msg("placer_lost")
-	p.choose()
+// avoidPlacer leaves a placer alone that did not answer.
+func (p *placement) avoidPlacer(placer *peer) {
+	p.d.peers.setAvoidUntil(placer, p.d.now()+placerAvoidTime)
+	p.d.log.Warn().Str("placer", placer.addr.String()).Int("asks", maxPlaceRequests).Dur("for", placerAvoidTime).Msg("placer_lost")
+	p.updatePlacer()
 }
 
-// events says that n events of a stream came.
-func (p *placing) events(handle uint64, n int) {
-	p.d.sched.events(handle, n)
+// recordEvents says that n recordEvents of a stream came.
+func (p *placement) recordEvents(handle uint64, n int) {
+	p.d.sched.recordEvents(handle, n)
 	p.mu.Lock()
-	r := p.runs[handle]
+	r := p.remoteRuns[handle]
 	first := r != nil && !r.started
 	if first {
 		r.started = true
 	}
 	p.mu.Unlock()
 	if first {
-		p.tell(r.placer, &schema.RunProgress{Handle: handle, Started: true})
+		p.sendProgress(r.placer, &schema.RunProgress{Handle: handle, Started: true})
 	}
 }
 
-// end says that a request is over at its endpoint.
-func (p *placing) end(handle uint64, o dispatch.Outcome) {
-	p.d.sched.end(handle, o)
+// endRun says that a request is over at its endpoint.
+func (p *placement) endRun(handle uint64, o dispatch.Outcome) {
+	p.d.sched.endRun(handle, o)
 	p.mu.Lock()
-	r := p.runs[handle]
-	delete(p.runs, handle)
+	r := p.remoteRuns[handle]
+	delete(p.remoteRuns, handle)
 	p.mu.Unlock()
 	if r != nil {
-		p.tell(r.placer, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome(o)})
+		p.sendProgress(r.placer, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome(o)})
 	}
 }
 
-// describe adds what the placer needs to see that it knows all requests of this VM.
-func (p *placing) describe(n *schema.PeerNote) {
+// addRunState adds what the placer needs to see that it knows all requests of this VM.
+func (p *placement) addRunState(n *schema.PeerNote) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for h := range p.runs {
+	for h := range p.remoteRuns {
 		n.Placed = append(n.Placed, h)
 	}
-	for h, a := range p.asks {
+	for h, a := range p.pending {
 		if a.queued {
 			n.Waiting = append(n.Waiting, h)
 		}
 	}
 }
 
-// take takes in answers of placers.
-func (p *placing) take(n *schema.PeerNote, from *net.UDPAddr) {
+// handleDecisions takes in answers of placers.
+func (p *placement) handleDecisions(n *schema.PeerNote, from *net.UDPAddr) {
 	for _, m := range n.PlaceDecisions {
 		p.mu.Lock()
-		a := p.asks[m.Handle]
-		known := p.runs[m.Handle] != nil
+		a := p.pending[m.Handle]
+		known := p.remoteRuns[m.Handle] != nil
 		p.mu.Unlock()
-		if a != nil && a.to.addr.String() == from.String() {
+		if a != nil && a.placer.addr.String() == from.String() {
 			select {
-			case a.answers <- m:
+			case a.decisions <- m:
 			default:
 				// It has an answer already; the placer repeats this one.
 			}
@@ -306,14 +306,14 @@
 	}
 }
 
-// askNote is the message that asks for a place.
-func (p *placing) askNote(j dispatch.Job) *schema.PeerNote {
+// placeRequestNote is the message that asks for a place.
+func (p *placement) placeRequestNote(j dispatch.Job) *schema.PeerNote {
 	now := p.d.now()
 	m := &schema.PlaceAsk{
 		Handle: j.Handle, Service: j.Service, Tier: int32(j.Tier), Prompt: uint32(j.Prompt), Events: uint32(j.Events),
 		ObjectiveUs: (j.Objective - now).Microseconds(), AbandonUs: (j.Abandon - now).Microseconds(),
 		MaxPauseUs: uint64(j.MaxPause.Microseconds()), Tried: j.Tried, Avoided: j.Avoided,
-		FailureDomain: p.d.set.Vm.FailureDomain, Digest: j.Request[:], Suspicion: uint32(j.Suspicion), Trial: j.Trial,
+		FailureDomain: p.d.settings.Vm.FailureDomain, Digest: j.Request[:], Suspicion: uint32(j.Suspicion), Trial: j.Trial,
 	}
 	if j.Limit > 0 {
 		m.LimitUs = (j.Limit - now).Microseconds()
@@ -323,8 +323,8 @@
 
 func micros(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// avoid leaves a VM out of the choice of placers for a time.
-func (p *peers) avoid(pe *peer, until time.Duration) {
+// setAvoidUntil leaves a VM out of the choice of placers for a time.
+func (p *peers) setAvoidUntil(pe *peer, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pe.avoidUntil = until
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -123,7 +123,7 @@
 }
 
 func (p *peers) fetchEndpointsFrom(ctx context.Context, address string) ([]Record, Position, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
 	reply, err := schema.NewRelayProtobufClient("http://"+address, p.client).Endpoints(ctx, &schema.EndpointsRequest{})
 	if err != nil {
@@ -143,7 +143,7 @@
 	defer p.mu.Unlock()
 	list := []string{speaker}
 	for a, pe := range p.addrs {
-		if a != speaker && pe.domain == p.d.set.Vm.FailureDomain && pe.heardLately(now) && !pe.registry.Before(at) {
+		if a != speaker && pe.domain == p.d.settings.Vm.FailureDomain && pe.isAlive(now) && !pe.registry.Before(at) {
 			list = append(list, a)
 		}
 	}
@@ -167,7 +167,7 @@
 		case r := <-d.peers.relays:
 			if !d.takeRelay(ctx, &c, r) {
 				read.Reset(0)
-			} else if !d.peers.reads() {
+			} else if !d.peers.isStoreReader() {
 				read.Reset(spread(d.relaySilence()))
 			}
 			continue
@@ -179,7 +179,7 @@
 		if err != nil {
 			d.registryLostAt.Store(int64(d.now()))
 			d.registry.lose()
-			d.sched.update(func(_ time.Duration, m *members.Set) { m.Away() })
+			d.sched.updateMembers(func(_ time.Duration, m *members.Set) { m.Away() })
 			read.Reset(spread(again.failed(d.mostRetry())))
 			continue
 		}
@@ -190,8 +190,8 @@
 				Int("endpoints", len(got.records)).Msg("registry_read")
 		}
 		parts := d.takeReading(got, before, c.next)
-		if d.peers.reads() {
-			d.peers.relay(parts)
+		if d.peers.isStoreReader() {
+			d.peers.relayParts(parts)
 			read.Reset(spread(d.endpointsEvery()))
 		} else {
 			read.Reset(spread(d.relaySilence()))
@@ -214,7 +214,7 @@
 	case got.whole:
 		before = next
 	}
-	return partsOf(before.Offset, next, got.records, changed)
+	return splitParts(before.Offset, next, got.records, changed)
 }
 
 // difference is what a registry that came back from a copy says else than what was known, for the
@@ -240,7 +240,7 @@
 		part.Records = append(part.Records, &schema.StoreRecord{Key: key})
 		size += len(key)
 	}
-	if size > relayBytes {
+	if size > relayPartBytes {
 		part.Records = nil
 		return part
 	}
@@ -302,7 +302,7 @@
 	for _, r := range list {
 		rec := Record{Key: r.Key, Value: r.Value}
 		if r.Written > 0 {
-			rec.At, rec.Placed = Position{Era: era, Offset: r.Written - 1}, true
+			rec.Position, rec.HasPosition = Position{Era: era, Offset: r.Written - 1}, true
 		}
 		records = append(records, rec)
 	}
@@ -311,10 +311,10 @@
 
 // writtenIn is one more than the record's offset, if it is known to lie in an era.
 func (r Record) writtenIn(era uint64) uint64 {
-	if !r.Placed || r.At.Era != era {
+	if !r.HasPosition || r.Position.Era != era {
 		return 0
 	}
-	return r.At.Offset + 1
+	return r.Position.Offset + 1
 }
 
 // takeEndpoints takes in what was read of the registry, and returns which of the records changed
@@ -323,13 +323,13 @@
 	d.registry.take(got.records, got.whole, next)
 	changes := make([]members.Change, 0, len(got.records))
 	for _, r := range got.records {
-		c, err := d.codec.Endpoint(r)
+		c, err := d.codec.DecodeEndpoint(r)
 		d.logUnreadable(r.Key, err)
 		c.Written = r.writtenIn(next.Era)
 		changes = append(changes, c)
 	}
 	var told []members.Change
-	d.sched.update(func(now time.Duration, m *members.Set) {
+	d.sched.updateMembers(func(now time.Duration, m *members.Set) {
 		m.Back(now)
 		if got.copied {
 			m.Restore(now)
@@ -352,8 +352,8 @@
 		m.Expire(now)
 	})
 	d.logEndpoints(told)
-	d.endpointsKnown.Store(true)
-	d.noteInformed()
+	d.endpointsLoaded.Store(true)
+	d.markInitialised()
 	return changed
 }
 
@@ -364,14 +364,14 @@
 // logUnreadable says once what is wrong with an entry.
 func (d *Daemon) logUnreadable(key string, err error) {
 	if err == nil {
-		delete(d.unreadable, key)
+		delete(d.invalidEntries, key)
 		return
 	}
 	d.count("entries_unreadable")
-	if d.unreadable[key] == err.Error() || len(d.unreadable) >= mostUnreadable {
+	if d.invalidEntries[key] == err.Error() || len(d.invalidEntries) >= mostUnreadable {
 		return
 	}
-	d.unreadable[key] = err.Error()
+	d.invalidEntries[key] = err.Error()
 	d.log.Warn().Str("endpoint", key).Err(err).Msg("endpoint_unreadable")
 }
 
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -15,93 +15,93 @@
 )
 
 const (
-	// aliveFor is how long after its last note a VM counts as alive, or aliveNotes of
+	// aliveTimeout is how long after its last note a VM counts as alive, or aliveNotes of
 	// its usual times between two notes, which are longer in large failure domains. Few
 	// notes are lost.
-	aliveFor   = time.Second
-	aliveNotes = 4
-	// unheardFor is how long a VM that was never heard counts as alive after it was learned
+	aliveTimeout   = time.Second
+	aliveIntervals = 4
+	// unseenTimeout is how long a VM that was never heard counts as alive after it was learned
 	// of: notes come in turns, seconds apart in a large failure domain.
-	unheardFor = 4 * time.Second
-	// everyWeight is the weight of one time between two notes in the usual one.
-	everyWeight = 0.2
-	// fetchTimeout bounds the fetching of a configuration from another VM.
-	fetchTimeout = 700 * time.Millisecond
-	// readerKey is hashed with the VMs' addresses to choose the reader.
-	readerKey = "store-reader"
+	unseenTimeout = 4 * time.Second
+	// intervalWeight is the weight of one time between two notes in the usual one.
+	intervalWeight = 0.2
+	// configFetchTimeout bounds the fetching of a configuration from another VM.
+	configFetchTimeout = 700 * time.Millisecond
+	// readerHashKey is hashed with the VMs' addresses to choose the reader.
+	readerHashKey = "store-reader"
 )
 
-// reads says whether this VM reads the store for its failure domain: the first
+// isStoreReader says whether this VM isStoreReader the store for its failure domain: the first
 // by rendezvous hashing of those alive that did not fail to read it. VMs may disagree
-// for a moment; then two read, or none does and each reads for itself after a while.
+// for a moment; then two read, or none does and each isStoreReader for itself after a while.
 // VMs that were not heard yet count: in the first seconds each VM has heard few others,
 // and each would read for its failure domain.
-func (p *peers) reads() bool {
+func (p *peers) isStoreReader() bool {
 	now := p.d.now()
 	if p.d.registryLost(now) {
 		return false
 	}
-	own := rendezvous.Hash(readerKey, p.d.set.Listen.Peers)
+	own := rendezvous.Hash(readerHashKey, p.d.settings.Listen.Peers)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, pe := range p.addrs {
-		if pe.presumedAlive(now) && pe.domain == p.d.set.Vm.FailureDomain && !pe.storeLost && rendezvous.Hash(readerKey, address) > own {
+		if pe.presumedAlive(now) && pe.domain == p.d.settings.Vm.FailureDomain && !pe.storeLost && rendezvous.Hash(readerHashKey, address) > own {
 			return false
 		}
 	}
 	return true
 }
 
-// heardLately says whether the VM counts as alive.
-func (pe *peer) heardLately(now time.Duration) bool {
-	return pe.heard > 0 && now-pe.heard < max(aliveFor, aliveNotes*pe.every)
+// isAlive says whether the VM counts as alive.
+func (pe *peer) isAlive(now time.Duration) bool {
+	return pe.heard > 0 && now-pe.heard < max(aliveTimeout, aliveIntervals*pe.every)
 }
 
 // presumedAlive says whether the VM is alive as far as is known, heard or not yet.
 func (pe *peer) presumedAlive(now time.Duration) bool {
-	return pe.heardLately(now) || pe.heard == 0 && now-pe.learned < unheardFor
+	return pe.isAlive(now) || pe.heard == 0 && now-pe.learned < unseenTimeout
 }
 
-// hear notes that the VM spoke. A silence counts as no more than aliveFor, or a VM that
+// recordContact notes that the VM spoke. A silence counts as no more than aliveFor, or a VM that
 // was away would count as alive for long after.
-func (pe *peer) hear(now time.Duration) {
+func (pe *peer) recordContact(now time.Duration) {
 	if pe.heard > 0 {
-		pe.every += time.Duration(everyWeight * float64(min(now-pe.heard, aliveNotes*aliveFor)-pe.every))
+		pe.every += time.Duration(intervalWeight * float64(min(now-pe.heard, aliveIntervals*aliveTimeout)-pe.every))
 	}
 	pe.heard, pe.silent = now, false
 }
 
-// configFollowed says whether a VM of this failure domain follows the
+// configWatched says whether a VM of this failure domain follows the
 // configuration in the store. In the first moments of a process none was heard yet, and
 // the one that should is taken to.
-func (p *peers) configFollowed() bool {
+func (p *peers) configWatched() bool {
 	now := p.d.now()
-	if now < aliveFor {
+	if now < aliveTimeout {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pe := range p.addrs {
-		if pe.heardLately(now) && pe.domain == p.d.set.Vm.FailureDomain && pe.followsConfig {
+		if pe.isAlive(now) && pe.domain == p.d.settings.Vm.FailureDomain && pe.followsConfig {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *peers) setFollows(v bool) { p.follows.Store(v) }
+func (p *peers) setFollowsConfig(v bool) { p.follows.Store(v) }
 
-// relayBytes is about how much of the registry one note passes on before it is packed;
+// relayPartBytes is about how much of the registry one note passes on before it is packed;
 // longer notes are not sent. When all endpoints start, 82 and more change between two reads.
-const relayBytes = maxDatagram / 2
+const relayPartBytes = maxDatagram / 2
 
-// mostUnpacked bounds the records of one note, in bytes.
-const mostUnpacked = 4 * maxDatagram
+// maxUnpackedBytes bounds the records of one note, in bytes.
+const maxUnpackedBytes = 4 * maxDatagram
 
-// pack compresses a part's records, which are much alike, to a fifth or less. The reader
+// packPart compresses a part's records, which are much alike, to a fifth or less. The reader
 // sends each part to all of its failure domain at once: unpacked they fill its link, most notes
 // are lost, and all read the store instead.
-func pack(part *schema.EndpointRelay) (*schema.EndpointRelay, error) {
+func packPart(part *schema.EndpointRelay) (*schema.EndpointRelay, error) {
 	if len(part.Records) == 0 {
 		return part, nil
 	}
@@ -123,12 +123,12 @@
 	return &schema.EndpointRelay{From: part.From, Next: part.Next, Era: part.Era, Before: part.Before, Packed: out.Bytes()}, nil
 }
 
-// unpack puts a packed part's records back.
-func unpack(part *schema.EndpointRelay) error {
+// unpackPart puts a packed part's records back.
+func unpackPart(part *schema.EndpointRelay) error {
 	if len(part.Packed) == 0 {
 		return nil
 	}
-	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(part.Packed)), mostUnpacked))
+	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(part.Packed)), maxUnpackedBytes))
 	if err != nil {
 		return err
 	}
@@ -140,17 +140,17 @@
 	return nil
 }
 
-// partsOf divides what was read of the registry into parts that fit into notes. Each part
+// splitParts divides what was read of the registry into parts that fit into notes. Each part
 // covers a span of offsets, so that a VM that misses one knows from the next; without
 // records the only part says that the span was read. The i-th record is that at offset
 // from+i; changed are the indexes of those to pass on.
-func partsOf(from uint64, next Position, records []Record, changed []int) []*schema.EndpointRelay {
+func splitParts(from uint64, next Position, records []Record, changed []int) []*schema.EndpointRelay {
 	part := &schema.EndpointRelay{From: from, Era: next.Era}
 	parts := []*schema.EndpointRelay{part}
 	size := 0
 	for _, i := range changed {
 		r := records[i]
-		if size > 0 && size+len(r.Key)+len(r.Value) > relayBytes {
+		if size > 0 && size+len(r.Key)+len(r.Value) > relayPartBytes {
 			part.Next = from + uint64(i)
 			part = &schema.EndpointRelay{From: part.Next, Era: next.Era}
 			parts = append(parts, part)
@@ -163,11 +163,11 @@
 	return parts
 }
 
-// relay passes on to the VMs of the own failure domain what was read of the registry.
-func (p *peers) relay(parts []*schema.EndpointRelay) {
+// relayParts passes on to the VMs of the own failure domain what was read of the registry.
+func (p *peers) relayParts(parts []*schema.EndpointRelay) {
 	to := p.domain()
 	for _, part := range parts {
-		packed, err := pack(part)
+		packed, err := packPart(part)
 		if err != nil {
 			p.d.log.Error().Err(err).Msg("relay_unsendable")
 			return
@@ -178,11 +178,11 @@
 	}
 }
 
-// takeRelayed takes what a note says of the store. What does not fit into the
+// handleRelay takes what a note says of the store. What does not fit into the
 // buffers is lost, and read from the store later.
-func (p *peers) takeRelayed(n *schema.PeerNote) {
+func (p *peers) handleRelay(n *schema.PeerNote) {
 	if n.Endpoints != nil {
-		if err := unpack(n.Endpoints); err != nil {
+		if err := unpackPart(n.Endpoints); err != nil {
 			p.d.count("relays_unreadable")
 			p.d.log.Warn().Str("from", n.Address).Err(err).Msg("relay_unreadable")
 			return
@@ -205,14 +205,14 @@
 
 // fetchConfig asks a VM for the configuration that it serves by.
 func (p *peers) fetchConfig(ctx context.Context, h configHint) (*Record, []*schema.Rollout, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
-	var have uint64
+	var current uint64
 	if t := p.d.table.Load(); t != nil {
-		have = t.Document.Version
+		current = t.Document.Version
 	}
 	client := schema.NewRelayProtobufClient("http://"+h.address, p.client)
-	reply, err := client.Config(ctx, &schema.ConfigRequest{NewerThan: have})
+	reply, err := client.Config(ctx, &schema.ConfigRequest{NewerThan: current})
 	if err != nil || reply.Record == nil {
 		return nil, reply.GetRollouts(), err
 	}
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// decisionSettle is how old a decision must be before a note that does not name it
+	// decisionGracePeriod is how old a decision must be before a note that does not name it
 	// counts: notes may have left before the decision came.
-	decisionSettle = 300 * time.Millisecond
-	// askerSilence is after how long without a note another VM's requests are
+	decisionGracePeriod = 300 * time.Millisecond
+	// requesterTimeout is after how long without a note another VM's requests are
 	// dropped: it is dead or cut off, and places for itself.
-	askerSilence = 1500 * time.Millisecond
+	requesterTimeout = 1500 * time.Millisecond
 )
 
 // remoteJobs are the requests of other VMs that this one places. A lost datagram is made
@@ -28,100 +28,100 @@
 
 	mu   sync.Mutex
 	jobs map[uint64]*remoteJob
-	// askers are the VMs that ask, by their address.
-	askers map[string]*asker
+	// requesters are the VMs that ask, by their address.
+	requesters map[string]*requester
 }
 
-// asker is a VM that asks this one. Its requests are kept by VM: each note is compared
+// requester is a VM that asks this one. Its requests are kept by VM: each note is compared
 // with what is known of the one's requests, not of all.
-type asker struct {
-	// heard is when it spoke last.
-	heard time.Duration
-	jobs  map[uint64]*remoteJob
+type requester struct {
+	// lastSeen is when it spoke last.
+	lastSeen time.Duration
+	jobs     map[uint64]*remoteJob
 }
 
 type remoteJob struct {
-	from    *net.UDPAddr
-	asker   *asker
-	service string
-	since   time.Duration
+	addr      *net.UDPAddr
+	requester *requester
+	service   string
+	changedAt time.Duration
 	// decision is nil while the request waits.
 	decision *schema.PlaceDecision
 }
 
 func newRemoteJobs(d *Daemon) *remoteJobs {
-	return &remoteJobs{d: d, jobs: make(map[uint64]*remoteJob), askers: make(map[string]*asker)}
+	return &remoteJobs{d: d, jobs: make(map[uint64]*remoteJob), requesters: make(map[string]*requester)}
 }
 
-// willing says whether this VM places requests for others.
-func (r *remoteJobs) willing() bool { return r.d.ready() && r.d.peers.eligible.Load() }
+// acceptsJobs says whether this VM places requests for others.
+func (r *remoteJobs) acceptsJobs() bool { return r.d.ready() && r.d.peers.eligible.Load() }
 
-// take takes in what another VM asks, and how its requests go.
-func (r *remoteJobs) take(n *schema.PeerNote, from *net.UDPAddr) {
+// handleNote takes in what another VM asks, and how its requests go.
+func (r *remoteJobs) handleNote(n *schema.PeerNote, from *net.UDPAddr) {
 	for _, m := range n.PlaceAsks {
-		r.ask(m, from)
+		r.handleRequest(m, from)
 	}
 	for _, m := range n.Progress {
-		r.progress(m)
+		r.handleProgress(m)
 	}
-	if n.Loads && n.Placer == r.d.set.Listen.Peers {
+	if n.Loads && n.Placer == r.d.settings.Listen.Peers {
 		r.reconcile(n, from)
 	}
 }
 
-// ask queues one request and answers.
-func (r *remoteJobs) ask(m *schema.PlaceAsk, from *net.UDPAddr) {
-	if !r.willing() {
-		r.reply(from, &schema.PlaceDecision{Handle: m.Handle})
+// handleRequest queues one request and answers.
+func (r *remoteJobs) handleRequest(m *schema.PlaceAsk, from *net.UDPAddr) {
+	if !r.acceptsJobs() {
+		r.sendDecision(from, &schema.PlaceDecision{Handle: m.Handle})
 		return
 	}
-	j := r.job(m)
+	j := r.dispatchJob(m)
 	view := r.d.suspects.look(j.Request)
 	if view.Convicted() {
-		r.reply(from, &schema.PlaceDecision{Handle: m.Handle, Verdict: schema.PlaceDecision_REFUSED, Reason: reasonEndsEndpoints})
+		r.sendDecision(from, &schema.PlaceDecision{Handle: m.Handle, Verdict: schema.PlaceDecision_REFUSED, Reason: reasonEndsEndpoints})
 		return
 	}
 	j.Suspicion = max(j.Suspicion, suspicionOf(view))
 	r.mu.Lock()
 	known := r.jobs[m.Handle]
 	if known == nil {
-		a := r.hear(from)
-		job := &remoteJob{from: from, asker: a, service: m.Service, since: r.d.now()}
+		a := r.recordContact(from)
+		job := &remoteJob{addr: from, requester: a, service: m.Service, changedAt: r.d.now()}
 		r.jobs[m.Handle], a.jobs[m.Handle] = job, job
 	}
 	r.mu.Unlock()
 	if known != nil {
-		r.answer(m.Handle, from)
+		r.resendDecision(m.Handle, from)
 		return
 	}
-	r.d.sched.submit(j)
-	if r.waits(m.Handle) {
-		r.reply(from, &schema.PlaceDecision{Handle: m.Handle, Verdict: schema.PlaceDecision_QUEUED})
+	r.d.sched.submitRemote(j)
+	if r.isWaiting(m.Handle) {
+		r.sendDecision(from, &schema.PlaceDecision{Handle: m.Handle, Verdict: schema.PlaceDecision_QUEUED})
 	}
 }
 
-// hear notes that a VM that asks spoke.
-func (r *remoteJobs) hear(from *net.UDPAddr) *asker {
+// recordContact notes that a VM that asks spoke.
+func (r *remoteJobs) recordContact(from *net.UDPAddr) *requester {
 	address := from.String()
-	a := r.askers[address]
+	a := r.requesters[address]
 	if a == nil {
-		a = &asker{jobs: make(map[uint64]*remoteJob)}
-		r.askers[address] = a
+		a = &requester{jobs: make(map[uint64]*remoteJob)}
+		r.requesters[address] = a
 	}
-	a.heard = r.d.now()
+	a.lastSeen = r.d.now()
 	return a
 }
 
-// waits says whether a request has no decision yet.
-func (r *remoteJobs) waits(handle uint64) bool {
+// isWaiting says whether a request has no decision yet.
+func (r *remoteJobs) isWaiting(handle uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	job := r.jobs[handle]
 	return job != nil && job.decision == nil
 }
 
-// answer says again what is known of a request.
-func (r *remoteJobs) answer(handle uint64, to *net.UDPAddr) {
+// resendDecision says again what is known of a request.
+func (r *remoteJobs) resendDecision(handle uint64, to *net.UDPAddr) {
 	r.mu.Lock()
 	job := r.jobs[handle]
 	reply := &schema.PlaceDecision{Handle: handle, Verdict: schema.PlaceDecision_QUEUED}
@@ -132,16 +132,16 @@
 		reply = job.decision
 	}
 	r.mu.Unlock()
-	r.reply(to, reply)
+	r.sendDecision(to, reply)
 }
 
-func (r *remoteJobs) reply(to *net.UDPAddr, m *schema.PlaceDecision) {
+func (r *remoteJobs) sendDecision(to *net.UDPAddr, m *schema.PlaceDecision) {
 	r.d.peers.send(&schema.PeerNote{PlaceDecisions: []*schema.PlaceDecision{m}}, to)
 }
 
-// decided passes a decision on to the VM that asked. It reports false if the request
+// deliver passes a decision on to the VM that asked. It reports false if the request
 // is nobody's.
-func (r *remoteJobs) decided(dec dispatch.Decision) bool {
+func (r *remoteJobs) deliver(dec dispatch.Decision) bool {
 	r.mu.Lock()
 	job := r.jobs[dec.Handle]
 	if job == nil {
@@ -157,16 +157,16 @@
 		m.Verdict, m.Endpoint, m.Counted = schema.PlaceDecision_PLACED, dispatch.NameOf(dec.Endpoint.Key()), dec.Counted
 	}
 	// A refusal is kept until the other VM no longer names the request, to be told again.
-	job.decision, job.since = m, r.d.now()
+	job.decision, job.changedAt = m, r.d.now()
 	r.mu.Unlock()
-	r.reply(job.from, m)
+	r.sendDecision(job.addr, m)
 	return true
 }
 
-// progress takes in how a request goes.
-func (r *remoteJobs) progress(m *schema.RunProgress) {
+// handleProgress takes in how a request goes.
+func (r *remoteJobs) handleProgress(m *schema.RunProgress) {
 	if m.Started {
-		r.d.sched.events(m.Handle, 1)
+		r.d.sched.recordEvents(m.Handle, 1)
 	}
 	if m.Ended {
 		r.drop(m.Handle, dispatch.Outcome(m.Outcome))
@@ -179,11 +179,11 @@
 	job := r.jobs[handle]
 	if job != nil {
 		delete(r.jobs, handle)
-		delete(job.asker.jobs, handle)
+		delete(job.requester.jobs, handle)
 	}
 	r.mu.Unlock()
 	if job != nil {
-		r.d.sched.withdraw(job.service, handle, o)
+		r.d.sched.withdrawRemote(job.service, handle, o)
 	}
 }
 
@@ -194,60 +194,60 @@
 		named[h] = true
 	}
 	now := r.d.now()
-	var again, over []uint64
+	var resend, ended []uint64
 	r.mu.Lock()
-	a := r.hear(from)
+	a := r.recordContact(from)
 	for _, h := range n.Waiting {
 		named[h] = true
 		if job := r.jobs[h]; job == nil || job.decision != nil {
-			again = append(again, h)
+			resend = append(resend, h)
 		}
 	}
 	for h, job := range a.jobs {
-		if !named[h] && now-job.since > decisionSettle {
-			over = append(over, h)
+		if !named[h] && now-job.changedAt > decisionGracePeriod {
+			ended = append(ended, h)
 		}
 	}
 	r.mu.Unlock()
-	for _, h := range again {
-		r.answer(h, from)
+	for _, h := range resend {
+		r.resendDecision(h, from)
 	}
-	for _, h := range over {
+	for _, h := range ended {
 		r.drop(h, dispatch.Left)
 	}
 }
 
-// sweep drops the requests of VMs that have fallen silent.
-func (r *remoteJobs) sweep() {
+// expireRequesters drops the requests of VMs that have fallen silent.
+func (r *remoteJobs) expireRequesters() {
 	now := r.d.now()
-	var over []uint64
+	var ended []uint64
 	r.mu.Lock()
-	for address, a := range r.askers {
-		if now-a.heard < askerSilence {
+	for address, a := range r.requesters {
+		if now-a.lastSeen < requesterTimeout {
 			continue
 		}
-		delete(r.askers, address)
-		over = slices.AppendSeq(over, maps.Keys(a.jobs))
+		delete(r.requesters, address)
+		ended = slices.AppendSeq(ended, maps.Keys(a.jobs))
 	}
 	r.mu.Unlock()
-	for _, h := range over {
+	for _, h := range ended {
 		r.drop(h, dispatch.Left)
 	}
 }
 
-// members are the VMs that ask this one.
-func (r *remoteJobs) members() map[string]bool {
+// requesterAddresses are the VMs that ask this one.
+func (r *remoteJobs) requesterAddresses() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	set := make(map[string]bool, len(r.askers))
-	for a := range r.askers {
+	set := make(map[string]bool, len(r.requesters))
+	for a := range r.requesters {
 		set[a] = true
 	}
 	return set
 }
 
-// job is the request as this VM's scheduler sees it.
-func (r *remoteJobs) job(m *schema.PlaceAsk) dispatch.Job {
+// dispatchJob is the request as this VM's scheduler sees it.
+func (r *remoteJobs) dispatchJob(m *schema.PlaceAsk) dispatch.Job {
 	now := r.d.now()
 	j := dispatch.Job{
 		Handle: m.Handle, Service: m.Service, Tier: int(m.Tier), Prompt: int(m.Prompt), Events: int(m.Events),
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -9,42 +9,42 @@
 	"github.com/chivefield/chivefield/core/budget"
 )
 
-// retries are this process's budgets of repeats, by service.
-type retries struct {
+// retryBudgets are this process's budgets of repeats, by service.
+type retryBudgets struct {
 	d *Daemon
-	// listed says that the list of VMs was read after this VM's record was written, apart that
+	// fleetKnown says that the list of VMs was read after this VM's record was written, noRecentPredecessor that
 	// the process before this one, if there was any, started long ago.
-	listed, apart atomic.Bool
+	fleetKnown, noRecentPredecessor atomic.Bool
 
 	mu      sync.Mutex
 	budgets map[string]*budget.Budget
-	// told is what the last line on a service's budget said.
-	told map[string]budget.Counts
+	// lastLogged is what the last line on a service's budget said.
+	lastLogged map[string]budget.Counts
 }
 
-func newRetries(d *Daemon) *retries {
-	return &retries{d: d, budgets: make(map[string]*budget.Budget), told: make(map[string]budget.Counts)}
+func newRetryBudgets(d *Daemon) *retryBudgets {
+	return &retryBudgets{d: d, budgets: make(map[string]*budget.Budget), lastLogged: make(map[string]budget.Counts)}
 }
 
-// noteListed says that the list of VMs is known as of this VM's own record.
-func (r *retries) noteListed(apart bool) {
-	r.apart.Store(apart)
-	r.listed.Store(true)
+// setFleetKnown says that the list of VMs is known as of this VM's own record.
+func (r *retryBudgets) setFleetKnown(noRecentPredecessor bool) {
+	r.noRecentPredecessor.Store(noRecentPredecessor)
+	r.fleetKnown.Store(true)
 }
 
-// request earns for one request of a caller to a service.
-func (r *retries) request(service string) {
+// recordRequest earns for one recordRequest of a caller to a service.
+func (r *retryBudgets) recordRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).Request(r.d.now())
+	r.budgetFor(service).Request(r.d.now())
 }
 
-// pay takes one repeat off the service's budget.
-func (r *retries) pay(service string) (budget.Repeat, bool) {
+// acquire takes one repeat off the service's budget.
+func (r *retryBudgets) acquire(service string) (budget.Repeat, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.budget(service)
-	b.SetFixed(r.fixed())
+	b := r.budgetFor(service)
+	b.SetFixed(r.fixedRetries())
 	p, ok := b.Pay(r.d.now())
 	if !ok {
 		r.d.count("repeats_refused." + service)
@@ -55,122 +55,122 @@
 }
 
 // renew says whether a repeat that was paid may leave now.
-func (r *retries) renew(service string, p budget.Repeat) (budget.Repeat, bool) {
+func (r *retryBudgets) renew(service string, p budget.Repeat) (budget.Repeat, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(service).Renew(r.d.now(), p)
+	return r.budgetFor(service).Renew(r.d.now(), p)
 }
 
-// sent notes that a repeat left for an endpoint.
-func (r *retries) sent(service string, p budget.Repeat) {
+// recordSent notes that a repeat left for an endpoint.
+func (r *retryBudgets) recordSent(service string, p budget.Repeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).Sent(r.d.now(), p)
+	r.budgetFor(service).Sent(r.d.now(), p)
 	r.d.count("repeats_sent." + service)
 }
 
-// giveBack gives back a repeat that did not leave.
-func (r *retries) giveBack(service string, p budget.Repeat) {
+// release gives back a repeat that did not leave.
+func (r *retryBudgets) release(service string, p budget.Repeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).GiveBack(r.d.now(), p)
+	r.budgetFor(service).GiveBack(r.d.now(), p)
 }
 
-// fixed is how many repeats of the fixed number this process may send in a window. One that follows
+// fixedRetries is how many repeats of the fixedRetries number this process may send in a window. One that follows
 // another soon has none until it has lived for a window: processes in series would send some each.
-func (r *retries) fixed() int {
-	if !r.listed.Load() || !r.apart.Load() && r.d.now() < r.d.set.RetryWindow {
+func (r *retryBudgets) fixedRetries() int {
+	if !r.fleetKnown.Load() || !r.noRecentPredecessor.Load() && r.d.now() < r.d.settings.RetryWindow {
 		return 0
 	}
-	return budget.Fixed(r.d.set.Bounds.RetrySlack, r.d.peers.fleetSize())
+	return budget.Fixed(r.d.settings.Bounds.RetrySlack, r.d.peers.fleetSize())
 }
 
-func (r *retries) budget(service string) *budget.Budget {
+func (r *retryBudgets) budgetFor(service string) *budget.Budget {
 	b := r.budgets[service]
 	if b == nil {
-		b = budget.New(r.d.set.Bounds.RetryRatio, r.d.set.RetryWindow)
+		b = budget.New(r.d.settings.Bounds.RetryRatio, r.d.settings.RetryWindow)
 		r.budgets[service] = b
 	}
 	return b
 }
 
-// repeats are what one request paid for: at most the next time that it is sent.
-type repeats struct {
-	retries *retries
+// retryPermit are what one request paid for: at most the next time that it is sent.
+type retryPermit struct {
+	budgets *retryBudgets
 	service string
-	paid    bool
-	repeat  budget.Repeat
+	held    bool
+	permit  budget.Repeat
 }
 
-// pay pays for the next time, unless that is done.
-func (r *repeats) pay() bool {
-	if !r.paid {
-		r.repeat, r.paid = r.retries.pay(r.service)
+// acquire pays for the next time, unless that is done.
+func (r *retryPermit) acquire() bool {
+	if !r.held {
+		r.permit, r.held = r.budgets.acquire(r.service)
 	}
-	return r.paid
+	return r.held
 }
 
-// take takes over what was paid elsewhere.
-func (r *repeats) take(p budget.Repeat) {
-	if r.paid {
-		r.retries.giveBack(r.service, p)
+// adopt takes over what was paid elsewhere.
+func (r *retryPermit) adopt(p budget.Repeat) {
+	if r.held {
+		r.budgets.release(r.service, p)
 		return
 	}
-	r.repeat, r.paid = p, true
+	r.permit, r.held = p, true
 }
 
-// mayLeave says whether the next time is paid, as of now.
-func (r *repeats) mayLeave() bool {
-	if r.paid {
-		r.repeat, r.paid = r.retries.renew(r.service, r.repeat)
+// renew says whether the next time is paid, as of now.
+func (r *retryPermit) renew() bool {
+	if r.held {
+		r.permit, r.held = r.budgets.renew(r.service, r.permit)
 	}
-	return r.paid
+	return r.held
 }
 
-// sent says that the request was sent once more.
-func (r *repeats) sent() {
-	r.paid = false
-	r.retries.sent(r.service, r.repeat)
+// recordSent says that the request was recordSent once more.
+func (r *retryPermit) recordSent() {
+	r.held = false
+	r.budgets.recordSent(r.service, r.permit)
 }
 
-// over gives back what was paid and not used.
-func (r *repeats) over() {
-	if r.paid {
-		r.paid = false
-		r.retries.giveBack(r.service, r.repeat)
+// release gives back what was paid and not used.
+func (r *retryPermit) release() {
+	if r.held {
+		r.held = false
+		r.budgets.release(r.service, r.permit)
 	}
 }
 
-// retriesToldEvery is how often the budgets are logged, those of which repeats were asked.
-const retriesToldEvery = 5 * time.Second
+// budgetLogInterval is how often the budgets are logged, those of which repeats were asked.
+const budgetLogInterval = 5 * time.Second
 
-// keep logs the budgets now and then, so that the sum over all VMs can be had afterwards.
-func (r *retries) keep(ctx context.Context) error {
-	t := time.NewTicker(retriesToldEvery)
+// logPeriodically logs the budgets now and then, so that the sum over all VMs can be had afterwards.
+func (r *retryBudgets) logPeriodically(ctx context.Context) error {
+	t := time.NewTicker(budgetLogInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			r.tell()
+			r.logChanges()
 			return nil
 		case <-t.C:
-			r.tell()
+			r.logChanges()
 		}
 	}
 }
 
-// tell logs the budgets that changed by more than what they earned.
-func (r *retries) tell() {
+// logChanges logs the budgets that changed by more than what they earned.
+func (r *retryBudgets) logChanges() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, b := range r.budgets {
-		c, last := b.Counts(), r.told[service]
+		c, last := b.Counts(), r.lastLogged[service]
 		earned := last
 		earned.Requests = c.Requests
 		if c == earned {
 			continue
 		}
-		r.told[service] = c
+		r.lastLogged[service] = c
 		r.d.log.Info().Str("service", service).Float64("held", b.Held(r.d.now())).Int("requests", c.Requests).Int("paid", c.Paid).
 			Int("refused", c.Refused).Int("sent", c.Sent).Int("given_back", c.GivenBack).Int("expired", c.Expired).Msg("retry_budget")
 	}
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -11,7 +11,7 @@
 //
 // What says nothing of it: endpoints that were full or gone, and requests cut off by the
 // crash of their endpoint, which comes to good versions too.
-func (v *visit) observe(a attempt) {
+func (v *visit) observe(a attemptResult) {
 	took := v.r.d.now() - v.began
 	switch a.outcome {
 	case dispatch.Answered:
@@ -27,7 +27,7 @@
 	case dispatch.Failed:
 		v.failed()
 	case dispatch.Broken, dispatch.Silent:
-		if a.cut {
+		if a.connectionLost {
 			time.AfterFunc(cutSettles, v.cutOff)
 			return
 		}
@@ -62,7 +62,7 @@
 
 // cutOff counts a request that was cut off a while ago, unless its endpoint has ended or leaves.
 func (v *visit) cutOff() {
-	if !v.r.d.sched.serving(v.ep) || v.r.d.suspects.hasEnded(v.ep) {
+	if !v.r.d.sched.isServing(v.ep) || v.r.d.suspects.hasEnded(v.ep) {
 		return
 	}
 	v.r.mu.Lock()
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -67,8 +67,8 @@
 // moment; what they told the one before is told again to the next, and counts once.
 func (p *peers) judges() map[string]string {
 	now := p.d.now()
-	own := p.d.set.Listen.Peers
-	judges := map[string]string{p.d.set.Vm.FailureDomain: own}
+	own := p.d.settings.Listen.Peers
+	judges := map[string]string{p.d.settings.Vm.FailureDomain: own}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, pe := range p.addrs {
@@ -122,8 +122,8 @@
 }
 
 func (r *rollouts) stepOne(m *movement, judges map[string]string, pause time.Duration) {
-	own := r.d.set.Listen.Peers
-	mine := judges[r.d.set.Vm.FailureDomain]
+	own := r.d.settings.Listen.Peers
+	mine := judges[r.d.settings.Vm.FailureDomain]
 	r.mu.Lock()
 	now := r.d.now()
 	if m.phase.Final() && now-m.finalSince > tellFinal {
@@ -182,7 +182,7 @@
 
 // ownReport is what this process saw. The lock is held.
 func (r *rollouts) ownReport(m *movement, now time.Duration) *schema.RolloutReport {
-	_, whole := m.share(now, r.d.set.Bounds.ExposureShare)
+	_, whole := m.share(now, r.d.settings.Bounds.ExposureShare)
 	report := reportOf(m.order, m.evidence)
 	report.Drained = m.known && whole && m.runningOld == 0 && m.listedNew > 0
 	return report
@@ -191,7 +191,7 @@
 // domainReport is what the failure domain saw. The lock is held.
 func (r *rollouts) domainReport(m *movement, now, pause time.Duration) *schema.RolloutReport {
 	sum := m.judge.vms.Sum()
-	m.judge.domains.Merge(r.d.set.Vm.FailureDomain, sum)
+	m.judge.domains.Merge(r.d.settings.Vm.FailureDomain, sum)
 	report := reportOf(m.order, sum)
 	report.Domain = true
 	report.Drained = r.domainDrained(m, now, pause)
@@ -202,7 +202,7 @@
 // domain that is heard. One that is not heard is dead, or cut off: it cannot be waited for,
 // and when the old endpoints stop it sees them gone. The lock is held.
 func (r *rollouts) domainDrained(m *movement, now, pause time.Duration) bool {
-	for _, address := range append(r.d.peers.heardIn(r.d.set.Vm.FailureDomain), r.d.set.Listen.Peers) {
+	for _, address := range append(r.d.peers.heardIn(r.d.settings.Vm.FailureDomain), r.d.settings.Listen.Peers) {
 		if !m.judge.drainedVMs.holds(now, pause, address) {
 			return false
 		}
@@ -220,7 +220,7 @@
 		return false
 	}
 	for domain := range judges {
-		if domain != r.d.set.Vm.FailureDomain && !m.judge.drainedDomains.holds(now, pause, domain) {
+		if domain != r.d.settings.Vm.FailureDomain && !m.judge.drainedDomains.holds(now, pause, domain) {
 			return false
 		}
 	}
@@ -289,9 +289,9 @@
 			continue
 		}
 		switch {
-		case report.Domain && n.FailureDomain != r.d.set.Vm.FailureDomain:
+		case report.Domain && n.FailureDomain != r.d.settings.Vm.FailureDomain:
 			m.judge.takeDomain(r.d.now(), n.FailureDomain, report)
-		case !report.Domain && n.FailureDomain == r.d.set.Vm.FailureDomain:
+		case !report.Domain && n.FailureDomain == r.d.settings.Vm.FailureDomain:
 			source := n.Address + " " + strconv.FormatUint(n.Incarnation, 10)
 			m.judge.takeVM(r.d.now(), source, n.Address, report)
 		}
--- a/entry/rollout_notes.go
+++ b/entry/rollout_notes.go
@@ -49,7 +49,7 @@
 // tellNews tells at once what changed: to the own failure domain and the judges of others, who
 // pass it on.
 func (r *rollouts) tellNews() {
-	r.tell(otherJudges(r.d.peers.judges(), r.d.set.Listen.Peers))
+	r.tell(otherJudges(r.d.peers.judges(), r.d.settings.Listen.Peers))
 }
 
 // sendReport sends what was seen to VMs that judge.
@@ -62,7 +62,7 @@
 // reach is how many VMs are served by the placers that are heard, this VM included, and how many are
 // known; 0 if the list is not whole.
 func (p *peers) reach() (heard, known int) {
-	now, members := p.d.now(), p.d.remoteJobs.members()
+	now, members := p.d.now(), p.d.remoteJobs.requesterAddresses()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.complete {
@@ -70,7 +70,7 @@
 	}
 	heard = 1 + len(members)
 	for _, pe := range p.addrs {
-		if pe.heardLately(now) && !pe.asks {
+		if pe.isAlive(now) && !pe.asks {
 			heard += 1 + pe.members
 		}
 	}
@@ -91,7 +91,7 @@
 func (p *peers) knownDomains() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	domains := map[string]bool{p.d.set.Vm.FailureDomain: true}
+	domains := map[string]bool{p.d.settings.Vm.FailureDomain: true}
 	for _, pe := range p.addrs {
 		domains[pe.domain] = true
 	}
@@ -105,7 +105,7 @@
 	defer p.mu.Unlock()
 	var list []string
 	for address, pe := range p.addrs {
-		if pe.domain == domain && pe.heardLately(now) {
+		if pe.domain == domain && pe.isAlive(now) {
 			list = append(list, address)
 		}
 	}
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -71,7 +71,7 @@
 // write brings the store's status of a service up to date, and this VM's knowledge. It reports
 // whether nothing is left to do.
 func (r *rollouts) write(ctx context.Context, service string) (done bool, err error) {
-	records, next, err := r.d.opts.Store.Newest(ctx, FeedVMs)
+	records, next, err := r.d.opts.Store.Snapshot(ctx, FeedVMs)
 	if err != nil {
 		return false, err
 	}
@@ -80,11 +80,11 @@
 	if !ok {
 		return true, nil
 	}
-	rec, err := r.d.codec.StatusRecord(status)
+	rec, err := r.d.codec.EncodeRolloutStatus(status)
 	if err != nil {
 		return false, err
 	}
-	if err := r.d.opts.Store.WriteAt(ctx, rec, next); err != nil {
+	if err := r.d.opts.Store.CompareAndWrite(ctx, rec, next); err != nil {
 		return false, err
 	}
 	r.d.log.Info().Str("service", status.Service).Str("version", status.Version).Stringer("phase", status.Phase).Msg("rollout_status_written")
@@ -114,7 +114,7 @@
 		status.Phase = rollout.Completed
 	}
 	for _, rec := range records {
-		if s, err := r.d.codec.RolloutStatus(rec); err == nil && s != nil && *s == status {
+		if s, err := r.d.codec.DecodeRolloutStatus(rec); err == nil && s != nil && *s == status {
 			return status, false
 		}
 	}
@@ -125,7 +125,7 @@
 func (r *rollouts) learn(records []Record) {
 	r.mu.Lock()
 	for _, rec := range records {
-		s, err := r.d.codec.RolloutStatus(rec)
+		s, err := r.d.codec.DecodeRolloutStatus(rec)
 		if err != nil {
 			r.d.log.Warn().Err(err).Msg("rollout_status_unreadable")
 			continue
@@ -168,7 +168,7 @@
 		return false
 	}
 	judges := r.d.peers.judges()
-	return judges[r.d.set.Vm.FailureDomain] == r.d.set.Listen.Peers && len(judges) < r.d.peers.knownDomains()
+	return judges[r.d.settings.Vm.FailureDomain] == r.d.settings.Listen.Peers && len(judges) < r.d.peers.knownDomains()
 }
 
 // adoptStatus takes over a verdict on an order that the store has. The lock is held.
@@ -183,6 +183,6 @@
 
 // isStatus says whether a record of FeedVMs says how far a move is.
 func (d *Daemon) isStatus(rec Record) bool {
-	s, err := d.codec.RolloutStatus(rec)
+	s, err := d.codec.DecodeRolloutStatus(rec)
 	return s != nil || err != nil
 }
--- a/entry/rollout_versions.go
+++ b/entry/rollout_versions.go
@@ -18,7 +18,7 @@
 	if m == nil {
 		return r.settled(now, service, list)
 	}
-	return m.usable(now, list, r.d.set.Bounds.ExposureShare)
+	return m.usable(now, list, r.d.settings.Bounds.ExposureShare)
 }
 
 // noteVersions notes since when versions are listed. Those that are there when a process
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -96,20 +96,20 @@
 func newRollouts(d *Daemon) *rollouts {
 	return &rollouts{
 		d: d, byService: make(map[string]*movement), versions: make(map[string]map[string]time.Duration), statuses: make(map[string]RolloutStatus),
-		held: d.set.Rollouts.Held, unrecorded: make(chan string, rolloutBuffer), news: make(chan struct{}, 1),
+		held: d.settings.Rollouts.Held, unrecorded: make(chan string, rolloutBuffer), news: make(chan struct{}, 1),
 	}
 }
 
 // takeRecords takes in what the operator's feed holds of orders.
 func (r *rollouts) takeRecords(records []Record) {
 	for _, rec := range records {
-		o, err := r.d.codec.Order(rec)
+		o, err := r.d.codec.DecodeOrder(rec)
 		if err != nil {
 			r.d.log.Error().Err(err).Msg("rollout_unreadable")
 			continue
 		}
 		if o != nil {
-			r.take(*o, rec.At, r.d.now(), nil)
+			r.take(*o, rec.Position, r.d.now(), nil)
 		}
 	}
 	r.begun()
@@ -142,7 +142,7 @@
 		before := m
 		m = &movement{order: o, at: at, since: since, evidence: make(rollout.Evidence), known: r.statusesRead}
 		if r.isNew(since) {
-			m.gate = rollout.NewGate(rollout.Grant(r.d.set.Bounds.ExposureSlack, r.d.peers.fleetSize()))
+			m.gate = rollout.NewGate(rollout.Grant(r.d.settings.Bounds.ExposureSlack, r.d.peers.fleetSize()))
 		}
 		if before != nil {
 			m.superseded = append(before.superseded, before.order.Version)
@@ -257,16 +257,16 @@
 // begin notes that a request is about to be sent to an endpoint, on which bytes leave only if ok.
 // What is decided and told meanwhile must not be passed by: the placer may know less. visit is
 // nil if the service does not move.
-func (r *rollouts) begin(c *caller, ep *members.Endpoint, trial bool) (v *visit, ok bool) {
+func (r *rollouts) begin(c *callerRequest, ep *members.Endpoint, trial bool) (v *visit, ok bool) {
 	if !r.moves(c.service) {
 		return nil, true
 	}
-	cold := r.d.sched.cold(ep)
+	cold := r.d.sched.isCold(ep)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[c.service]
 	now := r.d.now()
-	if !m.admits(now, ep, trial, r.d.set.Bounds.ExposureShare) {
+	if !m.admits(now, ep, trial, r.d.settings.Bounds.ExposureShare) {
 		return nil, false
 	}
 	if m.phase.Final() {
@@ -305,7 +305,7 @@
 
 // end notes how the request ended. sent says that it was sent, again that it had been sent to
 // another endpoint before.
-func (v *visit) end(a attempt, sent, again bool) {
+func (v *visit) end(a attemptResult, sent, again bool) {
 	if v == nil {
 		return
 	}
@@ -318,7 +318,7 @@
 		return
 	}
 	if !again {
-		share, _ := v.m.share(v.r.d.now(), v.r.d.set.Bounds.ExposureShare)
+		share, _ := v.m.share(v.r.d.now(), v.r.d.settings.Bounds.ExposureShare)
 		v.m.gate.Sent(share)
 	}
 	v.observe(a)
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -108,7 +108,7 @@
 // oneStatus is a codec for which each record says that a move to v2 was rolled back.
 type oneStatus struct{ Codec }
 
-func (oneStatus) RolloutStatus(Record) (*RolloutStatus, error) {
+func (oneStatus) DecodeRolloutStatus(Record) (*RolloutStatus, error) {
 	return &RolloutStatus{Service: "s", Version: "v2", Phase: rollout.RolledBack}, nil
 }
 
@@ -160,14 +160,14 @@
 func TestSilentFailureDomainIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	d := New(Options{Settings: testSettings(t, true), Log: logging.New(io.Discard)})
-	own := d.set.Vm.FailureDomain
+	own := d.settings.Vm.FailureDomain
 	r := d.rollouts
 	m := testMovement(rollout.Moving)
 	m.judge = newJudge(m.order)
 	const pause = time.Second
 	drained := func(now time.Duration, domains ...string) bool {
-		judges := map[string]string{own: d.set.Listen.Peers}
-		m.judge.drainedVMs[d.set.Listen.Peers] = now
+		judges := map[string]string{own: d.settings.Listen.Peers}
+		m.judge.drainedVMs[d.settings.Listen.Peers] = now
 		for _, domain := range domains {
 			judges[domain] = "10.0.0.1:1"
 			m.judge.drainedDomains[domain] = now
--- a/entry/scheduling.go
+++ b/entry/scheduling.go
@@ -13,45 +13,45 @@
 	"github.com/chivefield/chivefield/core/mechanism"
 )
 
-// scheduling lets the goroutines of requests use the scheduler, and brings each
+// sharedScheduler lets the goroutines of requests use the scheduler, and brings each
 // its decision.
-type scheduling struct {
+type sharedScheduler struct {
 	now func() time.Duration
 
-	mu      sync.Mutex
-	sched   *dispatch.Scheduler
-	members *members.Set
-	version uint64
+	mu            sync.Mutex
+	sched         *dispatch.Scheduler
+	members       *members.Set
+	syncedVersion uint64
 	// probe opens a connection to an endpoint and reports with probeEnded.
 	probe func(dispatch.Probe)
-	// countImpossible counts quantities that cannot be.
-	countImpossible func(n int)
-	// departed takes the incarnations that may not get requests any more.
-	departed func([]members.Departure)
-	// noteEjection logs an ejection or its end.
-	noteEjection func(dispatch.EjectionChange)
-	table        *routing.Table
-	// usable are those of a service's endpoints that may get requests.
-	usable func(now time.Duration, service string, list []*members.Endpoint) []*members.Endpoint
-	// remote takes decisions on requests of other VMs.
-	remote  func(dispatch.Decision) bool
-	waiters map[uint64]chan dispatch.Decision
-	// attempts end attempts whose endpoint has started anew.
-	attempts map[uint64]context.CancelFunc
+	// countInvalid counts quantities that cannot be.
+	countInvalid func(n int)
+	// onDepartures takes the incarnations that may not get requests any more.
+	onDepartures func([]members.Departure)
+	// logEjection logs an ejection or its end.
+	logEjection func(dispatch.EjectionChange)
+	table       *routing.Table
+	// filterUsable are those of a service's endpoints that may get requests.
+	filterUsable func(now time.Duration, service string, list []*members.Endpoint) []*members.Endpoint
+	// deliverRemote takes decisions on requests of other VMs.
+	deliverRemote func(dispatch.Decision) bool
+	waiters       map[uint64]chan dispatch.Decision
+	// cancels end cancels whose endpoint has started anew.
+	cancels map[uint64]context.CancelFunc
 }
 
-func newScheduling(vm, domain string, off mechanism.Off, now func() time.Duration) *scheduling {
-	s := &scheduling{now: now, sched: dispatch.New(vm, domain), members: members.New(), waiters: make(map[uint64]chan dispatch.Decision), attempts: make(map[uint64]context.CancelFunc)}
+func newSharedScheduler(vm, domain string, off mechanism.Off, now func() time.Duration) *sharedScheduler {
+	s := &sharedScheduler{now: now, sched: dispatch.New(vm, domain), members: members.New(), waiters: make(map[uint64]chan dispatch.Decision), cancels: make(map[uint64]context.CancelFunc)}
 	s.sched.SwitchOff(off)
 	return s
 }
 
-// tickEvery is how often waiting requests are looked at. Most are placed when a
+// tickInterval is how often waiting requests are looked at. Most are placed when a
 // run ends; ticks only find those whose time ran out.
-const tickEvery = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-func (s *scheduling) tick(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+func (s *sharedScheduler) run(ctx context.Context) error {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -69,10 +69,10 @@
 			impossible := s.sched.Impossible()
 			departures := s.members.Departures()
 			s.mu.Unlock()
-			s.departed(departures)
-			s.countImpossible(impossible)
+			s.onDepartures(departures)
+			s.countInvalid(impossible)
 			for _, c := range changes {
-				s.noteEjection(c)
+				s.logEjection(c)
 			}
 			for _, p := range probes {
 				go s.probe(p)
@@ -81,35 +81,35 @@
 	}
 }
 
-func (s *scheduling) probeEnded(id string, ok bool) {
+func (s *sharedScheduler) recordProbe(id string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.ProbeEnded(s.now(), id, ok)
 }
 
-func (s *scheduling) deliver(decisions []dispatch.Decision) {
+func (s *sharedScheduler) deliver(decisions []dispatch.Decision) {
 	for _, d := range decisions {
 		if c := s.waiters[d.Handle]; c != nil {
 			delete(s.waiters, d.Handle)
 			c <- d
 			continue
 		}
-		if !s.remote(d) && d.Endpoint != nil {
+		if !s.deliverRemote(d) && d.Endpoint != nil {
 			// Its VM gave it up meanwhile.
 			s.deliver(s.sched.End(s.now(), d.Handle, dispatch.Left))
 		}
 	}
 }
 
-// submit queues a request of another VM.
-func (s *scheduling) submit(j dispatch.Job) {
+// submitRemote queues a request of another VM.
+func (s *sharedScheduler) submitRemote(j dispatch.Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deliver(s.sched.Submit(s.now(), j))
 }
 
-// withdraw ends a request of another VM, whether it waits or runs.
-func (s *scheduling) withdraw(service string, handle uint64, o dispatch.Outcome) {
+// withdrawRemote ends a request of another VM, whether it waits or runs.
+func (s *sharedScheduler) withdrawRemote(service string, handle uint64, o dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.Withdraw(s.now(), service, handle)
@@ -118,53 +118,53 @@
 
 // adopt notes that another VM placed a request; nil and why if its endpoint may not be
 // used.
-func (s *scheduling) adopt(j dispatch.Job, name uint64, first time.Duration, ahead int) (*dispatch.Decision, dispatch.Unusable) {
+func (s *sharedScheduler) adopt(j dispatch.Job, name uint64, first time.Duration, ahead int) (*dispatch.Decision, dispatch.Unusable) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.Adopt(s.now(), j, name, first, ahead)
 }
 
-// own makes an adopted request this VM's.
-func (s *scheduling) own(handle uint64) {
+// takeOwnership makes an adopted request this VM's.
+func (s *sharedScheduler) takeOwnership(handle uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.Own(handle)
 }
 
-// barred are the endpoints of a service that cannot be reached from here, or want nothing from this VM.
-func (s *scheduling) barred(service string) []uint64 {
+// unavailable are the endpoints of a service that cannot be reached from here, or want nothing from this VM.
+func (s *sharedScheduler) unavailable(service string) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.Barred(s.now(), service)
 }
 
-// restWait is how long all endpoints of a service that were not tried want nothing from this VM.
-func (s *scheduling) restWait(service string, tried []uint64) time.Duration {
+// backoffWait is how long all endpoints of a service that were not tried want nothing from this VM.
+func (s *sharedScheduler) backoffWait(service string, tried []uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.RestWait(s.now(), service, tried)
 }
 
-// setRest sets when an endpoint wants requests of this VM again, and of others that it asked for rest.
-func (s *scheduling) setRest(endpoint uint64, own, others time.Duration) {
+// setBackoff sets when an endpoint wants requests of this VM again, and of others that it asked for rest.
+func (s *sharedScheduler) setBackoff(endpoint uint64, own, others time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.SetRest(endpoint, own, others)
 }
 
-// follow uses the endpoints that the VM chooses which places this one's requests; asks
+// setPlacer uses the endpoints that the VM chooses which places this one's requests; asks
 // says that it is another.
-func (s *scheduling) follow(vm string, asks bool) {
+func (s *sharedScheduler) setPlacer(vm string, remote bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.Follow(vm, asks)
-	s.version = 0
+	s.sched.Follow(vm, remote)
+	s.syncedVersion = 0
 	s.syncEndpoints()
 }
 
 // place asks for an endpoint and waits for the decision; ok is false if ctx
 // ended first.
-func (s *scheduling) place(ctx context.Context, j dispatch.Job) (dispatch.Decision, bool) {
+func (s *sharedScheduler) place(ctx context.Context, j dispatch.Job) (dispatch.Decision, bool) {
 	c := make(chan dispatch.Decision, 1)
 	s.mu.Lock()
 	s.waiters[j.Handle] = c
@@ -187,73 +187,73 @@
 	return dispatch.Decision{}, false
 }
 
-func (s *scheduling) events(handle uint64, n int) {
+func (s *sharedScheduler) recordEvents(handle uint64, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.Events(s.now(), handle, n)
 }
 
-// otherFit says whether another endpoint could serve a request.
-func (s *scheduling) otherFit(service string, tried []uint64) bool {
+// hasAlternative says whether another endpoint could serve a request.
+func (s *sharedScheduler) hasAlternative(service string, tried []uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.OtherFit(s.now(), service, tried)
 }
 
-func (s *scheduling) end(handle uint64, o dispatch.Outcome) {
+func (s *sharedScheduler) endRun(handle uint64, o dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.attempts, handle)
+	delete(s.cancels, handle)
 	s.deliver(s.sched.End(s.now(), handle, o))
 }
 
-// onRestart ends an attempt when its endpoint has started anew.
-func (s *scheduling) onRestart(handle uint64, cancel context.CancelFunc) {
+// cancelOnRestart ends an attempt when its endpoint has started anew.
+func (s *sharedScheduler) cancelOnRestart(handle uint64, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.attempts[handle] = cancel
+	s.cancels[handle] = cancel
 }
 
 // setTable tells which services are model engines.
-func (s *scheduling) setTable(t *routing.Table) {
+func (s *sharedScheduler) setTable(t *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table = t
-	s.version = 0
+	s.syncedVersion = 0
 	s.syncEndpoints()
 }
 
-// update changes the known endpoints.
-func (s *scheduling) update(change func(now time.Duration, m *members.Set)) {
+// updateMembers changes the known endpoints.
+func (s *sharedScheduler) updateMembers(change func(now time.Duration, m *members.Set)) {
 	s.mu.Lock()
 	change(s.now(), s.members)
 	s.syncEndpoints()
 	departures := s.members.Departures()
 	s.mu.Unlock()
-	s.departed(departures)
+	s.onDepartures(departures)
 }
 
-// serving says whether the registry lists an incarnation that does not leave.
-func (s *scheduling) serving(e *members.Endpoint) bool {
+// isServing says whether the registry lists an incarnation that does not leave.
+func (s *sharedScheduler) isServing(e *members.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Serving(e)
 }
 
-// controls are endpoints to which connections should open while they do not to another.
-func (s *scheduling) controls(e *members.Endpoint) []dispatch.Probe {
+// controlProbes are endpoints to which connections should open while they do not to another.
+func (s *sharedScheduler) controlProbes(e *members.Endpoint) []dispatch.Probe {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.Controls(s.now(), e.Key(), e.FailureDomain)
 }
 
-// leave ends the use of an endpoint that has said that it leaves.
-func (s *scheduling) leave(endpoint uint64) {
-	s.update(func(_ time.Duration, m *members.Set) { m.Leave(endpoint) })
+// markLeaving ends the use of an endpoint that has said that it leaves.
+func (s *sharedScheduler) markLeaving(endpoint uint64) {
+	s.updateMembers(func(_ time.Duration, m *members.Set) { m.Leave(endpoint) })
 }
 
-// forget drops what an endpoint said of itself that is gone.
-func (s *scheduling) forget(endpoint uint64) {
+// clearNotice drops what an endpoint said of itself that is gone.
+func (s *sharedScheduler) clearNotice(endpoint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.LiftLimit(endpoint)
@@ -261,8 +261,8 @@
 	s.members.ForgetLeft(endpoint)
 }
 
-// setLimit sets how many requests a second an endpoint takes, or that it takes any.
-func (s *scheduling) setLimit(endpoint uint64, n notice.Notice) {
+// setRateLimit sets how many requests a second an endpoint takes, or that it takes any.
+func (s *sharedScheduler) setRateLimit(endpoint uint64, n notice.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !n.HasLimit {
@@ -272,57 +272,57 @@
 	s.sched.SetLimit(s.now(), endpoint, n.Limit)
 }
 
-// setReach says how many VMs the placers that are heard serve, of those known.
-func (s *scheduling) setReach(heard, known int) {
+// setCoverage says how many VMs the placers that are heard serve, of those known.
+func (s *sharedScheduler) setCoverage(served, known int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.SetReach(s.now(), heard, known)
+	s.sched.SetReach(s.now(), served, known)
 }
 
-// lists says whether the registry lists an incarnation, by its short name.
-func (s *scheduling) lists(endpoint uint64) bool {
+// isListed says whether the registry isListed an incarnation, by its short name.
+func (s *sharedScheduler) isListed(endpoint uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Lists(endpoint)
 }
 
-// doubt says that nothing listens at an endpoint's address.
-func (s *scheduling) doubt(key string) {
+// reportUnreachable says that nothing listens at an endpoint's address.
+func (s *sharedScheduler) reportUnreachable(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.Doubt(s.now(), key)
 }
 
 // resync takes over a change of what endpoints may be used for.
-func (s *scheduling) resync() {
+func (s *sharedScheduler) resync() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.version = 0
+	s.syncedVersion = 0
 	s.syncEndpoints()
 }
 
-// cold says whether an endpoint is still slow after its start.
-func (s *scheduling) cold(e *members.Endpoint) bool {
+// isCold says whether an endpoint is still slow after its start.
+func (s *sharedScheduler) isCold(e *members.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Cold(s.now(), e)
 }
 
 // syncEndpoints gives the scheduler the usable endpoints if they changed.
-func (s *scheduling) syncEndpoints() {
-	if s.table == nil || s.version == s.members.Version() && s.version != 0 {
+func (s *sharedScheduler) syncEndpoints() {
+	if s.table == nil || s.syncedVersion == s.members.Version() && s.syncedVersion != 0 {
 		return
 	}
-	s.version = s.members.Version()
+	s.syncedVersion = s.members.Version()
 	for _, sv := range s.table.Document.Services {
 		if sv.Engine != nil {
 			s.sched.SetEventTokens(sv.Name, sv.Engine.TokensPerEvent)
 		}
-		usable := s.usable(s.now(), sv.Name, s.members.Usable(sv.Name))
+		usable := s.filterUsable(s.now(), sv.Name, s.members.Usable(sv.Name))
 		s.deliver(s.sched.SetEndpoints(s.now(), sv.Name, usable, sv.Engine != nil))
 	}
 	for _, h := range s.sched.Restarted() {
-		if cancel := s.attempts[h]; cancel != nil {
+		if cancel := s.cancels[h]; cancel != nil {
 			cancel()
 		}
 	}
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -13,82 +13,82 @@
 )
 
 const (
-	// stallFirst is how long a request that may be repeated waits at least for a
+	// firstEventTimeout is how long a request that may be repeated waits at least for a
 	// first sign of an endpoint before it goes on to another, and stallFactor how
 	// many times the expected time. An endpoint that went dark behind an open
 	// connection never answers; its callers leave after two seconds.
-	stallFirst  = time.Second
-	stallFactor = 4
-	// stallNext is the same between two events of a stream.
-	stallNext = time.Second
+	firstEventTimeout       = time.Second
+	firstEventTimeoutFactor = 4
+	// nextEventTimeout is the same between two events of a stream.
+	nextEventTimeout = time.Second
 )
 
-// stall ends an attempt at an endpoint that has gone silent, if the request may
+// stallWatchdog ends an attempt at an endpoint that has gone silent, if the request may
 // go on elsewhere.
-type stall struct {
-	mu     sync.Mutex
-	timer  *time.Timer
-	silent bool
-	// ended says that the attempt is over, repeat is what was paid as it fell silent.
-	ended  bool
-	repeat budget.Repeat
+type stallWatchdog struct {
+	mu       sync.Mutex
+	timer    *time.Timer
+	timedOut bool
+	// stopped says that the attempt is over, repeat is what was paid as it fell silent.
+	stopped bool
+	permit  budget.Repeat
 }
 
-// watch starts to watch an attempt.
-func (c *caller) watch(dec dispatch.Decision, cancel context.CancelFunc) *stall {
-	s := &stall{}
+// startWatchdog starts to startWatchdog an attempt.
+func (c *callerRequest) startWatchdog(dec dispatch.Decision, cancel context.CancelFunc) *stallWatchdog {
+	w := &stallWatchdog{}
 	// This attempt counts too.
-	if c.d.set.Off.Has(mechanism.StallRetry) || !c.route.Repeatable() || c.sent+1 >= c.route.MaxEndpoints {
-		return s
+	if c.d.settings.Off.Has(mechanism.StallRetry) || !c.route.Repeatable() || c.sendCount+1 >= c.route.MaxEndpoints {
+		return w
 	}
 	tried := append(slices.Clone(c.tried), dispatch.NameOf(dec.Endpoint.Key()))
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(max(stallFirst, stallFactor*dec.Predicted), func() {
-		if time.Until(c.limit) < shortWait || !c.d.sched.otherFit(c.service, tried) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(max(firstEventTimeout, firstEventTimeoutFactor*dec.Predicted), func() {
+		if time.Until(c.deadline) < shortRetryAfter || !c.d.sched.hasAlternative(c.service, tried) {
 			return
 		}
-		repeat, ok := c.d.retries.pay(c.service)
+		permit, ok := c.d.retryBudgets.acquire(c.service)
 		if !ok {
 			return
 		}
-		if !s.fallSilent(repeat) {
-			c.d.retries.giveBack(c.service, repeat)
+		if !w.markTimedOut(permit) {
+			c.d.retryBudgets.release(c.service, permit)
 			return
 		}
 		cancel()
 	})
-	return s
+	return w
 }
 
-// fallSilent notes that the endpoint fell silent and that a repeat was paid, unless the attempt is
+// markTimedOut notes that the endpoint fell silent and that a repeat was paid, unless the attempt is
 // over.
-func (s *stall) fallSilent(repeat budget.Repeat) bool {
+func (s *stallWatchdog) markTimedOut(permit budget.Repeat) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.stopped {
 		return false
 	}
-	s.silent, s.repeat = true, repeat
+	s.timedOut, s.permit = true, permit
 	return true
 }
 
-// sign notes a sign of life.
-func (s *stall) sign() {
+// recordEvent notes a recordEvent of life.
+func (s *stallWatchdog) recordEvent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.timer != nil && !s.silent {
-		s.timer.Reset(stallNext)
+	if s.timer != nil && !s.timedOut {
+		s.timer.Reset(nextEventTimeout)
 	}
 }
 
-// over ends the watch, and says whether the attempt was ended for silence.
-func (s *stall) over() bool {
+// stop ends the watch, and says whether the attempt was ended for silence.
+func (s *stallWatchdog) stop() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.stopped = true
 	if s.timer != nil {
 		s.timer.Stop()
 	}
-	return s.silent
+	return s.timedOut
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -11,118 +11,118 @@
 	"github.com/chivefield/chivefield/upstream"
 )
 
-// stream passes events of one request on, over one or more endpoints.
-type stream struct {
-	c *caller
-	// begun says that the caller has the head of the answer.
-	begun bool
-	// lastID is the last whole event that the caller has.
-	lastID string
-	events int
-	split  sse.Splitter
-	// first and last are when the first and the last events came, pause is the
+// eventStream passes events of one request on, over one or more endpoints.
+type eventStream struct {
+	c *callerRequest
+	// headersSent says that the caller has the head of the answer.
+	headersSent bool
+	// lastEventID is the last whole event that the caller has.
+	lastEventID string
+	events      int
+	splitter    sse.Splitter
+	// firstAt and lastAt are when the firstAt and the lastAt events came, pause is the
 	// longest time between two.
-	first, last time.Time
-	pause       time.Duration
+	firstAt, lastAt time.Time
+	longestPause    time.Duration
 }
 
-// note takes down when events came.
-func (s *stream) note() {
+// recordEvent takes down when events came.
+func (s *eventStream) recordEvent() {
 	now := time.Now()
 	if s.events == 0 {
-		s.first = now
+		s.firstAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.last))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastAt))
 	}
-	s.last = now
+	s.lastAt = now
 	s.events++
 }
 
-// readSize is the buffer for events, in bytes.
-const readSize = 4 << 10
+// readBufferSize is the buffer for events, in bytes.
+const readBufferSize = 4 << 10
 
-// pass passes the events of one endpoint's answer on.
-func (s *stream) pass(ctx context.Context, handle uint64, ans *upstream.Answer, watch *stall) attempt {
-	s.split.Reset()
-	buf := make([]byte, readSize)
+// forward passes the events of one endpoint's answer on.
+func (s *eventStream) forward(ctx context.Context, handle uint64, resp *upstream.Answer, watchdog *stallWatchdog) attemptResult {
+	s.splitter.Reset()
+	buf := make([]byte, readBufferSize)
 	for {
-		n, err := ans.Read(buf)
+		n, err := resp.Read(buf)
 		if n > 0 {
-			whole, werr := s.split.Write(buf[:n])
+			events, werr := s.splitter.Write(buf[:n])
 			if werr != nil {
-				return attempt{outcome: dispatch.Broken, err: werr}
+				return attemptResult{outcome: dispatch.Broken, err: werr}
 			}
-			if len(whole) > 0 {
-				watch.sign()
-				s.c.visit.event()
-				s.c.d.placing.events(handle, s.split.Count)
-				if werr := s.send(ans.Response, whole); werr != nil {
-					return attempt{outcome: dispatch.Left, err: werr, delivered: true}
+			if len(events) > 0 {
+				watchdog.recordEvent()
+				s.c.tracked.event()
+				s.c.d.placing.recordEvents(handle, s.splitter.Count)
+				if werr := s.writeEvents(resp.Response, events); werr != nil {
+					return attemptResult{outcome: dispatch.Left, err: werr, delivered: true}
 				}
 			}
 		}
 		if err == io.EOF {
-			s.c.d.suspects.succeeded(s.c.digest, ans)
-			return s.finish(ans.Response)
+			s.c.d.suspects.succeeded(s.c.digest, resp)
+			return s.finish(resp.Response)
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				return attempt{outcome: dispatch.Left, err: err}
+				return attemptResult{outcome: dispatch.Left, err: err}
 			}
-			return attempt{outcome: dispatch.Broken, cut: brokeOff(err), err: err}
+			return attemptResult{outcome: dispatch.Broken, connectionLost: brokeOff(err), err: err}
 		}
 	}
 }
 
 // finish ends the stream as complete.
-func (s *stream) finish(resp *http.Response) attempt {
-	if torn := s.split.Torn(); len(torn) > 0 {
-		if err := s.send(resp, torn); err != nil {
-			return attempt{outcome: dispatch.Left, err: err, delivered: true}
+func (s *eventStream) finish(resp *http.Response) attemptResult {
+	if torn := s.splitter.Torn(); len(torn) > 0 {
+		if err := s.writeEvents(resp, torn); err != nil {
+			return attemptResult{outcome: dispatch.Left, err: err, delivered: true}
 		}
 	}
-	if !s.begun {
-		s.begin(resp)
+	if !s.headersSent {
+		s.writeHeaders(resp)
 	}
 	s.c.logStream(resp.StatusCode, s)
-	return attempt{outcome: dispatch.Answered, delivered: true}
+	return attemptResult{outcome: dispatch.Answered, delivered: true}
 }
 
-func (s *stream) begin(resp *http.Response) {
-	s.begun = true
+func (s *eventStream) writeHeaders(resp *http.Response) {
+	s.headersSent = true
 	copyHeaders(s.c.w.Header(), resp.Header)
 	s.c.w.WriteHeader(resp.StatusCode)
 	s.c.d.observe("first_event", time.Since(s.c.arrived))
 }
 
-// send passes whole events on at once.
-func (s *stream) send(resp *http.Response, events []byte) error {
-	if !s.begun {
-		s.begin(resp)
+// writeEvents passes whole events on at once.
+func (s *eventStream) writeEvents(resp *http.Response, events []byte) error {
+	if !s.headersSent {
+		s.writeHeaders(resp)
 	}
-	s.note()
+	s.recordEvent()
 	if _, err := s.c.w.Write(events); err != nil {
 		return err
 	}
-	if s.split.LastID != "" {
-		s.lastID = s.split.LastID
+	if s.splitter.LastID != "" {
+		s.lastEventID = s.splitter.LastID
 	}
 	return http.NewResponseController(s.c.w).Flush()
 }
 
 // logStream says how a whole stream went, and whether it kept its objective.
-func (c *caller) logStream(status int, s *stream) {
-	first := s.first.Sub(c.arrived)
+func (c *callerRequest) logStream(status int, s *eventStream) {
+	first := s.firstAt.Sub(c.arrived)
 	lateBy := ""
 	switch {
 	case first > c.route.Objective:
 		lateBy = "first_event"
-	case s.pause > c.route.MaxPause:
+	case s.longestPause > c.route.MaxPause:
 		lateBy = "pause"
 	}
 	c.d.count("streams")
 	c.d.observe("stream", time.Since(c.arrived))
-	c.d.log.Info().Str("request", c.call.ID).Int("status", status).Int("events", s.events).Dur("took", time.Since(c.arrived)).
-		Dur("first_event", first).Dur("longest_pause", s.pause).Bool("late", lateBy != "").Str("late_by", lateBy).
-		Int("sent", c.sent).Msg("streamed")
+	c.d.log.Info().Str("request", c.reqHeaders.ID).Int("status", status).Int("events", s.events).Dur("took", time.Since(c.arrived)).
+		Dur("first_event", first).Dur("longest_pause", s.longestPause).Bool("late", lateBy != "").Str("late_by", lateBy).
+		Int("sent", c.sendCount).Msg("streamed")
 }
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -178,7 +178,7 @@
 // the conviction, if all VMs are killed while the store is away. The lock is held.
 func (s *suspects) keepConvicted() {
 	convicted := s.ledger.Convicted()
-	if len(convicted) == 0 || !s.d.peers.reads() {
+	if len(convicted) == 0 || !s.d.peers.isStoreReader() {
 		return
 	}
 	for _, d := range convicted {
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -45,7 +45,7 @@
 	// waiting are the requests here that no endpoint has answered yet. When one is
 	// convicted the others of its digest are stopped: in an endpoint's queue they have not
 	// run yet, and closing their connections may spare it.
-	waiting map[suspect.Digest]map[*caller]context.CancelFunc
+	waiting map[suspect.Digest]map[*callerRequest]context.CancelFunc
 	// probing are the incarnations to which a connection is being opened, ended those
 	// that have ended, with the time.
 	probing map[uint64]bool
@@ -66,10 +66,10 @@
 
 func newSuspects(d *Daemon) *suspects {
 	s := &suspects{
-		d: d, ledger: suspect.New(), waiting: make(map[suspect.Digest]map[*caller]context.CancelFunc),
+		d: d, ledger: suspect.New(), waiting: make(map[suspect.Digest]map[*callerRequest]context.CancelFunc),
 		kept: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), unkept: make(chan suspect.Digest, unkeptBuffer), fresh: make(chan struct{}, 1),
 	}
-	s.ledger.Release(d.set.Released)
+	s.ledger.Release(d.settings.Released)
 	return s
 }
 
@@ -99,28 +99,28 @@
 
 // admit says whether a request may run. It is stopped by stop if that changes before an
 // endpoint answers it; over must follow.
-func (s *suspects) admit(c *caller, stop context.CancelFunc) bool {
+func (s *suspects) admit(c *callerRequest, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ledger.Look(c.digest).Convicted() {
 		return false
 	}
 	if s.waiting[c.digest] == nil {
-		s.waiting[c.digest] = make(map[*caller]context.CancelFunc)
+		s.waiting[c.digest] = make(map[*callerRequest]context.CancelFunc)
 	}
 	s.waiting[c.digest][c] = stop
 	return true
 }
 
 // over says that a request need not be stopped any more.
-func (s *suspects) over(c *caller) {
+func (s *suspects) over(c *callerRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forget(c)
 }
 
 // forget takes a request out of those that wait. The lock is held.
-func (s *suspects) forget(c *caller) {
+func (s *suspects) forget(c *callerRequest) {
 	delete(s.waiting[c.digest], c)
 	if len(s.waiting[c.digest]) == 0 {
 		delete(s.waiting, c.digest)
@@ -128,13 +128,13 @@
 }
 
 // answering says that an endpoint began to answer a request that was sent at a time.
-func (s *suspects) answering(c *caller, ep *members.Endpoint, sent time.Duration, reply Reply) {
+func (s *suspects) answering(c *callerRequest, ep *members.Endpoint, sent time.Duration, reply ResponseHeaders) {
 	if reply.Replaced {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !reply.NotRun {
+	if !reply.NotExecuted {
 		s.forget(c)
 	}
 	s.ledger.Answered(s.d.now(), sent, dispatch.NameOf(ep.Key()))
@@ -165,9 +165,9 @@
 
 // tried takes in how a try at an endpoint ended that was sent at a time. generation is what was
 // known then.
-func (s *suspects) tried(c *caller, ep *members.Endpoint, sent time.Duration, generation int, a attempt) {
+func (s *suspects) tried(c *callerRequest, ep *members.Endpoint, sent time.Duration, generation int, a attemptResult) {
 	switch {
-	case a.cut:
+	case a.connectionLost:
 		s.cut(c.digest, ep, sent, generation)
 	case a.outcome == dispatch.Replaced:
 		s.end(ep.Key(), howReplaced)
@@ -178,7 +178,7 @@
 
 // cut notes that a request was cut off at an endpoint, and finds out whether that ended.
 func (s *suspects) cut(d suspect.Digest, ep *members.Endpoint, sent time.Duration, generation int) {
-	if !s.d.sched.serving(ep) {
+	if !s.d.sched.isServing(ep) {
 		// It leaves, or left, as it was told to.
 		return
 	}
@@ -213,14 +213,14 @@
 // stream that goes on elsewhere would have several ends. So connections must open to
 // others of its failure domain; else the registry's word is awaited.
 func (s *suspects) probe(ep *members.Endpoint) {
-	err := s.d.openTo(dispatch.Probe{Key: ep.Key(), Address: ep.Address})
+	err := s.d.openConnection(dispatch.Probe{Key: ep.Key(), Address: ep.Address})
 	ended := false
 	if refusedConnection(err) {
-		s.d.sched.doubt(ep.Key())
-		controls := s.d.sched.controls(ep)
+		s.d.sched.reportUnreachable(ep.Key())
+		controls := s.d.sched.controlProbes(ep)
 		ended = len(controls) == 0
 		for _, c := range controls {
-			ended = ended || s.d.openTo(c) == nil
+			ended = ended || s.d.openConnection(c) == nil
 		}
 	}
 	s.mu.Lock()
@@ -338,7 +338,7 @@
 		return
 	}
 	for c, stop := range s.waiting[d] {
-		c.stopped.Store(true)
+		c.blocked.Store(true)
 		stop()
 	}
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -37,15 +37,19 @@
 func part(share float64, of time.Duration) time.Duration { return time.Duration(share * float64(of)) }
 
 // configWait is how long a read of the configuration waits for a change.
-func (d *Daemon) configWait() time.Duration { return max(leastWait, part(waitShare, d.set.InForce)) }
+func (d *Daemon) configWait() time.Duration {
+	return max(leastWait, part(waitShare, d.settings.InForce))
+}
 
 // relaySilence is how long a VM waits for what others read of the registry.
 func (d *Daemon) relaySilence() time.Duration {
-	return min(mostSilence, part(silenceShare, d.set.Drain))
+	return min(mostSilence, part(silenceShare, d.settings.Drain))
 }
 
 // endpointsEvery is how often the registry is read.
-func (d *Daemon) endpointsEvery() time.Duration { return min(mostEvery, part(everyShare, d.set.Drain)) }
+func (d *Daemon) endpointsEvery() time.Duration {
+	return min(mostEvery, part(everyShare, d.settings.Drain))
+}
 
 // retry is the pause before a call to the store is repeated. It doubles with each failure in
 // a row: a store that turns all away, or is down, otherwise gets a call from each VM three
@@ -65,7 +69,7 @@
 
 // mostRetry bounds the pause between two failed calls.
 func (d *Daemon) mostRetry() time.Duration {
-	if !d.knowsAll() {
+	if !d.hasInitialState() {
 		return startRetry
 	}
 	return d.relaySilence()
@@ -132,7 +136,7 @@
 
 func (c *cursor) readAll(ctx context.Context) (reading, error) {
 	c.known = false
-	records, next, err := c.store.Newest(ctx, c.feed)
+	records, next, err := c.store.Snapshot(ctx, c.feed)
 	if err != nil {
 		return reading{}, err
 	}
@@ -175,15 +179,15 @@
 	var again retry
 	asked := false
 	for ctx.Err() == nil {
-		if asked && !d.peers.reads() && d.peers.configFollowed() {
+		if asked && !d.peers.isStoreReader() && d.peers.configWatched() {
 			c.known = false
-			d.peers.setFollows(false)
+			d.peers.setFollowsConfig(false)
 			pause(ctx, followCheck)
 			continue
 		}
 		got, err := c.read(ctx, d.configWait())
 		d.noteStore(&dep, "config", err)
-		d.peers.setFollows(err == nil)
+		d.peers.setFollowsConfig(err == nil)
 		if err != nil {
 			pause(ctx, again.failed(d.mostRetry()))
 			continue
@@ -228,7 +232,7 @@
 
 // takeConfig puts a document in force if it is newer than the one in force.
 func (d *Daemon) takeConfig(r Record) {
-	doc, err := d.codec.Config(r)
+	doc, err := d.codec.DecodeConfig(r)
 	if err != nil {
 		d.log.Error().Err(err).Msg("config_unreadable")
 		return
@@ -236,8 +240,8 @@
 	if doc == nil {
 		return
 	}
-	d.takeMu.Lock()
-	defer d.takeMu.Unlock()
+	d.configMu.Lock()
+	defer d.configMu.Unlock()
 	if t := d.table.Load(); t != nil && doc.Version <= t.Document.Version {
 		return
 	}
@@ -245,9 +249,9 @@
 	d.configRecord.Store(&r)
 	d.shares.setTable(t)
 	d.sched.setTable(t)
-	d.idle.set(doc.Limits.IdleTimeout)
+	d.idleConns.setTimeout(doc.Limits.IdleTimeout)
 	d.table.Store(t)
-	d.noteInformed()
+	d.markInitialised()
 	d.log.Info().Uint64("version", doc.Version).Int("routes", len(doc.Routes)).
 		Int("organisations", len(doc.Organisations)).Msg("config_in_force")
 }
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -58,7 +58,7 @@
 	stop  context.CancelFunc
 }
 
-func (s *callLog) Newest(context.Context, Feed) ([]Record, Position, error) {
+func (s *callLog) Snapshot(context.Context, Feed) ([]Record, Position, error) {
 	s.calls = append(s.calls, "read")
 	if slices.Contains(s.calls, "write") {
 		s.stop()
@@ -129,7 +129,7 @@
 		set.Listen.Peers = fmt.Sprintf("10.0.0.%d:7600", i)
 		d := New(Options{Settings: set, Log: logging.New(io.Discard)})
 		d.peers.learnAll(entries)
-		if d.peers.reads() {
+		if d.peers.isStoreReader() {
 			readers++
 		}
 	}
@@ -139,7 +139,7 @@
 // noStatuses is a codec that finds no statuses of roll-outs among the records of VMs.
 type noStatuses struct{ Codec }
 
-func (noStatuses) RolloutStatus(Record) (*RolloutStatus, error) { return nil, nil }
+func (noStatuses) DecodeRolloutStatus(Record) (*RolloutStatus, error) { return nil, nil }
 
 // restartStore has the record that this VM's process before wrote, beside another's.
 type restartStore struct {
@@ -147,8 +147,8 @@
 	own string
 }
 
-func (s *restartStore) Newest(ctx context.Context, f Feed) ([]Record, Position, error) {
-	_, _, _ = s.callLog.Newest(ctx, f)
+func (s *restartStore) Snapshot(ctx context.Context, f Feed) ([]Record, Position, error) {
+	_, _, _ = s.callLog.Snapshot(ctx, f)
 	return []Record{{Key: "other", Value: []byte("10.0.0.9:1 a 1786786484342")}, {Key: "self", Value: []byte(s.own)}}, Position{}, nil
 }
 
@@ -212,25 +212,25 @@
 			changed = append(changed, i)
 		}
 	}
-	parts := partsOf(1000, Position{Offset: 1251}, records, changed)
+	parts := splitParts(1000, Position{Offset: 1251}, records, changed)
 	is.True(len(parts) > 1)
 	at, n := uint64(1000), 0
 	for _, p := range parts {
 		is.Equal(p.From, at)
 		is.True(p.Next > p.From)
 		is.True(proto.Size(&schema.PeerNote{Endpoints: p}) < maxDatagram)
-		packed, err := pack(p)
+		packed, err := packPart(p)
 		is.NoErr(err)
 		is.True(4*proto.Size(packed) < proto.Size(p))
 		is.Equal(len(packed.Records), 0)
-		is.NoErr(unpack(packed))
+		is.NoErr(unpackPart(packed))
 		is.True(proto.Equal(packed, p))
 		at, n = p.Next, n+len(p.Records)
 	}
 	is.Equal(at, uint64(1251))
 	is.Equal(n, len(changed))
-	is.Equal(len(partsOf(7, Position{Offset: 9}, nil, nil)), 1)
-	is.True(unpack(&schema.EndpointRelay{Packed: []byte("no such thing")}) != nil)
+	is.Equal(len(splitParts(7, Position{Offset: 9}, nil, nil)), 1)
+	is.True(unpackPart(&schema.EndpointRelay{Packed: []byte("no such thing")}) != nil)
 }
 
 // Symptom: 831 calls to the store on a calm day of 23 VMs, a fifth of what the day was worth,
@@ -263,8 +263,8 @@
 // is away, a VM makes few calls, and one soon after its return.
 func TestRetriesAgainstALostStoreThinOut(t *testing.T) {
 	is := is.New(t)
-	d := startedAgo(t, time.Minute)
-	d.set.Drain = 4 * time.Second
+	d := newDaemonWithUptime(t, time.Minute)
+	d.settings.Drain = 4 * time.Second
 	var r retry
 	calls, at := 0, time.Duration(0)
 	for at < 4500*time.Millisecond {
@@ -275,7 +275,7 @@
 	is.True(r.pause <= d.relaySilence())
 	r.succeeded()
 	is.Equal(r.failed(d.mostRetry()), retryEvery)
-	fresh := New(Options{Settings: d.set, Log: logging.New(io.Discard)})
+	fresh := New(Options{Settings: d.settings, Log: logging.New(io.Discard)})
 	for range 10 {
 		r.failed(fresh.mostRetry())
 	}
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -12,20 +12,20 @@
 	"github.com/chivefield/chivefield/core/routing"
 )
 
-// Call is what a caller says of its request.
-type Call struct {
+// RequestHeaders is what a caller says of its request.
+type RequestHeaders struct {
 	// ID is unique to this sending of the request.
 	ID string
 	// Key is the API key; empty if there is none.
 	Key string
-	// TimeLeft is how long the caller waits, if HasTimeLeft.
-	TimeLeft    time.Duration
-	HasTimeLeft bool
-	// Prompt and MaxOutput are tokens, if HasTokens.
-	Prompt, MaxOutput int
-	HasTokens         bool
-	// GuessedOutput is the caller's estimate of the output in tokens; 0 for none.
-	GuessedOutput int
+	// Timeout is how long the caller waits, if HasTimeLeft.
+	Timeout    time.Duration
+	HasTimeout bool
+	// PromptTokens and MaxOutputTokens are tokens, if HasTokens.
+	PromptTokens, MaxOutputTokens int
+	HasTokens                     bool
+	// EstimatedOutputTokens is the caller's estimate of the output in tokens; 0 for none.
+	EstimatedOutputTokens int
 	// Parts are the parts of the prompt in order.
 	Parts []PromptPart
 	// LastEventID is the last event that the caller has of a resumed stream.
@@ -38,32 +38,32 @@
 	Tokens int
 }
 
-// Outgoing is what the system tells an endpoint of a request.
-type Outgoing struct {
+// UpstreamHeaders is what the system tells an endpoint of a request.
+type UpstreamHeaders struct {
 	// Endpoint is the incarnation that is meant.
 	Endpoint     string
 	Organisation string
-	TimeLeft     time.Duration
+	Timeout      time.Duration
 	// LastEventID is set where a stream goes on after an event.
 	LastEventID string
 }
 
-// Reply is what an endpoint says of its answer.
-type Reply struct {
+// ResponseHeaders is what an endpoint says of its answer.
+type ResponseHeaders struct {
 	// ID is the request that the answer belongs to.
 	ID string
 	// Sealed answers bear the endpoint's mark of authenticity.
 	Sealed bool
-	// NotRun says that the request was not run and never will be.
-	NotRun bool
+	// NotExecuted says that the request was not run and never will be.
+	NotExecuted bool
 	// Replaced says that another incarnation than the one meant answers.
 	Replaced bool
 	// Encoded bodies are not the endpoint's own.
 	Encoded bool
 	// Notice is what the answering incarnation says of itself, Unreadable the headers of that which
 	// cannot be understood.
-	Notice     notice.Notice
-	Unreadable []HeaderError
+	Notice       notice.Notice
+	HeaderErrors []HeaderError
 }
 
 // HeaderError reports a header of an answer that cannot be understood.
@@ -74,23 +74,23 @@
 
 // Codec translates between the wire and the product's types.
 type Codec interface {
-	Call(h http.Header) Call
-	Outgoing(h http.Header, o Outgoing)
-	Reply(resp *http.Response) Reply
-	// Refusal marks an answer of the system's own to the request.
-	Refusal(h http.Header, id string)
+	ParseRequest(h http.Header) RequestHeaders
+	SetUpstreamHeaders(h http.Header, o UpstreamHeaders)
+	ParseResponse(resp *http.Response) ResponseHeaders
+	// SetRefusalHeaders marks an answer of the system's own to the request.
+	SetRefusalHeaders(h http.Header, id string)
 	ReadyPath() string
-	// Config returns nil without an error for a record that holds none.
-	Config(r Record) (*routing.Document, error)
-	Endpoint(r Record) (members.Change, error)
-	// Order returns nil without an error for a record that holds no order to move a service to
+	// DecodeConfig returns nil without an error for a record that holds none.
+	DecodeConfig(r Record) (*routing.Document, error)
+	DecodeEndpoint(r Record) (members.Change, error)
+	// DecodeOrder returns nil without an error for a record that holds no order to move a service to
 	// another version.
-	Order(r Record) (*rollout.Order, error)
-	// RolloutStatus returns nil without an error for a record of FeedVMs that does not say how
+	DecodeOrder(r Record) (*rollout.Order, error)
+	// DecodeRolloutStatus returns nil without an error for a record of FeedVMs that does not say how
 	// far an order is.
-	RolloutStatus(r Record) (*RolloutStatus, error)
-	// StatusRecord is the record of FeedVMs that says how far an order is.
-	StatusRecord(s RolloutStatus) (Record, error)
+	DecodeRolloutStatus(r Record) (*RolloutStatus, error)
+	// EncodeRolloutStatus is the record of FeedVMs that says how far an order is.
+	EncodeRolloutStatus(s RolloutStatus) (Record, error)
 }
 
 // RolloutStatus says how far the move of a service to a version is.
@@ -117,9 +117,9 @@
 type Record struct {
 	Key   string
 	Value []byte
-	// At is where it lies, if that is known (Placed).
-	At     Position
-	Placed bool
+	// Position is where it lies, if that is known (Placed).
+	Position    Position
+	HasPosition bool
 }
 
 // Position is a place in a feed.
@@ -132,25 +132,25 @@
 }
 
 // Before says whether a position is older than another.
-func (p Position) Before(other Position) bool {
-	if p.Era != other.Era {
-		return p.Era < other.Era
+func (p Position) Before(q Position) bool {
+	if p.Era != q.Era {
+		return p.Era < q.Era
 	}
-	return p.Offset < other.Offset
+	return p.Offset < q.Offset
 }
 
 // Store is the platform's store.
 type Store interface {
-	// Newest reads the newest record of each key, and the position to read on from.
-	Newest(ctx context.Context, f Feed) (records []Record, next Position, err error)
+	// Snapshot reads the newest record of each key, and the position to read on from.
+	Snapshot(ctx context.Context, f Feed) (records []Record, next Position, err error)
 	// Read reads records from an offset on, waiting up to wait for the first. It
 	// returns the position to read on from, whose era is the store's, or a TrimmedError.
 	Read(ctx context.Context, f Feed, from uint64, wait time.Duration) ([]Record, Position, error)
 	// Write writes records of FeedVMs, all or none; one without a value removes its key.
 	Write(ctx context.Context, records ...Record) error
-	// WriteAt writes a record of FeedVMs if the feed still ends at a position; else it returns a
+	// CompareAndWrite writes a record of FeedVMs if the feed still ends at a position; else it returns a
 	// ConflictError.
-	WriteAt(ctx context.Context, r Record, at Position) error
+	CompareAndWrite(ctx context.Context, r Record, at Position) error
 }
 
 // ConflictError reports a write that was not made, since others were since.
