--- a/entry/caller.go
+++ b/entry/caller.go
@@ -20,26 +20,27 @@
 )
 
 const (
-	// defaultTimeout is assumed where neither the caller nor the route says how
-	// long an answer is awaited.
+	// defaultTimeout is the request timeout used if neither the caller nor the route sets one.
 	defaultTimeout = 30 * time.Second
-	// startupRetryAfter is when a caller should return to a VM that knows no
-	// configuration yet.
+	// startupRetryAfter is the Retry-After of a VM that has no configuration yet, or no memory
+	// for the body.
 	startupRetryAfter = 300 * time.Millisecond
-	// maxRouteTiers bounds the tiers of routes; an organisation's tier goes before.
+	// maxRouteTiers is the number of distinct route tiers. The organisation's tier takes
+	// precedence over the route's.
 	maxRouteTiers = 1000
-	// disconnectMargin is how long before a caller would leave its request is refused, so
-	// that it hears of it: its clock started a round trip earlier than this VM's.
+	// disconnectMargin is how long before the caller's expected disconnect a request is refused,
+	// so that the caller still receives the refusal: its timeout started a round trip earlier
+	// than this VM's.
 	disconnectMargin = 150 * time.Millisecond
-	// minEventTimeout is the shortest time that a caller waits for a first event.
+	// minEventTimeout is the shortest time for which a caller waits for a first event.
 	minEventTimeout = 2 * time.Second
-	// objectiveTimeoutFactor and pausePatience are how many objectives and pauses a
-	// caller waits for an event before it leaves.
+	// objectiveTimeoutFactor and pauseTimeoutFactor give the time for which a caller waits for an
+	// event before it disconnects, in multiples of the route's objective and maximum pause.
 	objectiveTimeoutFactor = 4
 	pauseTimeoutFactor     = 8
 )
 
-// callerRequest is one request of a callerRequest, from arrival to its final answer.
+// callerRequest is one request of a caller, from arrival to its final response.
 type callerRequest struct {
 	d          *Daemon
 	w          http.ResponseWriter
@@ -49,36 +50,40 @@
 	org        *routing.Organisation
 	service    string
 	body       []byte
-	// digest names the request however often its caller sends it.
+	// digest identifies the request across retries by its caller.
 	digest  suspect.Digest
 	arrived time.Time
-	// deadline is when the request gets its final answer at the latest.
+	// deadline is the latest time for the final response.
 	deadline time.Time
-	units    float64
+	// units is the amount charged to the organisation's allowance.
+	units float64
 	// sendCount counts the endpoints that may have read the request.
 	sendCount   int
 	retryPermit retryPermit
 	tried       []uint64
-	// avoided are endpoints whose version may not get the request, trial says that it tries
-	// a new version, visit is the attempt under way.
+	// avoided lists endpoints whose version is not allowed for this request.
 	avoided []uint64
-	canary  bool
+	// canary is set if the request is a canary request to a new version.
+	canary bool
+	// tracked is the attempt in progress.
 	tracked *visit
-	// mayHaveRun says that an endpoint may have run it.
-	mayHaveRun    bool
+	// mayHaveRun is set once an endpoint may have run the request.
+	mayHaveRun bool
+	// reservedBytes is the part of the memory budget held for the body.
 	reservedBytes int64
-	// blocked says that the request was found to end endpoints while it waited.
+	// blocked is set if the request was convicted, as one that terminates endpoints, while it
+	// waited.
 	blocked atomic.Bool
 }
 
-// refusal is an answer of the system's own.
+// refusal is an error response that the VM itself sends to the caller.
 type refusal struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
 }
 
-// serveCaller serves one request.
+// serveCaller handles one request of a caller.
 func (d *Daemon) serveCaller(w http.ResponseWriter, r *http.Request) {
 	d.active.Add(1)
 	defer d.active.Add(-1)
@@ -108,7 +113,8 @@
 	c.forward(ctx)
 }
 
-// admit finds the route and the organisation and reads the body.
+// admit looks up the route and the organisation and reads the body. It returns nil if the request
+// is accepted.
 func (c *callerRequest) admit() *refusal {
 	c.d.awaitInitialised(c.r.Context())
 	t := c.d.table.Load()
@@ -142,7 +148,7 @@
 	return nil
 }
 
-// identity is what the caller repeats when it sends the request again.
+// identity returns the parts of the request that stay the same when the caller retries it.
 func (c *callerRequest) identity() suspect.Identity {
 	i := suspect.Identity{Method: c.r.Method, Host: strings.ToLower(c.r.Host), Target: c.r.RequestURI, Body: c.body}
 	if c.org != nil {
@@ -162,7 +168,7 @@
 	c.deadline = c.arrived.Add(timeout)
 }
 
-// headerSize is the size of a request's head.
+// headerSize returns the size of the request line and headers in bytes.
 func headerSize(r *http.Request) int {
 	n := len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -173,8 +179,8 @@
 	return n
 }
 
-// readBody reads the whole body, so that it can be sent again and that a caller
-// who stops in its middle costs no endpoint anything.
+// readBody reads the whole body before the request is forwarded, so that it can be resent, and so
+// that a caller that stops sending halfway does not occupy an endpoint.
 func (c *callerRequest) readBody(maxBytes int) *refusal {
 	if c.r.Body == nil || c.r.ContentLength == 0 {
 		return nil
@@ -218,7 +224,7 @@
 	return &refusal{status: http.StatusBadRequest, reason: "body_broken"}
 }
 
-// chargeAllowance takes the request off its organisation's allowance.
+// chargeAllowance charges the request to its organisation's allowance.
 func (c *callerRequest) chargeAllowance(ctx context.Context) *refusal {
 	if c.org == nil {
 		return nil
@@ -242,7 +248,7 @@
 	return &refusal{http.StatusTooManyRequests, "over_allowance", v.Wait}
 }
 
-// dispatchJob describes the request to the scheduler.
+// dispatchJob returns the scheduler's description of the request.
 func (c *callerRequest) dispatchJob() dispatch.Job {
 	now := c.d.now()
 	arrived := now - time.Since(c.arrived)
@@ -263,8 +269,8 @@
 	return j
 }
 
-// expectedEvents is how many expectedEvents the answer is expected to have, by the caller's guess;
-// 0 if it gave none.
+// expectedEvents returns the expected number of events in the response, from the caller's
+// estimate of the output; 0 if there is none.
 func (c *callerRequest) expectedEvents() int {
 	sv := c.d.table.Load().Service(c.service)
 	if sv == nil || sv.Engine == nil {
@@ -273,12 +279,12 @@
 	return c.reqHeaders.EstimatedOutputTokens / sv.Engine.TokensPerEvent
 }
 
-// eventTimeout is how long a caller of a stream waits for an event.
+// eventTimeout returns the time for which the caller of a stream waits for an event.
 func (c *callerRequest) eventTimeout() time.Duration {
 	return max(minEventTimeout, objectiveTimeoutFactor*c.route.Objective, pauseTimeoutFactor*c.route.MaxPause)
 }
 
-// refuse answers for the system itself.
+// refuse sends a refusal to the caller and refunds the allowance of a request that was not run.
 func (c *callerRequest) refuse(denied refusal) {
 	c.d.count("refusals." + denied.reason)
 	route := ""
@@ -301,14 +307,14 @@
 }
 
 const (
-	// drainBytes and drainTime bound what is read of the body of a refused request.
+	// drainBytes and drainTimeout bound how much of the body of a refused request is read.
 	drainBytes   = 256 << 10
 	drainTimeout = time.Second
 )
 
-// drainBody reads what the caller still sends of a refused request. A connection that is
-// closed while bytes come in is reset, and with it goes the answer: the caller sees a
-// broken connection in place of a status.
+// drainBody reads the remaining body of a refused request. Closing a connection on which data is
+// still arriving resets it and discards the response: the caller would see a broken connection
+// instead of a status.
 func (c *callerRequest) drainBody() {
 	if c.body != nil || c.r.ContentLength == 0 || c.r.Body == nil {
 		return
@@ -318,7 +324,7 @@
 		return
 	}
 	if _, err := io.CopyN(io.Discard, c.r.Body, drainBytes); err == nil {
-		// There is more; the server closes the connection.
+		// More of the body is left; the server closes the connection.
 		c.w.Header().Set("Connection", "close")
 	}
 	if err := rc.SetReadDeadline(time.Time{}); err != nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,11 +1,11 @@
-// Package entry is the daemon of one entry VM on a platform whose balancer
-// brings callers, whose registry lists endpoints and whose store holds the
-// operator's configuration. Decisions are the pure packages' below core; here
-// are connections, goroutines and the order in which things happen.
+// Package entry is the daemon of an entry VM. It runs on a platform whose load balancer sends
+// callers to the VMs, whose registry lists the endpoints and whose store holds the operator's
+// configuration. Decisions are made by the pure packages under core; this package contains the
+// connections, the goroutines and the order of operations.
 //
-// Each request has an id of its own and arrives at one VM on one connection, so
-// VMs agree on nothing before a dispatch. They share their loads, what is left
-// of allowances, and what one of them read from the store.
+// Each request has a unique ID and arrives at one VM on one connection, so VMs need no agreement
+// before a dispatch. They share their loads, the remaining allowances, and what one of them read
+// from the store.
 package entry
 
 import (
@@ -30,23 +30,23 @@
 	"github.com/chivefield/chivefield/core/mechanism"
 )
 
-// Options are what a daemon takes from outside.
+// Options are the dependencies of a daemon.
 type Options struct {
 	Settings *settings.Entry
 	Log      zerolog.Logger
 	Codec    Codec
 	Store    Store
-	// Reload reads the settings anew; nil if they never change.
+	// Reload reads the settings again; nil if they never change.
 	Reload func() (*settings.Entry, error)
-	// Hangup delivers requests to read the settings anew.
+	// Hangup delivers requests to reload the settings.
 	Hangup <-chan struct{}
-	// Listen, ListenPacket and Dial default to the net package's.
+	// Listen, ListenPacket and Dial default to those of package net.
 	Listen       func(addr string) (net.Listener, error)
 	ListenPacket func(addr string) (net.PacketConn, error)
 	Dial         func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Daemon is one VM's process.
+// Daemon is the process of one VM.
 type Daemon struct {
 	opts     Options
 	settings *settings.Entry
@@ -55,30 +55,30 @@
 	start    time.Time
 
 	table atomic.Pointer[routing.Table]
-	// configMu orders the taking in of configurations; configRecord is the store's
-	// record of the one in force.
+	// configMu serialises the loading of configurations; configRecord is the store's record of
+	// the one in force.
 	configMu     sync.Mutex
 	configRecord atomic.Pointer[Record]
 	// endpointsLoaded is set once the registry was read.
 	endpointsLoaded atomic.Bool
-	// initialised is closed once configuration and endpoints are known.
+	// initialised is closed once configuration, endpoints and the states of rollouts are loaded.
 	initialised     chan struct{}
 	initialisedOnce sync.Once
-	// registryLostAt is when this VM last failed to read the registry, 0 if it did not
-	// or could read it since.
+	// registryLostAt is when this VM last failed to read the registry; 0 if it never failed or
+	// has succeeded since.
 	registryLostAt atomic.Int64
 	registry       registry
-	// invalidEntries are the entries of the registry that could not be understood, with
-	// their faults. Only the goroutine that follows the registry uses it.
+	// invalidEntries holds the registry entries that cannot be decoded, with their errors. It is
+	// used only by the goroutine that follows the registry.
 	invalidEntries map[string]string
-	// restartClaimed says that this process may take what is kept for restarts, noRecentPredecessor that its
-	// predecessor started long ago or there was none. Only the goroutine that announces it uses
-	// them.
+	// restartClaimed is set if this process may claim the restart allowance, noRecentPredecessor
+	// if the previous process of this VM started long ago or there was none. They are used only
+	// by the goroutine that announces this VM.
 	restartClaimed, noRecentPredecessor bool
 
 	draining atomic.Bool
 	active   atomic.Int64
-	// lastHandle starts at random: handles are unique over all VMs.
+	// lastHandle starts at a random value: handles are unique across all VMs.
 	lastHandle atomic.Uint64
 
 	sched      *sharedScheduler
@@ -88,7 +88,7 @@
 	notices    *notices
 	rollouts   *rollouts
 	eras       *eras
-	// startedAt is when the process started, by the VM's clock.
+	// startedAt is when the process started, by the VM's wall clock.
 	startedAt    time.Time
 	shares       *sharing
 	retryBudgets *retryBudgets
@@ -100,20 +100,20 @@
 }
 
 const (
-	// maxIdlePerEndpoint bounds kept connections; an endpoint's own bound is
-	// shared by all VMs.
+	// maxIdlePerEndpoint limits idle connections; an endpoint's own connection limit is shared by
+	// all VMs.
 	maxIdlePerEndpoint = 16
 	sweepInterval      = time.Second
-	// headerTimeout bounds the reading of a request's head. Callers stay within
-	// what the operator sets, which is less.
+	// headerTimeout limits the time to read a request's headers. The operator's timeout, which
+	// callers keep to, is shorter.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes guards memory; the operator's own limit is checked after.
+	// maxHeaderBytes limits memory use; the operator's own limit is checked later.
 	maxHeaderBytes = 64 << 10
-	// bodyMemoryShare is the part of the memory limit that bodies may take together.
+	// bodyMemoryShare is the share of the memory limit that all request bodies together may use.
 	bodyMemoryShare = 0.2
 )
 
-// New prepares a daemon.
+// New returns a daemon that is not running yet.
 func New(opts Options) *Daemon {
 	if opts.Listen == nil {
 		opts.Listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -145,10 +145,10 @@
 	return d
 }
 
-// now is the time since the start of the process, by the monotonic clock.
+// now returns the time since the start of the process, by the monotonic clock.
 func (d *Daemon) now() time.Duration { return time.Since(d.start) }
 
-// Run serves until ctx ends and the graceful shutdown is over.
+// Run serves until ctx ends and the graceful shutdown is complete.
 func (d *Daemon) Run(ctx context.Context) error {
 	callersListener, err := d.opts.Listen(d.settings.Listen.Callers)
 	if err != nil {
@@ -205,7 +205,7 @@
 	return err
 }
 
-// serve runs a server until the process's duties end.
+// serve runs a server until workCtx ends.
 func (d *Daemon) serve(group *errgroup.Group, workCtx context.Context, s *http.Server, l net.Listener) {
 	group.Go(func() error {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -219,7 +219,7 @@
 	})
 }
 
-// serveReady answers the balancer.
+// serveReady handles the load balancer's readiness checks.
 func (d *Daemon) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != d.codec.ReadyPath() {
 		w.WriteHeader(http.StatusNotFound)
@@ -232,29 +232,29 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// ready says whether requests can be served here. An outage of the store does
-// not change that: what was known stays in force.
+// ready reports whether this VM can serve requests. An outage of the store does not change that:
+// the last known state stays in force.
 func (d *Daemon) ready() bool {
 	return !d.draining.Load() && d.hasInitialState()
 }
 
-// initialisationWait is up to what uptime a request waits until configuration and endpoints
-// are known. Both are read soon after a start; callers that are turned away meanwhile return
-// too late for their objective.
+// initialisationWait is the uptime until which requests wait for configuration and endpoints to
+// be loaded. Both are read soon after the start; callers that were refused in the meantime would
+// retry too late for their objective.
 const initialisationWait = 500 * time.Millisecond
 
-// hasInitialState says whether configuration and endpoints are known.
+// hasInitialState reports whether configuration and endpoints are loaded.
 func (d *Daemon) hasInitialState() bool { return d.table.Load() != nil && d.endpointsLoaded.Load() }
 
-// markInitialised lets requests go on that wait for what a process must know.
+// markInitialised releases the requests that wait for initialisation, once all required state is
+// loaded.
 func (d *Daemon) markInitialised() {
 	if d.hasInitialState() && d.rollouts.allKnown() {
 		d.initialisedOnce.Do(func() { close(d.initialised) })
 	}
 }
 
-// awaitInitialised waits in the first moments of a process until it can serve, but not beyond
-// ctx.
+// awaitInitialised waits shortly after the start until the process can serve, or until ctx ends.
 func (d *Daemon) awaitInitialised(ctx context.Context) {
 	select {
 	case <-d.initialised:
@@ -279,8 +279,7 @@
 	writeMetrics(w, d.metrics)
 }
 
-// probe sees whether an endpoint can be reached. The connection is kept for the
-// next request.
+// probe checks whether an endpoint can be reached. The connection is kept for the next request.
 func (d *Daemon) probe(p dispatch.Probe) {
 	err := d.openConnection(p)
 	d.log.Info().Str("endpoint", p.Key).Str("address", p.Address).Err(err).Msg("endpoint_probed")
@@ -293,14 +292,15 @@
 	return d.pool.Open(p.Key, p.Address)
 }
 
-// countInvalid counts quantities that callers or other VMs told and that cannot be.
+// countInvalid counts out-of-range values received from callers or other VMs.
 func (d *Daemon) countInvalid(n int) {
 	if n > 0 {
 		d.countMany("impossible_quantities", n)
 	}
 }
 
-// logEjection logs which endpoint gets requests on trial only, and why.
+// logEjection logs which endpoint gets only trial requests, and why, or that it no longer is
+// ejected.
 func (d *Daemon) logEjection(c dispatch.EjectionChange) {
 	event := "endpoint_taken_back"
 	if c.Ejected {
@@ -326,18 +326,17 @@
 }
 
 const (
-	// readinessRefusalDelay is how long after SIGTERM new connections may still come: the
-	// balancer asks once a second and acts on the second refusal.
+	// readinessRefusalDelay is how long new connections may still arrive after SIGTERM: the load
+	// balancer checks once a second and acts on the second refusal.
 	readinessRefusalDelay = 2600 * time.Millisecond
-	// graceMargin is left of the time until SIGKILL.
+	// graceMargin is the time reserved before SIGKILL.
 	graceMargin = 500 * time.Millisecond
 )
 
-// shutdown waits for the signal and refuses readiness. Until the balancer has
-// seen that, callers still come and are served; every answer closes its
-// connection. Then idle connections are closed too: a caller that keeps one open
-// could send a request so late that it would be cut at the end of the grace time.
-// What runs goes on to its end.
+// shutdown waits for the signal and then fails readiness checks. Until the load balancer has
+// noticed, callers still arrive and are served; every response closes its connection. Then idle
+// connections are closed as well: a caller that keeps one open could send a request so late that
+// it would be cut off at the end of the grace period. Running requests continue to their end.
 func (d *Daemon) shutdown(signal, workCtx context.Context, callersServer *http.Server, stop context.CancelFunc) error {
 	select {
 	case <-workCtx.Done():
@@ -363,9 +362,8 @@
 	return nil
 }
 
-// reload reads the settings anew on request. Only what may change while the
-// process runs is taken over, which is the requests that are released and the services that are
-// not moved; addresses stay.
+// reload reads the settings again on request. Only what may change at run time is applied: the
+// released requests and the services whose rollout is held. Addresses do not change.
 func (d *Daemon) reload(ctx context.Context) error {
 	for {
 		select {
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -6,39 +6,42 @@
 	"strings"
 )
 
-// RejectedError reports an endpoint that did not run a request.
+// RejectedError reports that an endpoint did not run a request.
 type RejectedError struct{ Status int }
 
-// Error describes the failure.
+// Error implements error.
 func (e *RejectedError) Error() string {
-	return "the endpoint did not run the request, status " + itoa(e.Status)
+	return "endpoint did not run the request: status " + itoa(e.Status)
 }
 
-// UntrustedResponseError reports an answer that cannot be the endpoint's own whole
-// answer, or promises what it cannot know.
+// UntrustedResponseError reports a response that cannot be the endpoint's own complete response,
+// or whose status makes a promise that the endpoint did not confirm.
 type UntrustedResponseError struct{ Status int }
 
-// Error describes the failure.
+// Error implements error.
 func (e *UntrustedResponseError) Error() string {
-	return "the answer cannot be passed on, status " + itoa(e.Status)
+	return "response cannot be forwarded: status " + itoa(e.Status)
 }
 
-// FailedResponseError reports an endpoint's own failure that is tried elsewhere.
+// FailedResponseError reports an error response of an endpoint after which the request is retried
+// elsewhere.
 type FailedResponseError struct{ Status int }
 
-// Error describes the failure.
-func (e *FailedResponseError) Error() string { return "the endpoint failed, status " + itoa(e.Status) }
+// Error implements error.
+func (e *FailedResponseError) Error() string { return "endpoint failed: status " + itoa(e.Status) }
 
-// RetryBudgetError reports a request that was not sent once more: it waited until what paid for that
-// had expired.
+// RetryBudgetError reports a retry that was not sent: it waited until its part of the retry
+// budget had expired.
 type RetryBudgetError struct{ Service string }
 
-// Error describes the failure.
-func (e *RetryBudgetError) Error() string { return "no repeat of " + e.Service + " is left" }
+// Error implements error.
+func (e *RetryBudgetError) Error() string {
+	return "retry budget of service " + e.Service + " is exhausted"
+}
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// splitList splits a header's list.
+// splitList splits a comma-separated header value.
 func splitList(v string) []string {
 	var list []string
 	for _, s := range strings.Split(v, ",") {
@@ -49,22 +52,22 @@
 	return list
 }
 
-// NoSourceError reports that no VM could tell the registry of endpoints as of an offset.
+// NoSourceError reports that no VM could provide the endpoint registry as of an offset.
 type NoSourceError struct {
 	Address string
 	At      Position
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *NoSourceError) Error() string {
 	if e.Address != "" {
-		return "VM " + e.Address + " does not tell the registry"
+		return "VM " + e.Address + " does not have the registry"
 	}
-	return fmt.Sprintf("no VM knows the registry up to offset %d of era %d", e.At.Offset, e.At.Era)
+	return fmt.Sprintf("no VM has the registry up to offset %d of era %d", e.At.Offset, e.At.Era)
 }
 
-// VMRecordError reports a record of a VM that cannot be understood.
+// VMRecordError reports a VM record that cannot be parsed.
 type VMRecordError struct{ Record string }
 
-// Error describes the failure.
-func (e *VMRecordError) Error() string { return "record of a VM: " + strconv.Quote(e.Record) }
+// Error implements error.
+func (e *VMRecordError) Error() string { return "malformed VM record: " + strconv.Quote(e.Record) }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -13,35 +13,37 @@
 	"github.com/chivefield/chivefield/upstream"
 )
 
-// hopHeaders concern one connection only.
+// hopHeaders lists the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
 const (
-	// maxResponseBytes bounds an answer that is not a stream, in bytes.
+	// maxResponseBytes limits the size of a response that is not a stream.
 	maxResponseBytes = 16 << 20
-	// maxAttempts bounds endpoints that are tried in vain without a byte sent.
+	// maxAttempts limits the retries, including those after attempts in which no byte was sent.
 	maxAttempts = 6
 )
 
-// attemptResult is the outcome of one try at an endpoint.
+// attemptResult is the outcome of one attempt at an endpoint.
 type attemptResult struct {
 	outcome dispatch.Outcome
-	// delivered says that the caller has its final answer, whole or broken.
+	// delivered is set if the caller has received its final response, complete or broken off.
 	delivered bool
-	// retryDenied says that it was not sent once more, since nothing pays for that now.
+	// retryDenied is set if the retry was not sent because the retry budget does not cover it
+	// now.
 	retryDenied bool
-	// connectionLost says that the connection broke under the request, or fell silent.
+	// connectionLost is set if the connection broke, or the endpoint stopped responding, during
+	// the request.
 	connectionLost bool
-	// blocked says that the request was not sent, since it ends endpoints, rolloutBlocked that it was
-	// not, since the endpoint's version may not get it.
+	// blocked is set if the request was not sent because it terminates endpoints, rolloutBlocked
+	// if it was not sent because the endpoint's version is not allowed for it.
 	blocked, rolloutBlocked bool
 	err                     error
 }
 
-// forward tries endpoints until the caller has an answer.
+// forward tries endpoints until the caller has a response.
 func (c *callerRequest) forward(ctx context.Context) {
 	var last attemptResult
 	var s *eventStream
@@ -92,12 +94,13 @@
 	}
 }
 
-// shortRetryAfter is when a caller may return after an endpoint refused its request:
-// elsewhere there may be room at once.
+// shortRetryAfter is the Retry-After if endpoints refused the request: others may have capacity at
+// once. It is also the least time that must be left before the deadline for another attempt after
+// an error response or a stall.
 const shortRetryAfter = 100 * time.Millisecond
 
-// nextJob is the job of the next try. A stream that is under way waits as long
-// as its caller waits for the next event.
+// nextJob returns the job for the next attempt. A stream that has started waits for an endpoint
+// for at most half the time for which its caller waits for the next event.
 func (c *callerRequest) nextJob(s *eventStream) dispatch.Job {
 	j := c.dispatchJob()
 	if s != nil && s.headersSent {
@@ -107,7 +110,7 @@
 	return j
 }
 
-// mayRetry says whether another endpoint may be tried.
+// mayRetry reports whether another endpoint may be tried.
 func (c *callerRequest) mayRetry(last attemptResult, try int) bool {
 	if try >= maxAttempts {
 		return false
@@ -121,7 +124,8 @@
 	return c.sendCount < c.route.MaxEndpoints && (c.sendCount == 0 || c.retryPermit.acquire())
 }
 
-// endCancelled ends a request whose caller left or whose time is over.
+// endCancelled ends a request whose caller has disconnected, that was blocked, or whose deadline
+// has passed.
 func (c *callerRequest) endCancelled(s *eventStream) {
 	if c.r.Context().Err() != nil {
 		c.d.count("callers_left")
@@ -135,8 +139,10 @@
 	c.fail(s, "time_over", shortRetryAfter)
 }
 
-// fail gives the caller the truth: a failed answer of an endpoint if that is all
-// there is, "not run" only if that is so, else a failure that promises nothing.
+// fail ends a request for which there is no response to forward. A stream that has started is
+// broken off. Otherwise the status says no more than is known: 503, which means that the request
+// was not run, is sent only if that is certain, else 504 after the deadline and 502 in all other
+// cases.
 func (c *callerRequest) fail(s *eventStream, reason string, retryAfter time.Duration) {
 	if s != nil && s.headersSent {
 		c.d.count("streams_broken")
@@ -159,7 +165,7 @@
 		Int("waiting", dec.Waiting).Int("running", dec.Load.Running).Int("unread", dec.Load.PromptTokens).Int("prompt", c.reqHeaders.PromptTokens).Int("output", c.reqHeaders.EstimatedOutputTokens).Dur("gap", dec.Load.Gap).Dur("waited", time.Since(c.arrived)).Int("try", len(c.tried)).Msg("placed")
 }
 
-// upstreamHeaders are those for the endpoint.
+// upstreamHeaders returns the request headers for an endpoint.
 func (c *callerRequest) upstreamHeaders(ep *members.Endpoint, lastEventID string) http.Header {
 	h := c.r.Header.Clone()
 	removeHopHeaders(h)
@@ -182,11 +188,11 @@
 	}
 }
 
-// tryEndpoint sends the request to one endpoint and passes its answer on.
+// tryEndpoint sends the request to one endpoint and forwards its response.
 func (c *callerRequest) tryEndpoint(ctx context.Context, dec dispatch.Decision, s *eventStream) attemptResult {
 	ep := dec.Endpoint
-	// The one place where bytes of a caller's request leave for an endpoint, whichever VM
-	// chose it and however long that took.
+	// Bytes of a caller's request are sent to an endpoint only below this check, whichever VM
+	// chose the endpoint and however long that took.
 	view := c.d.suspects.look(c.digest)
 	if view.Convicted() {
 		return attemptResult{outcome: dispatch.Left, blocked: true}
@@ -226,8 +232,8 @@
 	return a
 }
 
-// exchange sends the request, which is at sent, and passes the answer on. ctx ends with the
-// attempt, whole with the request.
+// exchange sends the request, at the time sent, and forwards the response. ctx ends with the
+// attempt, requestCtx with the request.
 func (c *callerRequest) exchange(ctx, requestCtx context.Context, dec dispatch.Decision, req *upstream.Request, sent time.Duration, s *eventStream, watchdog *stallWatchdog) attemptResult {
 	ep := dec.Endpoint
 	resp, err := c.d.pool.Do(ctx, ep.Key(), ep.Address, req, false)
@@ -256,15 +262,15 @@
 	return c.forwardResponse(requestCtx, dec.Handle, resp, headers, s, watchdog)
 }
 
-// ownsResponse says whether an answer belongs to this request. Answers without an id are
-// the endpoint's word on a request that it did not read.
+// ownsResponse reports whether a response belongs to this request. An error response without an
+// ID comes from an endpoint that did not read the request.
 func (c *callerRequest) ownsResponse(resp *http.Response) bool {
 	id := c.d.codec.ParseResponse(resp).ID
 	return id == c.reqHeaders.ID || id == "" && resp.StatusCode >= http.StatusBadRequest
 }
 
-// impliesNotExecuted says whether a status promises that a request was not run; from an
-// endpoint that does not say so itself it must not be passed on.
+// impliesNotExecuted reports whether a status tells the caller that the request was not run. Such
+// a status must not be forwarded from an endpoint that does not confirm it explicitly.
 func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -273,7 +279,7 @@
 	return false
 }
 
-// forwardResponse judges an answer and passes it on if it is one.
+// forwardResponse checks a response and forwards it if it is valid.
 func (c *callerRequest) forwardResponse(ctx context.Context, handle uint64, resp *upstream.Answer, headers ResponseHeaders, s *eventStream, watch *stallWatchdog) attemptResult {
 	if headers.NotExecuted {
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxResponseBytes))
@@ -314,7 +320,7 @@
 	return attemptResult{outcome: dispatch.Answered, delivered: true}
 }
 
-// writeResponse passes on a whole answer.
+// writeResponse sends a complete response to the caller.
 func (c *callerRequest) writeResponse(resp *http.Response, body []byte) {
 	copyHeaders(c.w.Header(), resp.Header)
 	c.w.Header().Set("Content-Length", itoa(len(body)))
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Whatever datagram comes from another VM, or from who pretends to be one, the process
-// goes on: a note holds numbers, names and addresses that nobody has checked.
+// No datagram from another VM, or from a sender that impersonates one, may crash the process: a
+// note contains unchecked numbers, names and addresses.
 func FuzzNote(f *testing.F) {
 	set := testSettings(f, false)
 	for _, n := range []*schema.PeerNote{
@@ -30,7 +30,7 @@
 		f.Add(b)
 	}
 	f.Add([]byte{0xff})
-	// What the VM would send goes nowhere.
+	// Notes that the VM sends are discarded.
 	closedConn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		f.Fatal(err)
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// memoryBudget bounds the bytes of bodies that are held at once.
+// memoryBudget limits the total size of request bodies held in memory, in bytes.
 type memoryBudget struct {
 	available atomic.Int64
 }
@@ -29,9 +29,9 @@
 
 func (b *memoryBudget) release(n int64) { b.available.Add(n) }
 
-// idleConnCloser closes callers' connections that are idle for longer than the
-// operator allows. The limit changes while connections are open, which the
-// server's own fields cannot.
+// idleConnCloser closes callers' connections that are idle for longer than the configured
+// timeout. The timeout can change while connections are open, which http.Server's own fields do
+// not support.
 type idleConnCloser struct {
 	timeout atomic.Int64
 	mu      sync.Mutex
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -26,10 +26,10 @@
 	h.Update(elapsed.Microseconds())
 }
 
-// quantiles are those that histograms are served with.
+// quantiles lists the quantiles exported for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// writeMetrics writes one line a figure, in order of name.
+// writeMetrics writes one line per value, sorted by name.
 func writeMetrics(w io.Writer, r metrics.Registry) {
 	var lines []string
 	r.Each(func(name string, m any) {
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -7,8 +7,8 @@
 	"github.com/chivefield/chivefield/core/mechanism"
 )
 
-// updatePlacer works out the placer from the VMs that are heard. Runs of one that has
-// fallen silent become this VM's own: nobody else tells of their load.
+// updatePlacer selects the placer from the VMs that are alive. This VM takes over the runs placed
+// by a VM that has stopped sending notes, since no other VM reports their load.
 func (p *placement) updatePlacer() {
 	now := p.d.now()
 	p.mu.Lock()
@@ -47,7 +47,8 @@
 	}
 }
 
-// choosePlacer works out which VM places for this one, and its record; nil if it is this one.
+// choosePlacer returns the address of the VM that places requests for this one, and its peer
+// record; nil if it is this VM.
 func (p *peers) choosePlacer(current string) (address string, to *peer) {
 	now := p.d.now()
 	self, willing := p.willingPlacers(now)
@@ -63,8 +64,8 @@
 	return chosen, p.addrs[chosen]
 }
 
-// updatePlacerRole finds out whether this VM places for others yet, and whether it steps down,
-// since others place for its cell.
+// updatePlacerRole determines whether this VM may place requests for others yet, and whether it
+// steps down because enough others place for its cell.
 func (p *peers) updatePlacerRole() {
 	now := p.d.now()
 	fleet := p.fleet()
@@ -78,11 +79,11 @@
 	p.steppedDown.Store(stepDown)
 }
 
-// updateEligibility lets a process place for others once it has heard enough of them, or as
-// soon as it is clear that nobody else does: after all VMs were killed at once nobody knew
-// anything, and all placed for themselves for two seconds, several at each free slot. All
-// VMs of the failure domain hear of it at once, or they would choose from those whose turn
-// it was.
+// updateEligibility lets this process place requests for others once it has received notes for
+// long enough, or as soon as it is clear that no other VM does: after all VMs had been killed at
+// once, none knew any loads, and each placed its own requests for two seconds, several at each
+// free slot. All VMs of the failure domain are notified at once, or they would choose only among
+// the VMs whose heartbeats came first in the rotation.
 func (p *peers) updateEligibility(now time.Duration, fleet cell.Fleet) {
 	if p.eligible.Load() || !p.d.ready() || now < soloPlacerWarmup || now < placerWarmup && p.cellHasPlacer(now, fleet) {
 		return
@@ -91,24 +92,24 @@
 	p.writeAll(p.encode(p.heartbeat(0)), p.domain())
 }
 
-// cellHasPlacer says whether another VM of those that may place for this one does so for
-// others already.
+// cellHasPlacer reports whether another VM that may place requests for this one already does so
+// for others.
 func (p *peers) cellHasPlacer(now time.Duration, fleet cell.Fleet) bool {
 	self, willing := p.willingPlacers(now)
 	return cell.Placed(self, fleet, willing)
 }
 
-// offersPlacement says whether this VM places for others that do not ask it yet.
+// offersPlacement reports whether this VM accepts placement requests from further VMs.
 func (p *peers) offersPlacement() bool { return p.d.remoteJobs.acceptsJobs() && !p.steppedDown.Load() }
 
-// fleet is how many VMs are known, this one included.
+// fleet returns the number of known VMs, including this one.
 func (p *peers) fleet() cell.Fleet {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.known
 }
 
-// countVM counts a VM that was learned of.
+// countVM adds a newly discovered VM to the fleet size.
 func (p *peers) countVM(domain string) {
 	own := p.d.settings.Vm.FailureDomain
 	if p.d.settings.Region(domain) == p.d.settings.Region(own) {
@@ -119,7 +120,8 @@
 	}
 }
 
-// willingPlacers are the VMs that would place requests, and this one as such.
+// willingPlacers returns this VM and the VMs that are willing to place requests for others, which
+// may include this one.
 func (p *peers) willingPlacers(now time.Duration) (self cell.VM, willing []cell.VM) {
 	self = cell.VM{
 		Address: p.d.settings.Listen.Peers, Domain: p.d.settings.Vm.FailureDomain, Region: p.d.settings.Region(p.d.settings.Vm.FailureDomain),
@@ -138,16 +140,16 @@
 	return self, willing
 }
 
-// seenWithin says whether a VM spoke within a time.
+// seenWithin reports whether a note from a VM was received within the last d.
 func (p *peers) seenWithin(pe *peer, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.d.now()-pe.heard < d
 }
 
-// markSilent leaves a VM out of the choice of placers until it is heard again. Heartbeats of
-// life of VMs outside the cell are seconds apart in a large deployment; a placer is
-// missed sooner by those who ask it.
+// markSilent excludes a VM from selection as placer until its next note. Heartbeats of VMs
+// outside the cell arrive seconds apart in a large deployment; the VMs that use a placer detect
+// its failure sooner.
 func (p *peers) markSilent(pe *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -15,7 +15,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// newDaemonWithUptime is a daemon that knows all it must and has run for a time.
+// newDaemonWithUptime returns a daemon with all required state that has run for the given time.
 func newDaemonWithUptime(t testing.TB, uptime time.Duration) *Daemon {
 	d := New(Options{Settings: testSettings(t, false), Log: logging.New(io.Discard)})
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -30,11 +30,10 @@
 	return d
 }
 
-// Symptom: for two seconds after all VMs were killed at once the engines were full and half
-// of the answers late. Sequence: every process is new; none places for others before it has
-// heard them for two seconds; each places for itself, several at each free slot. Cause: a
-// new process waited also where nobody else knew more. It places at once then, and waits
-// where another VM places already.
+// After all VMs were killed at once, the engines were full for two seconds and half of the
+// responses late. Every process was new, and none placed requests for others before it had
+// received notes for two seconds. So each placed its own requests, several at each free slot. Now
+// a new process waits that long only if another VM already places.
 func TestNewProcessPlacesIfNoOtherDoes(t *testing.T) {
 	is := is.New(t)
 	d := newDaemonWithUptime(t, 100*time.Millisecond)
@@ -55,18 +54,18 @@
 	d.peers.updatePlacerRole()
 	is.True(d.remoteJobs.acceptsJobs())
 
-	// Once it places for others it goes on.
+	// Once it places for others it continues to do so.
 	other.members = 7
 	d.peers.updatePlacerRole()
 	is.True(d.remoteJobs.acceptsJobs())
 }
 
-// Symptom: 990 of 9,900 requests of seven seconds were placed on engines that were full,
-// 555 of them in other failure domains, where their placer knew of no load. Sequence: a VM
-// that places is to tell its loads to the others that do; it has heard few of 246 far VMs,
-// and tells them all in turns, each one every four seconds; a load counts for 1.5 s. Cause: a
-// VM that was never heard was taken to place. A heartbeat names its sender's placer, which
-// is told each time then.
+// 990 of 9,900 requests of seven seconds were placed on full engines, 555 of them in other
+// failure domains, whose loads the placer did not know. A placer sends its loads to the other
+// placers. It had received notes from few of 246 VMs in another failure domain, assumed that all
+// of them were placers, and sent its loads to them in rotation: to each one every four seconds,
+// while a load expires after 1.5 s. Now heartbeats name their sender's placer, and that one gets
+// the loads with every note.
 func TestPlacersSendLoadsToEachOtherInEveryRound(t *testing.T) {
 	is := is.New(t)
 	d := newDaemonWithUptime(t, time.Minute)
--- a/entry/placing.go
+++ b/entry/placing.go
@@ -11,44 +11,46 @@
 )
 
 const (
-	// placerTimeout is after how long without a note a placer counts as lost: notes
-	// come ten times a second, and one in a hundred datagrams is lost.
+	// placerTimeout is the time without a note after which a placer is considered lost: notes are
+	// sent ten times a second, and one datagram in a hundred is lost.
 	placerTimeout = 350 * time.Millisecond
-	// placeRetryInterval is when an unanswered ask is sent again, twenty round trips within a
-	// region; after maxAsks the VM places for itself.
+	// placeRetryInterval is the interval at which an unanswered placement request is sent again,
+	// twenty round trips within a region; after maxPlaceRequests the VM places the request
+	// itself.
 	placeRetryInterval = 40 * time.Millisecond
 	maxPlaceRequests   = 3
-	// placerAvoidTime is how long a placer that did not answer is left alone.
+	// placerAvoidTime is how long a placer that did not answer is not used.
 	placerAvoidTime = time.Second
-	// placerWarmup is how long a process hears others before it places for them:
-	// until then it knows neither their loads nor the endpoints' paces. Where nobody else
-	// places, that is no better than what all others know: then it is willingAlone, three
-	// notes of those who place.
+	// placerWarmup is how long a process receives notes before it places requests for others:
+	// until then it knows neither their loads nor the speeds of the endpoints. If no other VM
+	// places, this gains nothing, as the others know no more; then the time is soloPlacerWarmup,
+	// three note intervals of a VM that places.
 	placerWarmup     = 2 * time.Second
 	soloPlacerWarmup = 300 * time.Millisecond
-	// maxAvoided bounds the endpoints that a VM asks to be left out: the registry as
-	// this VM knows it may be a moment older than the placer's, or newer.
+	// maxAvoided limits the endpoints that a VM asks the placer to exclude: its copy of the
+	// registry may be slightly older or newer than the placer's.
 	maxAvoided = 8
-	// decisionBuffer holds the answers to one ask.
+	// decisionBuffer is the number of decisions buffered for one placement request.
 	decisionBuffer = 4
 )
 
-// placement finds out where requests go: it asks the VM that places for this one, its
-// placer, and falls back on its own scheduler if that one cannot be heard.
+// placement decides which endpoint each request goes to. It asks this VM's placer, and falls back
+// to the local scheduler if no notes are received from the placer.
 type placement struct {
 	d *Daemon
 
 	mu sync.Mutex
-	// placer is the VM that is asked, nil if this VM places for itself; since is when
-	// it was chosen.
+	// placer is the VM that places this VM's requests, nil if this VM does so itself; placerSince
+	// is when it was selected.
 	placer      *peer
 	placerSince time.Duration
-	pending     map[uint64]*pendingPlacement
-	// remoteRuns are this VM's requests that others placed.
+	// pending holds the placement requests without a final decision, by handle.
+	pending map[uint64]*pendingPlacement
+	// remoteRuns holds this VM's requests that other VMs placed, by handle.
 	remoteRuns map[uint64]*remoteRun
 }
 
-// pendingPlacement is a request that waits for the placer's answer.
+// pendingPlacement is a placement request that waits for the placer's decision.
 type pendingPlacement struct {
 	placer    *peer
 	decisions chan *schema.PlaceDecision
@@ -65,7 +67,7 @@
 	return &placement{d: d, pending: make(map[uint64]*pendingPlacement), remoteRuns: make(map[uint64]*remoteRun)}
 }
 
-// place finds an endpoint for a job of a caller's request; ok is false if ctx ended first.
+// place finds an endpoint for a caller's request. ok is false if ctx ended first.
 func (p *placement) place(ctx context.Context, request string, j dispatch.Job) (dec dispatch.Decision, ok bool) {
 	if dec, ok, ended := p.awaitBackoff(ctx, j); ended {
 		return dec, ok
@@ -80,7 +82,7 @@
 		p.d.log.Info().Str("request", request).Str("placer", placer.addr.String()).Str("reason", localReason).
 			Uint64("endpoint_hash", dec.Name).Dur("asked_for", p.d.now()-start).Msg("placer_passed_over")
 		if dec.Name != 0 && len(j.Avoided) < maxAvoided && localReason != string(dispatch.HeldBack) {
-			// Asked anew, as another request: what is left of this one may be on its way.
+			// Ask again under a new handle: messages about the old one may still be in transit.
 			j.Avoided = append(j.Avoided, dec.Name)
 			j.Handle = p.d.lastHandle.Add(1)
 			continue
@@ -91,8 +93,9 @@
 	return p.d.sched.place(ctx, j)
 }
 
-// awaitBackoff waits while all endpoints for a job want nothing from this VM; over says that the job ended, as
-// they do for longer than its caller waits, or as ctx did.
+// awaitBackoff waits while all endpoints for a job have asked this VM to back off. ended is set
+// if the job is over, because the backoff lasts longer than the caller waits or because ctx
+// ended.
 func (p *placement) awaitBackoff(ctx context.Context, j dispatch.Job) (dec dispatch.Decision, ok, ended bool) {
 	for {
 		wait := p.d.sched.backoffWait(j.Service, j.Tried)
@@ -108,15 +111,15 @@
 	}
 }
 
-// Reasons for placing a request here though another VM places, beside those why its
-// endpoint may not be used.
+// Reasons for placing a request locally although another VM is the placer, in addition to the
+// reasons for which the chosen endpoint may not be used.
 const (
 	localReasonUnknown       = "not_known_there"
 	localReasonNoAnswer      = "no_answer"
 	localReasonPlacerChanged = "placer_changed"
 )
 
-// livePlacer is the placer, if it is heard.
+// livePlacer returns the placer, or nil if no recent note was received from it.
 func (p *placement) livePlacer() *peer {
 	p.mu.Lock()
 	to := p.placer
@@ -127,14 +130,15 @@
 	return to
 }
 
-// assignedPlacer is the placer, heard or not.
+// assignedPlacer returns the placer, whether or not it is alive.
 func (p *placement) assignedPlacer() *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.placer
 }
 
-// requestPlacement asks the placer; alone says why this VM has to place for itself, if it has.
+// requestPlacement asks the placer for a decision. localReason is set if this VM has to place the
+// request itself.
 func (p *placement) requestPlacement(ctx context.Context, placer *peer, j dispatch.Job) (dec dispatch.Decision, ok bool, localReason string) {
 	a := &pendingPlacement{placer: placer, decisions: make(chan *schema.PlaceDecision, decisionBuffer)}
 	p.mu.Lock()
@@ -165,12 +169,13 @@
 				continue
 			}
 			if p.d.now() >= j.Abandon {
-				// The placer should have refused it by now; its caller is about to leave.
+				// The placer should have refused the request by now; the caller is about to
+				// disconnect.
 				p.cancelRemote(placer, j.Handle)
 				return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonTooLate, RetryAfter: shortRetryAfter}, true, ""
 			}
 			if a.queued {
-				// It has fallen silent, or another VM places now.
+				// The placer has stopped sending notes, or another VM is the placer now.
 				p.cancelRemote(placer, j.Handle)
 				return dec, false, localReasonPlacerChanged
 			}
@@ -201,11 +206,11 @@
 	delete(p.pending, handle)
 }
 
-// adoptDecision takes over what the placer decided, unless this VM knows that the endpoint
-// may not be used.
+// adoptDecision applies the placer's decision, unless this VM knows a reason not to use the
+// endpoint.
 func (p *placement) adoptDecision(placer *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.Unusable) {
-	// While requests move, which go to the new version is the placer's to say: it may be some ms
-	// ahead of this VM, whose own list still holds the new endpoints back.
+	// During a rollout the placer decides which requests go to the new version: it may be some ms
+	// ahead of this VM, whose own list still excludes the new endpoints.
 	j.Trial = j.Trial || p.d.rollouts.moving(j.Service)
 	j.Counted = m.Counted
 	dec, why := p.d.sched.adopt(j, m.Endpoint, micros(m.PredictedUs), int(m.PromptTokens))
@@ -227,7 +232,7 @@
 	}
 }
 
-// cancelRemote tells the placer that the request needs no place any more.
+// cancelRemote tells the placer that the request no longer needs an endpoint.
 func (p *placement) cancelRemote(placer *peer, handle uint64) {
 	p.sendProgress(placer, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome_RUN_LEFT})
 }
@@ -236,14 +241,14 @@
 	p.d.peers.send(&schema.PeerNote{Progress: []*schema.RunProgress{m}}, to.addr)
 }
 
-// avoidPlacer leaves a placer alone that did not answer.
+// avoidPlacer stops using a placer that did not answer, for placerAvoidTime.
 func (p *placement) avoidPlacer(placer *peer) {
 	p.d.peers.setAvoidUntil(placer, p.d.now()+placerAvoidTime)
 	p.d.log.Warn().Str("placer", placer.addr.String()).Int("asks", maxPlaceRequests).Dur("for", placerAvoidTime).Msg("placer_lost")
 	p.updatePlacer()
 }
 
-// recordEvents says that n recordEvents of a stream came.
+// recordEvents records n events of a response.
 func (p *placement) recordEvents(handle uint64, n int) {
 	p.d.sched.recordEvents(handle, n)
 	p.mu.Lock()
@@ -258,7 +263,7 @@
 	}
 }
 
-// endRun says that a request is over at its endpoint.
+// endRun records that a request has ended at its endpoint.
 func (p *placement) endRun(handle uint64, o dispatch.Outcome) {
 	p.d.sched.endRun(handle, o)
 	p.mu.Lock()
@@ -270,7 +275,8 @@
 	}
 }
 
-// addRunState adds what the placer needs to see that it knows all requests of this VM.
+// addRunState adds the handles of this VM's requests, which the placer compares with those that
+// it has.
 func (p *placement) addRunState(n *schema.PeerNote) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -284,7 +290,7 @@
 	}
 }
 
-// handleDecisions takes in answers of placers.
+// handleDecisions processes the placement decisions in a note.
 func (p *placement) handleDecisions(n *schema.PeerNote, from *net.UDPAddr) {
 	for _, m := range n.PlaceDecisions {
 		p.mu.Lock()
@@ -295,18 +301,18 @@
 			select {
 			case a.decisions <- m:
 			default:
-				// It has an answer already; the placer repeats this one.
+				// The buffer is full; the placer sends its decision again.
 			}
 			continue
 		}
 		if m.Verdict == schema.PlaceDecision_PLACED && !known {
-			// Too late: the request was placed here meanwhile, or its caller left.
+			// Too late: the request has been placed locally, or its caller has disconnected.
 			p.d.peers.send(&schema.PeerNote{Progress: []*schema.RunProgress{{Handle: m.Handle, Ended: true, Outcome: schema.RunOutcome_RUN_LEFT}}}, from)
 		}
 	}
 }
 
-// placeRequestNote is the message that asks for a place.
+// placeRequestNote returns the note that requests a placement.
 func (p *placement) placeRequestNote(j dispatch.Job) *schema.PeerNote {
 	now := p.d.now()
 	m := &schema.PlaceAsk{
@@ -323,7 +329,7 @@
 
 func micros(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// setAvoidUntil leaves a VM out of the choice of placers for a time.
+// setAvoidUntil excludes a VM from selection as placer until a time.
 func (p *peers) setAvoidUntil(pe *peer, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// aliveTimeout is how long after its last note a VM counts as alive, or aliveNotes of
-	// its usual times between two notes, which are longer in large failure domains. Few
-	// notes are lost.
+	// A VM counts as alive for aliveTimeout after its last note, or for aliveIntervals times its
+	// usual interval between notes if that is longer, as in large failure domains. Few notes are
+	// lost.
 	aliveTimeout   = time.Second
 	aliveIntervals = 4
-	// unseenTimeout is how long a VM that was never heard counts as alive after it was learned
-	// of: notes come in turns, seconds apart in a large failure domain.
+	// unseenTimeout is how long a newly discovered VM counts as alive before its first note:
+	// notes are sent in rotation, seconds apart in a large failure domain.
 	unseenTimeout = 4 * time.Second
-	// intervalWeight is the weight of one time between two notes in the usual one.
+	// intervalWeight is the weight of the latest interval between notes in the moving average.
 	intervalWeight = 0.2
-	// configFetchTimeout bounds the fetching of a configuration from another VM.
+	// configFetchTimeout limits the time to fetch a configuration from another VM.
 	configFetchTimeout = 700 * time.Millisecond
 	// readerHashKey is hashed with the VMs' addresses to choose the reader.
 	readerHashKey = "store-reader"
 )
 
-// isStoreReader says whether this VM isStoreReader the store for its failure domain: the first
-// by rendezvous hashing of those alive that did not fail to read it. VMs may disagree
-// for a moment; then two read, or none does and each isStoreReader for itself after a while.
-// VMs that were not heard yet count: in the first seconds each VM has heard few others,
-// and each would read for its failure domain.
+// isStoreReader reports whether this VM reads the store for its failure domain: the reader is the
+// first by rendezvous hashing of the VMs that are alive and did not fail to read the store. VMs
+// may disagree for a moment; then two read, or none does and each VM reads for itself after a
+// while. VMs without a note so far are included: in the first seconds each VM has received notes
+// from few others, and each would become a reader.
 func (p *peers) isStoreReader() bool {
 	now := p.d.now()
 	if p.d.registryLost(now) {
@@ -52,18 +52,20 @@
 	return true
 }
 
-// isAlive says whether the VM counts as alive.
+// isAlive reports whether a recent note was received from the VM.
 func (pe *peer) isAlive(now time.Duration) bool {
 	return pe.heard > 0 && now-pe.heard < max(aliveTimeout, aliveIntervals*pe.every)
 }
 
-// presumedAlive says whether the VM is alive as far as is known, heard or not yet.
+// presumedAlive reports whether the VM is alive as far as is known, including a new VM without a
+// note so far.
 func (pe *peer) presumedAlive(now time.Duration) bool {
 	return pe.isAlive(now) || pe.heard == 0 && now-pe.learned < unseenTimeout
 }
 
-// recordContact notes that the VM spoke. A silence counts as no more than aliveFor, or a VM that
-// was away would count as alive for long after.
+// recordContact records that a note was received from the VM. A gap counts as at most
+// aliveIntervals times aliveTimeout in the average, or a VM that was away would count as alive
+// for long after.
 func (pe *peer) recordContact(now time.Duration) {
 	if pe.heard > 0 {
 		pe.every += time.Duration(intervalWeight * float64(min(now-pe.heard, aliveIntervals*aliveTimeout)-pe.every))
@@ -71,9 +73,9 @@
 	pe.heard, pe.silent = now, false
 }
 
-// configWatched says whether a VM of this failure domain follows the
-// configuration in the store. In the first moments of a process none was heard yet, and
-// the one that should is taken to.
+// configWatched reports whether a VM of this failure domain follows the configuration in the
+// store. In the first moments of a process no notes have been received yet, and the reader is
+// assumed to follow it.
 func (p *peers) configWatched() bool {
 	now := p.d.now()
 	if now < aliveTimeout {
@@ -91,16 +93,17 @@
 
 func (p *peers) setFollowsConfig(v bool) { p.follows.Store(v) }
 
-// relayPartBytes is about how much of the registry one note passes on before it is packed;
-// longer notes are not sent. When all endpoints start, 82 and more change between two reads.
+// relayPartBytes is the approximate size of the registry records in one note before compression;
+// notes beyond maxDatagram are not sent. When all endpoints start, 82 or more records change
+// between two reads.
 const relayPartBytes = maxDatagram / 2
 
-// maxUnpackedBytes bounds the records of one note, in bytes.
+// maxUnpackedBytes limits the size of the decompressed records of one note.
 const maxUnpackedBytes = 4 * maxDatagram
 
-// packPart compresses a part's records, which are much alike, to a fifth or less. The reader
-// sends each part to all of its failure domain at once: unpacked they fill its link, most notes
-// are lost, and all read the store instead.
+// packPart compresses a part's records, which are very similar, to a fifth of their size or less.
+// The reader sends each part to its whole failure domain at once: uncompressed parts fill its
+// link, most notes are lost, and all VMs read the store instead.
 func packPart(part *schema.EndpointRelay) (*schema.EndpointRelay, error) {
 	if len(part.Records) == 0 {
 		return part, nil
@@ -123,7 +126,7 @@
 	return &schema.EndpointRelay{From: part.From, Next: part.Next, Era: part.Era, Before: part.Before, Packed: out.Bytes()}, nil
 }
 
-// unpackPart puts a packed part's records back.
+// unpackPart decompresses the records of a part in place.
 func unpackPart(part *schema.EndpointRelay) error {
 	if len(part.Packed) == 0 {
 		return nil
@@ -140,10 +143,10 @@
 	return nil
 }
 
-// splitParts divides what was read of the registry into parts that fit into notes. Each part
-// covers a span of offsets, so that a VM that misses one knows from the next; without
-// records the only part says that the span was read. The i-th record is that at offset
-// from+i; changed are the indexes of those to pass on.
+// splitParts splits what was read of the registry into parts that fit into notes. Each part
+// covers a range of offsets, so that a VM that misses a part detects it from the next one;
+// without records the only part states that the range was read. The i-th record is at offset
+// from+i; changed holds the indexes of the records to send.
 func splitParts(from uint64, next Position, records []Record, changed []int) []*schema.EndpointRelay {
 	part := &schema.EndpointRelay{From: from, Era: next.Era}
 	parts := []*schema.EndpointRelay{part}
@@ -163,7 +166,7 @@
 	return parts
 }
 
-// relayParts passes on to the VMs of the own failure domain what was read of the registry.
+// relayParts sends what was read of the registry to the other VMs of this failure domain.
 func (p *peers) relayParts(parts []*schema.EndpointRelay) {
 	to := p.domain()
 	for _, part := range parts {
@@ -178,8 +181,8 @@
 	}
 }
 
-// handleRelay takes what a note says of the store. What does not fit into the
-// buffers is lost, and read from the store later.
+// handleRelay processes what a note contains from the store. Whatever does not fit into the
+// buffers is dropped and later read from the store.
 func (p *peers) handleRelay(n *schema.PeerNote) {
 	if n.Endpoints != nil {
 		if err := unpackPart(n.Endpoints); err != nil {
@@ -203,7 +206,7 @@
 	}
 }
 
-// fetchConfig asks a VM for the configuration that it serves by.
+// fetchConfig fetches the configuration that another VM has in force.
 func (p *peers) fetchConfig(ctx context.Context, h configHint) (*Record, []*schema.Rollout, error) {
 	ctx, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
@@ -219,7 +222,7 @@
 	return &Record{Key: reply.Record.Key, Value: reply.Record.Value}, reply.Rollouts, nil
 }
 
-// relayServer answers other VMs.
+// relayServer serves requests of other VMs.
 type relayServer struct{ d *Daemon }
 
 func (p *peers) relayHandler() http.Handler { return schema.NewRelayServer(&relayServer{p.d}) }
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// decisionGracePeriod is how old a decision must be before a note that does not name it
-	// counts: notes may have left before the decision came.
+	// decisionGracePeriod is how long a decision is kept although notes do not list its request: such
+	// notes may have been sent before the decision arrived.
 	decisionGracePeriod = 300 * time.Millisecond
-	// requesterTimeout is after how long without a note another VM's requests are
-	// dropped: it is dead or cut off, and places for itself.
+	// requesterTimeout is the time without a note after which another VM's requests are dropped:
+	// it is down or partitioned, and places its requests itself.
 	requesterTimeout = 1500 * time.Millisecond
 )
 
-// remoteJobs are the requests of other VMs that this one places. A lost datagram is made
-// up for by the notes, which name all requests: what the other VM does not name is
-// over, what it waits for is told again.
+// remoteJobs holds the requests of other VMs that this VM places. Lost datagrams are recovered
+// through the notes, which list all requests: a request that a note does not list has ended, and
+// the decision on one that it lists as waiting is sent again.
 type remoteJobs struct {
 	d *Daemon
 
 	mu   sync.Mutex
 	jobs map[uint64]*remoteJob
-	// requesters are the VMs that ask, by their address.
+	// requesters holds the VMs that send placement requests, by address.
 	requesters map[string]*requester
 }
 
-// requester is a VM that asks this one. Its requests are kept by VM: each note is compared
-// with what is known of the one's requests, not of all.
+// requester is a VM that sends placement requests to this one. Requests are kept per VM, so that
+// each note is compared with the requests of its sender only.
 type requester struct {
-	// lastSeen is when it spoke last.
+	// lastSeen is when the last message was received.
 	lastSeen time.Duration
 	jobs     map[uint64]*remoteJob
 }
@@ -44,6 +44,7 @@
 	addr      *net.UDPAddr
 	requester *requester
 	service   string
+	// changedAt is when the request was received or decided.
 	changedAt time.Duration
 	// decision is nil while the request waits.
 	decision *schema.PlaceDecision
@@ -53,10 +54,10 @@
 	return &remoteJobs{d: d, jobs: make(map[uint64]*remoteJob), requesters: make(map[string]*requester)}
 }
 
-// acceptsJobs says whether this VM places requests for others.
+// acceptsJobs reports whether this VM places requests for others.
 func (r *remoteJobs) acceptsJobs() bool { return r.d.ready() && r.d.peers.eligible.Load() }
 
-// handleNote takes in what another VM asks, and how its requests go.
+// handleNote processes the placement requests of another VM, and the progress of its requests.
 func (r *remoteJobs) handleNote(n *schema.PeerNote, from *net.UDPAddr) {
 	for _, m := range n.PlaceAsks {
 		r.handleRequest(m, from)
@@ -69,7 +70,7 @@
 	}
 }
 
-// handleRequest queues one request and answers.
+// handleRequest queues one placement request and replies.
 func (r *remoteJobs) handleRequest(m *schema.PlaceAsk, from *net.UDPAddr) {
 	if !r.acceptsJobs() {
 		r.sendDecision(from, &schema.PlaceDecision{Handle: m.Handle})
@@ -100,7 +101,7 @@
 	}
 }
 
-// recordContact notes that a VM that asks spoke.
+// recordContact records that a message was received from a requester.
 func (r *remoteJobs) recordContact(from *net.UDPAddr) *requester {
 	address := from.String()
 	a := r.requesters[address]
@@ -112,7 +113,7 @@
 	return a
 }
 
-// isWaiting says whether a request has no decision yet.
+// isWaiting reports whether a request has no decision yet.
 func (r *remoteJobs) isWaiting(handle uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +121,7 @@
 	return job != nil && job.decision == nil
 }
 
-// resendDecision says again what is known of a request.
+// resendDecision sends the state of a request again.
 func (r *remoteJobs) resendDecision(handle uint64, to *net.UDPAddr) {
 	r.mu.Lock()
 	job := r.jobs[handle]
@@ -139,8 +140,8 @@
 	r.d.peers.send(&schema.PeerNote{PlaceDecisions: []*schema.PlaceDecision{m}}, to)
 }
 
-// deliver passes a decision on to the VM that asked. It reports false if the request
-// is nobody's.
+// deliver sends a decision to the VM that requested it. It returns false if the request is not
+// known.
 func (r *remoteJobs) deliver(dec dispatch.Decision) bool {
 	r.mu.Lock()
 	job := r.jobs[dec.Handle]
@@ -156,14 +157,15 @@
 	if dec.Endpoint != nil {
 		m.Verdict, m.Endpoint, m.Counted = schema.PlaceDecision_PLACED, dispatch.NameOf(dec.Endpoint.Key()), dec.Counted
 	}
-	// A refusal is kept until the other VM no longer names the request, to be told again.
+	// A refusal is kept until the other VM no longer lists the request, so that it can be sent
+	// again.
 	job.decision, job.changedAt = m, r.d.now()
 	r.mu.Unlock()
 	r.sendDecision(job.addr, m)
 	return true
 }
 
-// handleProgress takes in how a request goes.
+// handleProgress processes the progress of a request.
 func (r *remoteJobs) handleProgress(m *schema.RunProgress) {
 	if m.Started {
 		r.d.sched.recordEvents(m.Handle, 1)
@@ -173,7 +175,7 @@
 	}
 }
 
-// drop ends a request, whether it waits or runs.
+// drop ends a request, whether it is waiting or running.
 func (r *remoteJobs) drop(handle uint64, o dispatch.Outcome) {
 	r.mu.Lock()
 	job := r.jobs[handle]
@@ -187,7 +189,7 @@
 	}
 }
 
-// reconcile compares what another VM names with what is known of its requests.
+// reconcile compares the requests that another VM lists with those known of it.
 func (r *remoteJobs) reconcile(n *schema.PeerNote, from *net.UDPAddr) {
 	named := make(map[uint64]bool, len(n.Placed)+len(n.Waiting))
 	for _, h := range n.Placed {
@@ -217,7 +219,7 @@
 	}
 }
 
-// expireRequesters drops the requests of VMs that have fallen silent.
+// expireRequesters drops the requests of VMs that have stopped sending messages.
 func (r *remoteJobs) expireRequesters() {
 	now := r.d.now()
 	var ended []uint64
@@ -235,7 +237,7 @@
 	}
 }
 
-// requesterAddresses are the VMs that ask this one.
+// requesterAddresses returns the addresses of the VMs that send placement requests to this one.
 func (r *remoteJobs) requesterAddresses() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,7 +248,7 @@
 	return set
 }
 
-// dispatchJob is the request as this VM's scheduler sees it.
+// dispatchJob converts a placement request to a job for this VM's scheduler.
 func (r *remoteJobs) dispatchJob(m *schema.PlaceAsk) dispatch.Job {
 	now := r.d.now()
 	j := dispatch.Job{
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -9,16 +9,16 @@
 	"github.com/chivefield/chivefield/core/budget"
 )
 
-// retryBudgets are this process's budgets of repeats, by service.
+// retryBudgets holds this process's retry budgets, one per service.
 type retryBudgets struct {
 	d *Daemon
-	// fleetKnown says that the list of VMs was read after this VM's record was written, noRecentPredecessor that
-	// the process before this one, if there was any, started long ago.
+	// fleetKnown is set once the list of VMs was read after this VM's record was written,
+	// noRecentPredecessor if the previous process of this VM started long ago or there was none.
 	fleetKnown, noRecentPredecessor atomic.Bool
 
 	mu      sync.Mutex
 	budgets map[string]*budget.Budget
-	// lastLogged is what the last line on a service's budget said.
+	// lastLogged holds the counts in the last log line for each service.
 	lastLogged map[string]budget.Counts
 }
 
@@ -26,20 +26,20 @@
 	return &retryBudgets{d: d, budgets: make(map[string]*budget.Budget), lastLogged: make(map[string]budget.Counts)}
 }
 
-// setFleetKnown says that the list of VMs is known as of this VM's own record.
+// setFleetKnown records that a list of VMs was read that includes this VM's own record.
 func (r *retryBudgets) setFleetKnown(noRecentPredecessor bool) {
 	r.noRecentPredecessor.Store(noRecentPredecessor)
 	r.fleetKnown.Store(true)
 }
 
-// recordRequest earns for one recordRequest of a caller to a service.
+// recordRequest adds what one request of a caller earns to the service's budget.
 func (r *retryBudgets) recordRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budgetFor(service).Request(r.d.now())
 }
 
-// acquire takes one repeat off the service's budget.
+// acquire takes one retry from the service's budget.
 func (r *retryBudgets) acquire(service string) (budget.Repeat, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,14 +54,14 @@
 	return p, true
 }
 
-// renew says whether a repeat that was paid may leave now.
+// renew reports whether an acquired retry may be sent now, and re-acquires it if it has expired.
 func (r *retryBudgets) renew(service string, p budget.Repeat) (budget.Repeat, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budgetFor(service).Renew(r.d.now(), p)
 }
 
-// recordSent notes that a repeat left for an endpoint.
+// recordSent records that a retry was sent to an endpoint.
 func (r *retryBudgets) recordSent(service string, p budget.Repeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,15 +69,16 @@
 	r.d.count("repeats_sent." + service)
 }
 
-// release gives back a repeat that did not leave.
+// release returns a retry that was not sent to the budget.
 func (r *retryBudgets) release(service string, p budget.Repeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budgetFor(service).GiveBack(r.d.now(), p)
 }
 
-// fixedRetries is how many repeats of the fixedRetries number this process may send in a window. One that follows
-// another soon has none until it has lived for a window: processes in series would send some each.
+// fixedRetries returns how many retries of the budget's fixed part this process may send in a
+// window. A process that started soon after its predecessor gets none until it has been up for a
+// window: otherwise a series of restarting processes would each send some.
 func (r *retryBudgets) fixedRetries() int {
 	if !r.fleetKnown.Load() || !r.noRecentPredecessor.Load() && r.d.now() < r.d.settings.RetryWindow {
 		return 0
@@ -94,7 +95,7 @@
 	return b
 }
 
-// retryPermit are what one request paid for: at most the next time that it is sent.
+// retryPermit holds the retry acquired for one request: at most the next time that it is sent.
 type retryPermit struct {
 	budgets *retryBudgets
 	service string
@@ -102,7 +103,7 @@
 	permit  budget.Repeat
 }
 
-// acquire pays for the next time, unless that is done.
+// acquire acquires a retry unless one is held, and reports whether one is held.
 func (r *retryPermit) acquire() bool {
 	if !r.held {
 		r.permit, r.held = r.budgets.acquire(r.service)
@@ -110,7 +111,7 @@
 	return r.held
 }
 
-// adopt takes over what was paid elsewhere.
+// adopt takes over a retry that was acquired by the stall watchdog.
 func (r *retryPermit) adopt(p budget.Repeat) {
 	if r.held {
 		r.budgets.release(r.service, p)
@@ -119,7 +120,7 @@
 	r.permit, r.held = p, true
 }
 
-// renew says whether the next time is paid, as of now.
+// renew reports whether the held retry, if any, may still be sent.
 func (r *retryPermit) renew() bool {
 	if r.held {
 		r.permit, r.held = r.budgets.renew(r.service, r.permit)
@@ -127,13 +128,13 @@
 	return r.held
 }
 
-// recordSent says that the request was recordSent once more.
+// recordSent records that the held retry was sent.
 func (r *retryPermit) recordSent() {
 	r.held = false
 	r.budgets.recordSent(r.service, r.permit)
 }
 
-// release gives back what was paid and not used.
+// release returns an unused retry to the budget.
 func (r *retryPermit) release() {
 	if r.held {
 		r.held = false
@@ -141,10 +142,11 @@
 	}
 }
 
-// budgetLogInterval is how often the budgets are logged, those of which repeats were asked.
+// budgetLogInterval is how often the budgets are logged from which retries were requested.
 const budgetLogInterval = 5 * time.Second
 
-// logPeriodically logs the budgets now and then, so that the sum over all VMs can be had afterwards.
+// logPeriodically logs the budgets at an interval and at shutdown, so that the total over all VMs
+// can be computed from the logs.
 func (r *retryBudgets) logPeriodically(ctx context.Context) error {
 	t := time.NewTicker(budgetLogInterval)
 	defer t.Stop()
@@ -159,7 +161,7 @@
 	}
 }
 
-// logChanges logs the budgets that changed by more than what they earned.
+// logChanges logs the budgets in which more has changed than the number of requests.
 func (r *retryBudgets) logChanges() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/scheduling.go
+++ b/entry/scheduling.go
@@ -13,8 +13,8 @@
 	"github.com/chivefield/chivefield/core/mechanism"
 )
 
-// sharedScheduler lets the goroutines of requests use the scheduler, and brings each
-// its decision.
+// sharedScheduler makes the scheduler safe for concurrent use and delivers its decisions to the
+// waiting requests.
 type sharedScheduler struct {
 	now func() time.Duration
 
@@ -22,21 +22,22 @@
 	sched         *dispatch.Scheduler
 	members       *members.Set
 	syncedVersion uint64
-	// probe opens a connection to an endpoint and reports with probeEnded.
+	// probe opens a connection to an endpoint and reports the result with recordProbe.
 	probe func(dispatch.Probe)
-	// countInvalid counts quantities that cannot be.
+	// countInvalid counts values that are out of range.
 	countInvalid func(n int)
-	// onDepartures takes the incarnations that may not get requests any more.
+	// onDepartures is called with the incarnations that may no longer get requests.
 	onDepartures func([]members.Departure)
 	// logEjection logs an ejection or its end.
 	logEjection func(dispatch.EjectionChange)
 	table       *routing.Table
-	// filterUsable are those of a service's endpoints that may get requests.
+	// filterUsable returns those of a service's endpoints that may get requests.
 	filterUsable func(now time.Duration, service string, list []*members.Endpoint) []*members.Endpoint
-	// deliverRemote takes decisions on requests of other VMs.
+	// deliverRemote delivers decisions on requests of other VMs. It returns false if the request
+	// is not known.
 	deliverRemote func(dispatch.Decision) bool
 	waiters       map[uint64]chan dispatch.Decision
-	// cancels end cancels whose endpoint has started anew.
+	// cancels holds functions that cancel attempts whose endpoint has restarted, by handle.
 	cancels map[uint64]context.CancelFunc
 }
 
@@ -46,8 +47,8 @@
 	return s
 }
 
-// tickInterval is how often waiting requests are looked at. Most are placed when a
-// run ends; ticks only find those whose time ran out.
+// tickInterval is how often waiting requests are checked. Most are placed when a run ends; ticks
+// only find those that have timed out.
 const tickInterval = 20 * time.Millisecond
 
 func (s *sharedScheduler) run(ctx context.Context) error {
@@ -95,7 +96,7 @@
 			continue
 		}
 		if !s.deliverRemote(d) && d.Endpoint != nil {
-			// Its VM gave it up meanwhile.
+			// The VM that sent the request has withdrawn it.
 			s.deliver(s.sched.End(s.now(), d.Handle, dispatch.Left))
 		}
 	}
@@ -108,7 +109,7 @@
 	s.deliver(s.sched.Submit(s.now(), j))
 }
 
-// withdrawRemote ends a request of another VM, whether it waits or runs.
+// withdrawRemote ends a request of another VM, whether it is waiting or running.
 func (s *sharedScheduler) withdrawRemote(service string, handle uint64, o dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,44 +117,48 @@
 	s.deliver(s.sched.End(s.now(), handle, o))
 }
 
-// adopt notes that another VM placed a request; nil and why if its endpoint may not be
-// used.
+// adopt records that another VM placed a request. It returns nil and the reason if the endpoint
+// may not be used.
 func (s *sharedScheduler) adopt(j dispatch.Job, name uint64, first time.Duration, ahead int) (*dispatch.Decision, dispatch.Unusable) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.Adopt(s.now(), j, name, first, ahead)
 }
 
-// takeOwnership makes an adopted request this VM's.
+// takeOwnership makes an adopted request count towards this VM's own load: the VM that placed it no
+// longer counts it.
 func (s *sharedScheduler) takeOwnership(handle uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.Own(handle)
 }
 
-// unavailable are the endpoints of a service that cannot be reached from here, or want nothing from this VM.
+// unavailable returns the hashes of the endpoints of a service that cannot be reached from here,
+// or that have asked this VM to back off.
 func (s *sharedScheduler) unavailable(service string) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.Barred(s.now(), service)
 }
 
-// backoffWait is how long all endpoints of a service that were not tried want nothing from this VM.
+// backoffWait returns for how long all untried endpoints of a service have asked this VM to back
+// off.
 func (s *sharedScheduler) backoffWait(service string, tried []uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.RestWait(s.now(), service, tried)
 }
 
-// setBackoff sets when an endpoint wants requests of this VM again, and of others that it asked for rest.
+// setBackoff sets until when an endpoint has asked this VM to back off, and until when it has
+// asked others.
 func (s *sharedScheduler) setBackoff(endpoint uint64, own, others time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.SetRest(endpoint, own, others)
 }
 
-// setPlacer uses the endpoints that the VM chooses which places this one's requests; asks
-// says that it is another.
+// setPlacer makes the scheduler use the endpoints that the given VM chooses, which places this
+// VM's requests; remote is set if it is another VM.
 func (s *sharedScheduler) setPlacer(vm string, remote bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,8 +167,7 @@
 	s.syncEndpoints()
 }
 
-// place asks for an endpoint and waits for the decision; ok is false if ctx
-// ended first.
+// place submits a job and waits for the decision. ok is false if ctx ended first.
 func (s *sharedScheduler) place(ctx context.Context, j dispatch.Job) (dispatch.Decision, bool) {
 	c := make(chan dispatch.Decision, 1)
 	s.mu.Lock()
@@ -182,7 +186,7 @@
 		s.sched.Withdraw(s.now(), j.Service, j.Handle)
 		return dispatch.Decision{}, false
 	}
-	// It was placed meanwhile; the room is given back.
+	// The job has been placed in the meantime; release its slot.
 	s.deliver(s.sched.End(s.now(), j.Handle, dispatch.Left))
 	return dispatch.Decision{}, false
 }
@@ -193,7 +197,7 @@
 	s.sched.Events(s.now(), handle, n)
 }
 
-// hasAlternative says whether another endpoint could serve a request.
+// hasAlternative reports whether another endpoint could serve a request.
 func (s *sharedScheduler) hasAlternative(service string, tried []uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,14 +211,14 @@
 	s.deliver(s.sched.End(s.now(), handle, o))
 }
 
-// cancelOnRestart ends an attempt when its endpoint has started anew.
+// cancelOnRestart registers cancel to be called if the endpoint of an attempt restarts.
 func (s *sharedScheduler) cancelOnRestart(handle uint64, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancels[handle] = cancel
 }
 
-// setTable tells which services are model engines.
+// setTable applies a new routing table, which states which services are model engines.
 func (s *sharedScheduler) setTable(t *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,7 +227,7 @@
 	s.syncEndpoints()
 }
 
-// updateMembers changes the known endpoints.
+// updateMembers applies a change to the known endpoints.
 func (s *sharedScheduler) updateMembers(change func(now time.Duration, m *members.Set)) {
 	s.mu.Lock()
 	change(s.now(), s.members)
@@ -233,26 +237,27 @@
 	s.onDepartures(departures)
 }
 
-// isServing says whether the registry lists an incarnation that does not leave.
+// isServing reports whether the registry lists an incarnation and it is not leaving.
 func (s *sharedScheduler) isServing(e *members.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Serving(e)
 }
 
-// controlProbes are endpoints to which connections should open while they do not to another.
+// controlProbes returns probes of other endpoints, which tell whether only e cannot be reached or this
+// VM has lost its own connectivity.
 func (s *sharedScheduler) controlProbes(e *members.Endpoint) []dispatch.Probe {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sched.Controls(s.now(), e.Key(), e.FailureDomain)
 }
 
-// markLeaving ends the use of an endpoint that has said that it leaves.
+// markLeaving stops the use of an endpoint that has reported that it is leaving.
 func (s *sharedScheduler) markLeaving(endpoint uint64) {
 	s.updateMembers(func(_ time.Duration, m *members.Set) { m.Leave(endpoint) })
 }
 
-// clearNotice drops what an endpoint said of itself that is gone.
+// clearNotice removes what an endpoint that is gone had reported about itself.
 func (s *sharedScheduler) clearNotice(endpoint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,7 +266,8 @@
 	s.members.ForgetLeft(endpoint)
 }
 
-// setRateLimit sets how many requests a second an endpoint takes, or that it takes any.
+// setRateLimit sets how many requests per second an endpoint accepts, or removes the limit if it
+// reports none.
 func (s *sharedScheduler) setRateLimit(endpoint uint64, n notice.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,28 +278,29 @@
 	s.sched.SetLimit(s.now(), endpoint, n.Limit)
 }
 
-// setCoverage says how many VMs the placers that are heard serve, of those known.
+// setCoverage records how many of the known VMs are served by the placers from which notes are
+// received.
 func (s *sharedScheduler) setCoverage(served, known int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.SetReach(s.now(), served, known)
 }
 
-// isListed says whether the registry isListed an incarnation, by its short name.
+// isListed reports whether the registry lists an incarnation, given its hash.
 func (s *sharedScheduler) isListed(endpoint uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Lists(endpoint)
 }
 
-// reportUnreachable says that nothing listens at an endpoint's address.
+// reportUnreachable records that nothing listens at an endpoint's address.
 func (s *sharedScheduler) reportUnreachable(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sched.Doubt(s.now(), key)
 }
 
-// resync takes over a change of what endpoints may be used for.
+// resync updates the scheduler after a change in which endpoints may be used.
 func (s *sharedScheduler) resync() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -301,14 +308,14 @@
 	s.syncEndpoints()
 }
 
-// isCold says whether an endpoint is still slow after its start.
+// isCold reports whether an endpoint is still slow because it has just started.
 func (s *sharedScheduler) isCold(e *members.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Cold(s.now(), e)
 }
 
-// syncEndpoints gives the scheduler the usable endpoints if they changed.
+// syncEndpoints passes the usable endpoints to the scheduler if they have changed.
 func (s *sharedScheduler) syncEndpoints() {
 	if s.table == nil || s.syncedVersion == s.members.Version() && s.syncedVersion != 0 {
 		return
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// firstEventTimeout is how long a request that may be repeated waits at least for a
-	// first sign of an endpoint before it goes on to another, and stallFactor how
-	// many times the expected time. An endpoint that went dark behind an open
-	// connection never answers; its callers leave after two seconds.
+	// A retryable request is sent to another endpoint if the first event does not arrive within
+	// firstEventTimeoutFactor times the predicted time, or firstEventTimeout if that is longer.
+	// An endpoint that becomes unreachable behind an open connection never responds; its callers
+	// disconnect after two seconds.
 	firstEventTimeout       = time.Second
 	firstEventTimeoutFactor = 4
-	// nextEventTimeout is the same between two events of a stream.
+	// nextEventTimeout is the timeout between two events of a stream.
 	nextEventTimeout = time.Second
 )
 
-// stallWatchdog ends an attempt at an endpoint that has gone silent, if the request may
-// go on elsewhere.
+// stallWatchdog cancels an attempt at an endpoint that has stopped responding, if the request may
+// be retried elsewhere.
 type stallWatchdog struct {
 	mu       sync.Mutex
 	timer    *time.Timer
 	timedOut bool
-	// stopped says that the attempt is over, repeat is what was paid as it fell silent.
+	// stopped is set once the attempt is over, permit is the retry acquired when the attempt
+	// timed out.
 	stopped bool
 	permit  budget.Repeat
 }
 
-// startWatchdog starts to startWatchdog an attempt.
+// startWatchdog starts a watchdog for an attempt.
 func (c *callerRequest) startWatchdog(dec dispatch.Decision, cancel context.CancelFunc) *stallWatchdog {
 	w := &stallWatchdog{}
-	// This attempt counts too.
+	// The endpoint limit includes this attempt.
 	if c.d.settings.Off.Has(mechanism.StallRetry) || !c.route.Repeatable() || c.sendCount+1 >= c.route.MaxEndpoints {
 		return w
 	}
@@ -61,8 +62,8 @@
 	return w
 }
 
-// markTimedOut notes that the endpoint fell silent and that a repeat was paid, unless the attempt is
-// over.
+// markTimedOut records that the endpoint stopped responding and that a retry was acquired. It
+// returns false if the attempt is already over.
 func (s *stallWatchdog) markTimedOut(permit budget.Repeat) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,7 @@
 	return true
 }
 
-// recordEvent notes a recordEvent of life.
+// recordEvent restarts the timeout after an event.
 func (s *stallWatchdog) recordEvent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// stop ends the watch, and says whether the attempt was ended for silence.
+// stop stops the watchdog and reports whether it timed the attempt out.
 func (s *stallWatchdog) stop() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -11,22 +11,22 @@
 	"github.com/chivefield/chivefield/upstream"
 )
 
-// eventStream passes events of one request on, over one or more endpoints.
+// eventStream forwards the events of one request from one or more endpoints.
 type eventStream struct {
 	c *callerRequest
-	// headersSent says that the caller has the head of the answer.
+	// headersSent is set once the response headers have been sent to the caller.
 	headersSent bool
-	// lastEventID is the last whole event that the caller has.
+	// lastEventID is the ID of the last complete event sent to the caller.
 	lastEventID string
 	events      int
 	splitter    sse.Splitter
-	// firstAt and lastAt are when the firstAt and the lastAt events came, pause is the
-	// longest time between two.
+	// firstAt and lastAt are the times of the first and the last event, longestPause is the
+	// longest interval between two events.
 	firstAt, lastAt time.Time
 	longestPause    time.Duration
 }
 
-// recordEvent takes down when events came.
+// recordEvent records the arrival time of events.
 func (s *eventStream) recordEvent() {
 	now := time.Now()
 	if s.events == 0 {
@@ -38,10 +38,10 @@
 	s.events++
 }
 
-// readBufferSize is the buffer for events, in bytes.
+// readBufferSize is the size of the read buffer in bytes.
 const readBufferSize = 4 << 10
 
-// forward passes the events of one endpoint's answer on.
+// forward sends the events of one endpoint's response to the caller.
 func (s *eventStream) forward(ctx context.Context, handle uint64, resp *upstream.Answer, watchdog *stallWatchdog) attemptResult {
 	s.splitter.Reset()
 	buf := make([]byte, readBufferSize)
@@ -74,7 +74,7 @@
 	}
 }
 
-// finish ends the stream as complete.
+// finish sends what is left of the last event and records the stream as complete.
 func (s *eventStream) finish(resp *http.Response) attemptResult {
 	if torn := s.splitter.Torn(); len(torn) > 0 {
 		if err := s.writeEvents(resp, torn); err != nil {
@@ -95,7 +95,7 @@
 	s.c.d.observe("first_event", time.Since(s.c.arrived))
 }
 
-// writeEvents passes whole events on at once.
+// writeEvents sends complete events to the caller without delay.
 func (s *eventStream) writeEvents(resp *http.Response, events []byte) error {
 	if !s.headersSent {
 		s.writeHeaders(resp)
@@ -110,7 +110,7 @@
 	return http.NewResponseController(s.c.w).Flush()
 }
 
-// logStream says how a whole stream went, and whether it kept its objective.
+// logStream logs a complete stream and whether it met its objective.
 func (c *callerRequest) logStream(status int, s *eventStream) {
 	first := s.firstAt.Sub(c.arrived)
 	lateBy := ""
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -12,23 +12,24 @@
 	"github.com/chivefield/chivefield/core/routing"
 )
 
-// RequestHeaders is what a caller says of its request.
+// RequestHeaders holds what a caller's headers state about its request.
 type RequestHeaders struct {
-	// ID is unique to this sending of the request.
+	// ID is unique to each time that the request is sent.
 	ID string
 	// Key is the API key; empty if there is none.
 	Key string
-	// Timeout is how long the caller waits, if HasTimeLeft.
+	// Timeout is how long the caller waits, if HasTimeout is set.
 	Timeout    time.Duration
 	HasTimeout bool
-	// PromptTokens and MaxOutputTokens are tokens, if HasTokens.
+	// PromptTokens and MaxOutputTokens are valid if HasTokens is set.
 	PromptTokens, MaxOutputTokens int
 	HasTokens                     bool
-	// EstimatedOutputTokens is the caller's estimate of the output in tokens; 0 for none.
+	// EstimatedOutputTokens is the caller's estimate of the output; 0 if there is none.
 	EstimatedOutputTokens int
 	// Parts are the parts of the prompt in order.
 	Parts []PromptPart
-	// LastEventID is the last event that the caller has of a resumed stream.
+	// LastEventID is the ID of the last event that the caller received of a stream that it
+	// resumes.
 	LastEventID string
 }
 
@@ -38,62 +39,63 @@
 	Tokens int
 }
 
-// UpstreamHeaders is what the system tells an endpoint of a request.
+// UpstreamHeaders holds what is added to the headers of a request to an endpoint.
 type UpstreamHeaders struct {
-	// Endpoint is the incarnation that is meant.
+	// Endpoint is the ID of the incarnation that the request is meant for.
 	Endpoint     string
 	Organisation string
 	Timeout      time.Duration
-	// LastEventID is set where a stream goes on after an event.
+	// LastEventID is set if a stream resumes after an event.
 	LastEventID string
 }
 
-// ResponseHeaders is what an endpoint says of its answer.
+// ResponseHeaders holds what an endpoint's headers state about its response.
 type ResponseHeaders struct {
-	// ID is the request that the answer belongs to.
+	// ID identifies the request that the response belongs to.
 	ID string
-	// Sealed answers bear the endpoint's mark of authenticity.
+	// Sealed is set if the response carries the endpoint's seal, which shows that it is
+	// authentic.
 	Sealed bool
-	// NotExecuted says that the request was not run and never will be.
+	// NotExecuted is set if the request was not run and never will be.
 	NotExecuted bool
-	// Replaced says that another incarnation than the one meant answers.
+	// Replaced is set if an incarnation other than the addressed one responded.
 	Replaced bool
-	// Encoded bodies are not the endpoint's own.
+	// Encoded is set if the body has a content encoding, which endpoints do not apply themselves.
 	Encoded bool
-	// Notice is what the answering incarnation says of itself, Unreadable the headers of that which
-	// cannot be understood.
+	// Notice is what the responding incarnation reports about itself, HeaderErrors lists those of
+	// its headers that cannot be parsed.
 	Notice       notice.Notice
 	HeaderErrors []HeaderError
 }
 
-// HeaderError reports a header of an answer that cannot be understood.
+// HeaderError reports a response header that cannot be parsed.
 type HeaderError struct{ Header, Value string }
 
-// Error describes the failure.
+// Error implements error.
 func (e *HeaderError) Error() string { return fmt.Sprintf("header %s: %q", e.Header, e.Value) }
 
-// Codec translates between the wire and the product's types.
+// Codec converts between the wire format and the types of this package.
 type Codec interface {
 	ParseRequest(h http.Header) RequestHeaders
 	SetUpstreamHeaders(h http.Header, o UpstreamHeaders)
 	ParseResponse(resp *http.Response) ResponseHeaders
-	// SetRefusalHeaders marks an answer of the system's own to the request.
+	// SetRefusalHeaders sets the headers of a response that the VM itself sends for a request.
 	SetRefusalHeaders(h http.Header, id string)
 	ReadyPath() string
-	// DecodeConfig returns nil without an error for a record that holds none.
+	// DecodeConfig returns nil without an error for a record that holds no configuration.
 	DecodeConfig(r Record) (*routing.Document, error)
 	DecodeEndpoint(r Record) (members.Change, error)
-	// DecodeOrder returns nil without an error for a record that holds no order to move a service to
-	// another version.
+	// DecodeOrder returns nil without an error for a record that holds no rollout order for a
+	// service.
 	DecodeOrder(r Record) (*rollout.Order, error)
-	// DecodeRolloutStatus returns nil without an error for a record of FeedVMs that does not say how
-	// far an order is.
+	// DecodeRolloutStatus returns nil without an error for a record of FeedVMs that is not a
+	// rollout status.
 	DecodeRolloutStatus(r Record) (*RolloutStatus, error)
-	// EncodeRolloutStatus is the record of FeedVMs that says how far an order is.
+	// EncodeRolloutStatus returns the record of FeedVMs for a rollout status.
 	EncodeRolloutStatus(s RolloutStatus) (Record, error)
 }
 
-// RolloutStatus says how far the move of a service to a version is.
+// RolloutStatus is the phase of the rollout of a version of a service.
 type RolloutStatus struct {
 	Service, Version string
 	Phase            rollout.Phase
@@ -102,36 +104,36 @@
 // Feed is one of the platform's sources of records.
 type Feed int
 
-// Feeds.
+// The feeds of the platform's store.
 const (
 	// FeedConfig holds the operator's configuration.
 	FeedConfig Feed = iota
 	// FeedEndpoints is the registry of endpoints.
 	FeedEndpoints
-	// FeedVMs holds what the system's own VMs keep: their addresses, and the requests that
-	// ended endpoints.
+	// FeedVMs holds records written by the VMs themselves: their addresses, the convicted
+	// requests that terminated endpoints, and rollout statuses.
 	FeedVMs
 )
 
-// Record is a keyed record; without a value, the key was removed.
+// Record is a keyed record. A record without a value removes its key.
 type Record struct {
 	Key   string
 	Value []byte
-	// Position is where it lies, if that is known (Placed).
+	// Position is where the record lies in its feed, if HasPosition is set.
 	Position    Position
 	HasPosition bool
 }
 
-// Position is a place in a feed.
+// Position is a position in a feed.
 type Position struct {
-	// Era rises by one each time the store comes back from a copy of itself; offsets given
-	// out since that copy are given out again then.
+	// Era is incremented each time the store is restored from a backup. Offsets assigned after
+	// that backup was taken are then assigned again.
 	Era uint64
 	// Offset counts the records of the feed.
 	Offset uint64
 }
 
-// Before says whether a position is older than another.
+// Before reports whether p is older than q.
 func (p Position) Before(q Position) bool {
 	if p.Era != q.Era {
 		return p.Era < q.Era
@@ -141,47 +143,51 @@
 
 // Store is the platform's store.
 type Store interface {
-	// Snapshot reads the newest record of each key, and the position to read on from.
+	// Snapshot returns the latest record of each key, and the position from which to continue
+	// reading.
 	Snapshot(ctx context.Context, f Feed) (records []Record, next Position, err error)
-	// Read reads records from an offset on, waiting up to wait for the first. It
-	// returns the position to read on from, whose era is the store's, or a TrimmedError.
+	// Read returns records starting at an offset, waiting up to wait for the first one. It
+	// returns the position from which to continue reading, whose era is the store's, or a
+	// TrimmedError.
 	Read(ctx context.Context, f Feed, from uint64, wait time.Duration) ([]Record, Position, error)
-	// Write writes records of FeedVMs, all or none; one without a value removes its key.
+	// Write writes records of FeedVMs atomically; one without a value removes its key.
 	Write(ctx context.Context, records ...Record) error
-	// CompareAndWrite writes a record of FeedVMs if the feed still ends at a position; else it returns a
-	// ConflictError.
+	// CompareAndWrite writes a record of FeedVMs if the feed still ends at the position at.
+	// Otherwise it returns a ConflictError.
 	CompareAndWrite(ctx context.Context, r Record, at Position) error
 }
 
-// ConflictError reports a write that was not made, since others were since.
+// ConflictError reports a conditional write that failed because other records had been written.
 type ConflictError struct{ At Position }
 
-// Error describes the failure.
+// Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("the feed does not end at offset %d of era %d any more", e.At.Offset, e.At.Era)
+	return fmt.Sprintf("feed no longer ends at offset %d of era %d", e.At.Offset, e.At.Era)
 }
 
-// TrimmedError reports records that the store no longer keeps.
+// TrimmedError reports a read of records that the store no longer keeps.
 type TrimmedError struct{ From uint64 }
 
-// Error describes the failure.
-func (e *TrimmedError) Error() string { return fmt.Sprintf("records from %d on were trimmed", e.From) }
+// Error implements error.
+func (e *TrimmedError) Error() string {
+	return fmt.Sprintf("records from offset %d on have been trimmed", e.From)
+}
 
-// StaleEraError reports an answer from before the store came back from a copy.
+// StaleEraError reports a response from before the store was restored from a backup.
 type StaleEraError struct{ Era, Known uint64 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *StaleEraError) Error() string {
-	return fmt.Sprintf("the answer is of era %d, %d is known", e.Era, e.Known)
+	return fmt.Sprintf("response from era %d, but era %d is already known", e.Era, e.Known)
 }
 
-// DecodeError reports a record that cannot be understood.
+// DecodeError reports a record that cannot be decoded.
 type DecodeError struct {
 	Key string
 	Err error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *DecodeError) Error() string { return "record " + e.Key + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
