--- a/entry/caller.go
+++ b/entry/caller.go
@@ -252,19 +252,19 @@
 func (c *callerRequest) dispatchJob() dispatch.Job {
 	now := c.d.now()
 	arrived := now - time.Since(c.arrived)
-	limit := now + time.Until(c.deadline)
+	deadline := now + time.Until(c.deadline)
 	j := dispatch.Job{
 		Handle: c.d.lastHandle.Add(1), Service: c.service, Tier: c.route.Tier,
 		Prompt: c.reqHeaders.PromptTokens, Events: c.expectedEvents(), Tried: c.tried, Avoided: c.avoided,
-		Objective: arrived + c.route.Objective, Abandon: limit,
+		Objective: arrived + c.route.Objective, Abandon: deadline,
 		Request: c.digest, Suspicion: suspicionOf(c.d.suspects.look(c.digest)),
 	}
 	if c.org != nil {
 		j.Tier += c.org.Tier * maxRouteTiers
 	}
 	if c.route.Repeat == routing.Stream {
-		j.Abandon = min(limit, arrived+c.eventTimeout()) - disconnectMargin
-		j.MaxPause, j.Limit = c.route.MaxPause, limit
+		j.Abandon = min(deadline, arrived+c.eventTimeout()) - disconnectMargin
+		j.MaxPause, j.Limit = c.route.MaxPause, deadline
 	}
 	return j
 }
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -49,7 +49,7 @@
 
 // choosePlacer returns the address of the VM that places requests for this one, and its peer
 // record; nil if it is this VM.
-func (p *peers) choosePlacer(current string) (address string, to *peer) {
+func (p *peers) choosePlacer(current string) (address string, placer *peer) {
 	now := p.d.now()
 	self, willing := p.willingPlacers(now)
 	if p.d.settings.Off.Has(mechanism.Cells) {
--- a/entry/placing.go
+++ b/entry/placing.go
@@ -122,12 +122,12 @@
 // livePlacer returns the placer, or nil if no recent note was received from it.
 func (p *placement) livePlacer() *peer {
 	p.mu.Lock()
-	to := p.placer
+	placer := p.placer
 	p.mu.Unlock()
-	if to == nil || !p.d.peers.seenWithin(to, placerTimeout) {
+	if placer == nil || !p.d.peers.seenWithin(placer, placerTimeout) {
 		return nil
 	}
-	return to
+	return placer
 }
 
 // assignedPlacer returns the placer, whether or not it is alive.
@@ -140,9 +140,9 @@
 // requestPlacement asks the placer for a decision. localReason is set if this VM has to place the
 // request itself.
 func (p *placement) requestPlacement(ctx context.Context, placer *peer, j dispatch.Job) (dec dispatch.Decision, ok bool, localReason string) {
-	a := &pendingPlacement{placer: placer, decisions: make(chan *schema.PlaceDecision, decisionBuffer)}
+	pending := &pendingPlacement{placer: placer, decisions: make(chan *schema.PlaceDecision, decisionBuffer)}
 	p.mu.Lock()
-	p.pending[j.Handle] = a
+	p.pending[j.Handle] = pending
 	p.mu.Unlock()
 	defer p.removePending(j.Handle)
 	timer := time.NewTimer(placeRetryInterval)
@@ -150,10 +150,10 @@
 	p.d.peers.send(p.placeRequestNote(j), placer.addr)
 	for sent := 1; ; {
 		select {
-		case m := <-a.decisions:
+		case m := <-pending.decisions:
 			switch m.Verdict {
 			case schema.PlaceDecision_QUEUED:
-				p.markQueued(a)
+				p.markQueued(pending)
 				timer.Reset(placerTimeout)
 			case schema.PlaceDecision_REFUSED:
 				return refusedDecision(m), true, ""
@@ -164,7 +164,7 @@
 				return dec, false, localReasonUnknown
 			}
 		case <-timer.C:
-			if a.queued && p.livePlacer() == placer && p.d.now() < j.Abandon {
+			if pending.queued && p.livePlacer() == placer && p.d.now() < j.Abandon {
 				timer.Reset(min(placerTimeout, max(time.Millisecond, j.Abandon-p.d.now())))
 				continue
 			}
@@ -174,7 +174,7 @@
 				p.cancelRemote(placer, j.Handle)
 				return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonTooLate, RetryAfter: shortRetryAfter}, true, ""
 			}
-			if a.queued {
+			if pending.queued {
 				// The placer has stopped sending notes, or another VM is the placer now.
 				p.cancelRemote(placer, j.Handle)
 				return dec, false, localReasonPlacerChanged
@@ -194,10 +194,10 @@
 	}
 }
 
-func (p *placement) markQueued(a *pendingPlacement) {
+func (p *placement) markQueued(pending *pendingPlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a.queued = true
+	pending.queued = true
 }
 
 func (p *placement) removePending(handle uint64) {
@@ -283,8 +283,8 @@
 	for h := range p.remoteRuns {
 		n.Placed = append(n.Placed, h)
 	}
-	for h, a := range p.pending {
-		if a.queued {
+	for h, pending := range p.pending {
+		if pending.queued {
 			n.Waiting = append(n.Waiting, h)
 		}
 	}
@@ -294,12 +294,12 @@
 func (p *placement) handleDecisions(n *schema.PeerNote, from *net.UDPAddr) {
 	for _, m := range n.PlaceDecisions {
 		p.mu.Lock()
-		a := p.pending[m.Handle]
+		pending := p.pending[m.Handle]
 		known := p.remoteRuns[m.Handle] != nil
 		p.mu.Unlock()
-		if a != nil && a.placer.addr.String() == from.String() {
+		if pending != nil && pending.placer.addr.String() == from.String() {
 			select {
-			case a.decisions <- m:
+			case pending.decisions <- m:
 			default:
 				// The buffer is full; the placer sends its decision again.
 			}
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -86,9 +86,9 @@
 	r.mu.Lock()
 	known := r.jobs[m.Handle]
 	if known == nil {
-		a := r.recordContact(from)
-		job := &remoteJob{addr: from, requester: a, service: m.Service, changedAt: r.d.now()}
-		r.jobs[m.Handle], a.jobs[m.Handle] = job, job
+		req := r.recordContact(from)
+		job := &remoteJob{addr: from, requester: req, service: m.Service, changedAt: r.d.now()}
+		r.jobs[m.Handle], req.jobs[m.Handle] = job, job
 	}
 	r.mu.Unlock()
 	if known != nil {
@@ -104,13 +104,13 @@
 // recordContact records that a message was received from a requester.
 func (r *remoteJobs) recordContact(from *net.UDPAddr) *requester {
 	address := from.String()
-	a := r.requesters[address]
-	if a == nil {
-		a = &requester{jobs: make(map[uint64]*remoteJob)}
-		r.requesters[address] = a
+	req := r.requesters[address]
+	if req == nil {
+		req = &requester{jobs: make(map[uint64]*remoteJob)}
+		r.requesters[address] = req
 	}
-	a.lastSeen = r.d.now()
-	return a
+	req.lastSeen = r.d.now()
+	return req
 }
 
 // isWaiting reports whether a request has no decision yet.
@@ -198,14 +198,14 @@
 	now := r.d.now()
 	var resend, ended []uint64
 	r.mu.Lock()
-	a := r.recordContact(from)
+	req := r.recordContact(from)
 	for _, h := range n.Waiting {
 		named[h] = true
 		if job := r.jobs[h]; job == nil || job.decision != nil {
 			resend = append(resend, h)
 		}
 	}
-	for h, job := range a.jobs {
+	for h, job := range req.jobs {
 		if !named[h] && now-job.changedAt > decisionGracePeriod {
 			ended = append(ended, h)
 		}
@@ -224,12 +224,12 @@
 	now := r.d.now()
 	var ended []uint64
 	r.mu.Lock()
-	for address, a := range r.requesters {
-		if now-a.lastSeen < requesterTimeout {
+	for address, req := range r.requesters {
+		if now-req.lastSeen < requesterTimeout {
 			continue
 		}
 		delete(r.requesters, address)
-		ended = slices.AppendSeq(ended, maps.Keys(a.jobs))
+		ended = slices.AppendSeq(ended, maps.Keys(req.jobs))
 	}
 	r.mu.Unlock()
 	for _, h := range ended {
@@ -242,8 +242,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	set := make(map[string]bool, len(r.requesters))
-	for a := range r.requesters {
-		set[a] = true
+	for address := range r.requesters {
+		set[address] = true
 	}
 	return set
 }
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -55,25 +55,25 @@
 }
 
 // renew reports whether an acquired retry may be sent now, and re-acquires it if it has expired.
-func (r *retryBudgets) renew(service string, p budget.Repeat) (budget.Repeat, bool) {
+func (r *retryBudgets) renew(service string, permit budget.Repeat) (budget.Repeat, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budgetFor(service).Renew(r.d.now(), p)
+	return r.budgetFor(service).Renew(r.d.now(), permit)
 }
 
 // recordSent records that a retry was sent to an endpoint.
-func (r *retryBudgets) recordSent(service string, p budget.Repeat) {
+func (r *retryBudgets) recordSent(service string, permit budget.Repeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budgetFor(service).Sent(r.d.now(), p)
+	r.budgetFor(service).Sent(r.d.now(), permit)
 	r.d.count("repeats_sent." + service)
 }
 
 // release returns a retry that was not sent to the budget.
-func (r *retryBudgets) release(service string, p budget.Repeat) {
+func (r *retryBudgets) release(service string, permit budget.Repeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budgetFor(service).GiveBack(r.d.now(), p)
+	r.budgetFor(service).GiveBack(r.d.now(), permit)
 }
 
 // fixedRetries returns how many retries of the budget's fixed part this process may send in a
@@ -112,12 +112,12 @@
 }
 
 // adopt takes over a retry that was acquired by the stall watchdog.
-func (r *retryPermit) adopt(p budget.Repeat) {
+func (r *retryPermit) adopt(permit budget.Repeat) {
 	if r.held {
-		r.budgets.release(r.service, p)
+		r.budgets.release(r.service, permit)
 		return
 	}
-	r.permit, r.held = p, true
+	r.permit, r.held = permit, true
 }
 
 // renew reports whether the held retry, if any, may still be sent.
--- a/entry/scheduling.go
+++ b/entry/scheduling.go
@@ -119,10 +119,10 @@
 
 // adopt records that another VM placed a request. It returns nil and the reason if the endpoint
 // may not be used.
-func (s *sharedScheduler) adopt(j dispatch.Job, name uint64, first time.Duration, ahead int) (*dispatch.Decision, dispatch.Unusable) {
+func (s *sharedScheduler) adopt(j dispatch.Job, endpointHash uint64, firstEvent time.Duration, promptAhead int) (*dispatch.Decision, dispatch.Unusable) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sched.Adopt(s.now(), j, name, first, ahead)
+	return s.sched.Adopt(s.now(), j, endpointHash, firstEvent, promptAhead)
 }
 
 // takeOwnership makes an adopted request count towards this VM's own load: the VM that placed it no
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -64,32 +64,32 @@
 
 // markTimedOut records that the endpoint stopped responding and that a retry was acquired. It
 // returns false if the attempt is already over.
-func (s *stallWatchdog) markTimedOut(permit budget.Repeat) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stopped {
+func (w *stallWatchdog) markTimedOut(permit budget.Repeat) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return false
 	}
-	s.timedOut, s.permit = true, permit
+	w.timedOut, w.permit = true, permit
 	return true
 }
 
 // recordEvent restarts the timeout after an event.
-func (s *stallWatchdog) recordEvent() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.timer != nil && !s.timedOut {
-		s.timer.Reset(nextEventTimeout)
+func (w *stallWatchdog) recordEvent() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer != nil && !w.timedOut {
+		w.timer.Reset(nextEventTimeout)
 	}
 }
 
 // stop stops the watchdog and reports whether it timed the attempt out.
-func (s *stallWatchdog) stop() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.stopped = true
-	if s.timer != nil {
-		s.timer.Stop()
+func (w *stallWatchdog) stop() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	return s.timedOut
+	return w.timedOut
 }
