--- a/entry/amounts.go
+++ b/entry/amounts.go
@@ -52,9 +52,9 @@
 // distance returns the order in which a VM is asked, lower first.
 func (p *peers) distance(now time.Duration, pe *peer) int {
 	switch {
-	case !pe.heardLately(now):
+	case !pe.isAlive(now):
 		return 2
-	case pe.domain != p.d.set.Vm.FailureDomain:
+	case pe.domain != p.d.settings.Vm.FailureDomain:
 		return 1
 	}
 	return 0
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -32,9 +32,9 @@
 		delay.reset()
 		d.observeEra(list.era)
 		d.applyVMList(list)
-		d.retries.noteListed(d.apart)
+		d.retryBudgets.setFleetKnown(d.noRecentPredecessor)
 		d.claimRestartAllowance()
-		if d.peers.reads() {
+		if d.peers.isStoreReader() {
 			d.rewriteVMRecords(ctx, list)
 			d.pauseUntilRelist(ctx, readerListInterval)
 		} else {
@@ -62,7 +62,7 @@
 			return *before, nil
 		}
 	}
-	records, next, err := d.opts.Store.Newest(ctx, FeedVMs)
+	records, next, err := d.opts.Store.Snapshot(ctx, FeedVMs)
 	return vmList{records, next.Era}, err
 }
 
@@ -71,19 +71,19 @@
 // complete: every VM that started since knows this one, so no two VMs can miss each other.
 func (d *Daemon) writeOwnRecord(ctx context.Context) (*vmList, error) {
 	self := d.ownRecord()
-	before, next, err := d.opts.Store.Newest(ctx, FeedVMs)
+	before, next, err := d.opts.Store.Snapshot(ctx, FeedVMs)
 	if err != nil {
 		return nil, err
 	}
 	self.era = next.Era
 	last, found := d.previousRecord(before)
-	if err := d.opts.Store.Write(ctx, Record{Key: d.set.Vm.Name, Value: []byte(self.String())}); err != nil {
+	if err := d.opts.Store.Write(ctx, Record{Key: d.settings.Vm.Name, Value: []byte(self.String())}); err != nil {
 		return nil, err
 	}
-	d.claimed = found && mayClaimRestart(last, self, d.set.AllowanceWindow)
-	d.apart = found && mayClaimRestart(last, self, d.set.RetryWindow) || !found && next.Era == 0
-	d.log.Info().Bool("started_before", found).Dur("since_last_start", self.started.Sub(last.started)).Bool("claims", d.claimed).
-		Bool("apart", d.apart).Msg("previous_start")
+	d.restartClaimed = found && mayClaimRestart(last, self, d.settings.AllowanceWindow)
+	d.noRecentPredecessor = found && mayClaimRestart(last, self, d.settings.RetryWindow) || !found && next.Era == 0
+	d.log.Info().Bool("started_before", found).Dur("since_last_start", self.started.Sub(last.started)).Bool("claims", d.restartClaimed).
+		Bool("apart", d.noRecentPredecessor).Msg("previous_start")
 	if slices.ContainsFunc(before, d.isOwnRecord) {
 		d.peers.setListedBefore()
 		return &vmList{before, next.Era}, nil
@@ -94,7 +94,7 @@
 // previousRecord returns the record that this VM's previous process wrote.
 func (d *Daemon) previousRecord(before []Record) (last vmRecord, found bool) {
 	for _, r := range before {
-		if r.Key != d.set.Vm.Name {
+		if r.Key != d.settings.Vm.Name {
 			continue
 		}
 		last, err := parseVMRecord(string(r.Value))
@@ -109,13 +109,13 @@
 // isOwnRecord reports whether a record of the VM list belongs to this VM at its current address.
 func (d *Daemon) isOwnRecord(r Record) bool {
 	own, err := parseVMRecord(string(r.Value))
-	return err == nil && r.Key == d.set.Vm.Name && own.Address == d.set.Listen.Peers
+	return err == nil && r.Key == d.settings.Vm.Name && own.Address == d.settings.Listen.Peers
 }
 
 func (d *Daemon) applyVMList(list vmList) {
 	d.suspects.loadStored(list.records)
 	d.rollouts.loadStatuses(list.records)
-	d.noteInformed()
+	d.markInitialised()
 	named := make(map[string]string)
 	for _, r := range list.records {
 		if d.isVMRecord(r) {
@@ -142,11 +142,11 @@
 
 // claimRestartAllowance claims the restart allowance once this VM's shares are known.
 func (d *Daemon) claimRestartAllowance() {
-	if !d.claimed {
+	if !d.restartClaimed {
 		return
 	}
-	d.claimed = false
-	if d.now() > restartClaimDeadline || d.set.Off.Has(mechanism.RestartAllowance) {
+	d.restartClaimed = false
+	if d.now() > restartClaimDeadline || d.settings.Off.Has(mechanism.RestartAllowance) {
 		return
 	}
 	d.shares.creditRestartAllowance()
--- a/entry/copies.go
+++ b/entry/copies.go
@@ -110,7 +110,7 @@
 
 // ownRecord returns this VM's record.
 func (d *Daemon) ownRecord() vmRecord {
-	return vmRecord{VM: allowance.VM{Address: d.set.Listen.Peers, Domain: d.set.Vm.FailureDomain}, started: d.startedAt}
+	return vmRecord{VM: allowance.VM{Address: d.settings.Listen.Peers, Domain: d.settings.Vm.FailureDomain}, started: d.startedAt}
 }
 
 // eraMarks returns, by failure domain, the era in which its VM records were last complete.
@@ -133,22 +133,22 @@
 // none, and at the first start of a deployment there was nothing to lose. After a restore each
 // failure domain marks when its own records are there again.
 func (d *Daemon) isCompleteList(l vmList) bool {
-	if l.era == 0 || d.set.Vm.FirstStart || d.now() >= completeAfter {
+	if l.era == 0 || d.settings.Vm.FirstStart || d.now() >= completeAfter {
 		return true
 	}
 	marks := l.eraMarks()
-	for _, domain := range d.set.FailureDomains {
+	for _, domain := range d.settings.FailureDomains {
 		if marks[domain.Name] != l.era {
 			return false
 		}
 	}
-	return marks[d.set.Vm.FailureDomain] == l.era
+	return marks[d.settings.Vm.FailureDomain] == l.era
 }
 
 // rewriteVMRecords writes the VM records of this failure domain that a restore of the store may
 // have lost, and the mark.
 func (d *Daemon) rewriteVMRecords(ctx context.Context, l vmList) {
-	domain := d.set.Vm.FailureDomain
+	domain := d.settings.Vm.FailureDomain
 	if l.era == 0 || l.eraMarks()[domain] == l.era || d.now() < rewriteUptime {
 		return
 	}
@@ -168,8 +168,8 @@
 			current[r.Key] = true
 		}
 	}
-	known := d.peers.vmRecordsIn(d.set.Vm.FailureDomain)
-	known[d.set.Vm.Name] = d.ownRecord()
+	known := d.peers.vmRecordsIn(d.settings.Vm.FailureDomain)
+	known[d.settings.Vm.Name] = d.ownRecord()
 	var records []Record
 	for name, rec := range known {
 		if !current[name] {
--- a/entry/copies_test.go
+++ b/entry/copies_test.go
@@ -24,7 +24,7 @@
 	fullReads int
 }
 
-func (s *scriptedStore) Newest(context.Context, Feed) ([]Record, Position, error) {
+func (s *scriptedStore) Snapshot(context.Context, Feed) ([]Record, Position, error) {
 	s.fullReads++
 	return s.records, s.next, s.err
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,11 +1,11 @@
-// Package entry is the daemon of one entry VM on a platform whose balancer
-// brings callers, whose registry lists endpoints and whose store holds the
-// operator's configuration. Decisions are the pure packages' below core; here
-// are connections, goroutines and the order in which things happen.
+// Package entry is the daemon of an entry VM. It runs on a platform whose load balancer sends
+// callers to the VMs, whose registry lists the endpoints and whose store holds the operator's
+// configuration. Decisions are made by the pure packages under core; this package contains the
+// connections, the goroutines and the order of operations.
 //
-// Each request has an id of its own and arrives at one VM on one connection, so
-// VMs agree on nothing before a dispatch. They share their loads, what is left
-// of allowances, and what one of them read from the store.
+// Each request has a unique ID and arrives at one VM on one connection, so VMs need no agreement
+// before a dispatch. They share their loads, the remaining allowances, and what one of them read
+// from the store.
 package entry
 
 import (
@@ -30,90 +30,90 @@
 	"github.com/chivefield/chivefield/core/mechanism"
 )
 
-// Options are what a daemon takes from outside.
+// Options are the dependencies of a daemon.
 type Options struct {
 	Settings *settings.Entry
 	Log      zerolog.Logger
 	Codec    Codec
 	Store    Store
-	// Reload reads the settings anew; nil if they never change.
+	// Reload reads the settings again; nil if they never change.
 	Reload func() (*settings.Entry, error)
-	// Hangup delivers requests to read the settings anew.
+	// Hangup delivers requests to reload the settings.
 	Hangup <-chan struct{}
-	// Listen, ListenPacket and Dial default to the net package's.
+	// Listen, ListenPacket and Dial default to those of package net.
 	Listen       func(addr string) (net.Listener, error)
 	ListenPacket func(addr string) (net.PacketConn, error)
 	Dial         func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Daemon is one VM's process.
+// Daemon is the process of one VM.
 type Daemon struct {
-	opts  Options
-	set   *settings.Entry
-	log   zerolog.Logger
-	codec Codec
-	start time.Time
+	opts     Options
+	settings *settings.Entry
+	log      zerolog.Logger
+	codec    Codec
+	start    time.Time
 
 	table atomic.Pointer[routing.Table]
-	// takeMu orders the taking in of configurations; configRecord is the store's
-	// record of the one in force.
-	takeMu       sync.Mutex
+	// configMu serialises the loading of configurations; configRecord is the store's record of
+	// the one in force.
+	configMu     sync.Mutex
 	configRecord atomic.Pointer[Record]
-	// endpointsKnown is set once the registry was read.
-	endpointsKnown atomic.Bool
-	// informed is closed once configuration and endpoints are known.
-	informed     chan struct{}
-	informedOnce sync.Once
-	// registryLostAt is when this VM last failed to read the registry, 0 if it did not
-	// or could read it since.
+	// endpointsLoaded is set once the registry was read.
+	endpointsLoaded atomic.Bool
+	// initialised is closed once configuration, endpoints and the states of rollouts are loaded.
+	initialised     chan struct{}
+	initialisedOnce sync.Once
+	// registryLostAt is when this VM last failed to read the registry; 0 if it never failed or
+	// has succeeded since.
 	registryLostAt atomic.Int64
 	registry       registryCache
-	// unreadable are the entries of the registry that could not be understood, with
-	// their faults. Only the goroutine that follows the registry uses it.
-	unreadable map[string]string
-	// claimed says that this process may take what is kept for restarts, apart that its
-	// predecessor started long ago or there was none. Only the goroutine that announces it uses
-	// them.
-	claimed, apart bool
+	// invalidEntries holds the registry entries that cannot be decoded, with their errors. It is
+	// used only by the goroutine that follows the registry.
+	invalidEntries map[string]string
+	// restartClaimed is set if this process may claim the restart allowance, noRecentPredecessor
+	// if the previous process of this VM started long ago or there was none. They are used only
+	// by the goroutine that announces this VM.
+	restartClaimed, noRecentPredecessor bool
 
 	draining atomic.Bool
 	active   atomic.Int64
-	// lastHandle starts at random: handles are unique over all VMs.
+	// lastHandle starts at a random value: handles are unique across all VMs.
 	lastHandle atomic.Uint64
 
-	sched      *scheduling
-	placing    *placing
+	sched      *sharedScheduler
+	placing    *placement
 	remoteJobs *remoteJobs
 	suspects   *suspects
 	notices    *notices
 	rollouts   *rollouts
 	eras       *eraTracker
-	// startedAt is when the process started, by the VM's clock.
-	startedAt time.Time
-	shares    *sharedAllowances
-	retries   *retries
-	pool      *upstream.Pool
-	idle      *idleLimit
-	bodies    *memoryBudget
-	metrics   metrics.Registry
-	peers     *peers
+	// startedAt is when the process started, by the VM's wall clock.
+	startedAt    time.Time
+	shares       *sharedAllowances
+	retryBudgets *retryBudgets
+	pool         *upstream.Pool
+	idleConns    *idleConnCloser
+	bodyMemory   *memoryBudget
+	metrics      metrics.Registry
+	peers        *peers
 }
 
 const (
-	// maxIdlePerEndpoint bounds kept connections; an endpoint's own bound is
-	// shared by all VMs.
+	// maxIdlePerEndpoint limits idle connections; an endpoint's own connection limit is shared by
+	// all VMs.
 	maxIdlePerEndpoint = 16
-	sweepEvery         = time.Second
-	// headerTimeout bounds the reading of a request's head. Callers stay within
-	// what the operator sets, which is less.
+	sweepInterval      = time.Second
+	// headerTimeout limits the time to read a request's headers. The operator's timeout, which
+	// callers keep to, is shorter.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes guards memory; the operator's own limit is checked after.
+	// maxHeaderBytes limits memory use; the operator's own limit is checked later.
 	maxHeaderBytes = 64 << 10
-	// bodyShare is the part of the memory limit that bodies may take together.
-	bodyShare = 0.2
+	// bodyMemoryShare is the share of the memory limit that all request bodies together may use.
+	bodyMemoryShare = 0.2
 )
 
-// New prepares a daemon.
+// New returns a daemon that is not running yet.
 func New(opts Options) *Daemon {
 	if opts.Listen == nil {
 		opts.Listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -125,88 +125,88 @@
 		opts.Dial = (&net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: false}}).DialContext
 	}
 	d := &Daemon{
-		opts: opts, set: opts.Settings, log: opts.Log, codec: opts.Codec, start: time.Now(),
-		metrics: metrics.NewRegistry(), eras: newEraTracker(), startedAt: time.Now(), idle: newIdleLimit(), unreadable: make(map[string]string), informed: make(chan struct{}),
+		opts: opts, settings: opts.Settings, log: opts.Log, codec: opts.Codec, start: time.Now(),
+		metrics: metrics.NewRegistry(), eras: newEraTracker(), startedAt: time.Now(), idleConns: newIdleConnCloser(), invalidEntries: make(map[string]string), initialised: make(chan struct{}),
 	}
 	d.pool = upstream.NewPool(opts.Dial, maxIdlePerEndpoint)
-	d.bodies = newMemoryBudget(int64(float64(d.set.Limits.MemoryMb) * bodyShare * (1 << 20)))
-	d.sched = newScheduling(d.set.Vm.Name, d.set.Vm.FailureDomain, d.set.Off, d.now)
-	d.sched.probe, d.sched.noteEjection, d.sched.countImpossible = d.probe, d.noteEjection, d.countImpossible
+	d.bodyMemory = newMemoryBudget(int64(float64(d.settings.Limits.MemoryMb) * bodyMemoryShare * (1 << 20)))
+	d.sched = newSharedScheduler(d.settings.Vm.Name, d.settings.Vm.FailureDomain, d.settings.Off, d.now)
+	d.sched.probe, d.sched.logEjection, d.sched.countInvalid = d.probe, d.logEjection, d.countInvalid
 	d.lastHandle.Store(rand.Uint64())
-	d.placing, d.remoteJobs = newPlacing(d), newRemoteJobs(d)
-	d.sched.remote = d.remoteJobs.decided
+	d.placing, d.remoteJobs = newPlacement(d), newRemoteJobs(d)
+	d.sched.deliverRemote = d.remoteJobs.deliver
 	d.suspects, d.notices = newSuspects(d), newNotices(d)
 	d.rollouts = newRollouts(d)
-	d.sched.usable = d.rollouts.usableEndpoints
-	d.sched.departed = d.suspects.recordDepartures
-	d.sched.follow(d.set.Listen.Peers, false)
-	d.shares, d.retries = newSharedAllowances(d.set, d.now), newRetries(d)
+	d.sched.filterUsable = d.rollouts.usableEndpoints
+	d.sched.onDepartures = d.suspects.recordDepartures
+	d.sched.setPlacer(d.settings.Listen.Peers, false)
+	d.shares, d.retryBudgets = newSharedAllowances(d.settings, d.now), newRetryBudgets(d)
 	d.peers = newPeers(d)
 	return d
 }
 
-// now is the time since the start of the process, by the monotonic clock.
+// now returns the time since the start of the process, by the monotonic clock.
 func (d *Daemon) now() time.Duration { return time.Since(d.start) }
 
-// Run serves until ctx ends and the graceful shutdown is over.
+// Run serves until ctx ends and the graceful shutdown is complete.
 func (d *Daemon) Run(ctx context.Context) error {
-	callers, err := d.opts.Listen(d.set.Listen.Callers)
+	callersListener, err := d.opts.Listen(d.settings.Listen.Callers)
 	if err != nil {
 		return err
 	}
-	ready, err := d.opts.Listen(d.set.Listen.Ready)
+	readyListener, err := d.opts.Listen(d.settings.Listen.Ready)
 	if err != nil {
 		return err
 	}
-	var operators net.Listener
-	if d.set.Listen.Metrics != "" {
-		if operators, err = d.opts.Listen(d.set.Listen.Metrics); err != nil {
+	var metricsListener net.Listener
+	if d.settings.Listen.Metrics != "" {
+		if metricsListener, err = d.opts.Listen(d.settings.Listen.Metrics); err != nil {
 			return err
 		}
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, work := errgroup.WithContext(work)
-	front := &http.Server{
+	group, workCtx := errgroup.WithContext(workCtx)
+	callersServer := &http.Server{
 		Handler: http.HandlerFunc(d.serveCaller), ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes: maxHeaderBytes, ConnState: d.idle.connState, ErrorLog: nil,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: d.idleConns.connState, ErrorLog: nil,
 	}
-	d.serve(group, work, front, callers)
-	d.serve(group, work, &http.Server{Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}, ready)
-	if operators != nil {
-		d.serve(group, work, &http.Server{Handler: http.HandlerFunc(d.serveMetrics), ReadHeaderTimeout: headerTimeout}, operators)
+	d.serve(group, workCtx, callersServer, callersListener)
+	d.serve(group, workCtx, &http.Server{Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}, readyListener)
+	if metricsListener != nil {
+		d.serve(group, workCtx, &http.Server{Handler: http.HandlerFunc(d.serveMetrics), ReadHeaderTimeout: headerTimeout}, metricsListener)
 	}
 	if err := d.peers.listen(); err != nil {
 		return err
 	}
-	relays, err := d.opts.Listen(d.set.Listen.Peers)
+	relayListener, err := d.opts.Listen(d.settings.Listen.Peers)
 	if err != nil {
 		return err
 	}
-	d.serve(group, work, &http.Server{Handler: d.peers.relayHandler(), ReadHeaderTimeout: headerTimeout}, relays)
-	group.Go(func() error { return d.peers.receiveNotes(work) })
-	group.Go(func() error { return d.peers.sendNotes(work) })
-	group.Go(func() error { return d.followConfig(work) })
-	group.Go(func() error { return d.fetchConfigs(work) })
-	group.Go(func() error { return d.followEndpoints(work) })
-	group.Go(func() error { return d.followVMs(work) })
-	group.Go(func() error { return d.suspects.processStoreQueue(work) })
-	group.Go(func() error { return d.rollouts.processStatusQueue(work) })
-	group.Go(func() error { return d.rollouts.announceChanges(work) })
-	group.Go(func() error { return d.retries.keep(work) })
-	group.Go(func() error { return d.sched.tick(work) })
-	group.Go(func() error { return d.sweep(work) })
-	group.Go(func() error { return d.reload(work) })
-	group.Go(func() error { return d.shutdown(ctx, work, front, stop) })
-	d.log.Info().Str("failure_domain", d.set.Vm.FailureDomain).
-		Bool("first_start", d.set.Vm.FirstStart).Stringer("switched_off", d.set.Off).Msg("started")
+	d.serve(group, workCtx, &http.Server{Handler: d.peers.relayHandler(), ReadHeaderTimeout: headerTimeout}, relayListener)
+	group.Go(func() error { return d.peers.receiveNotes(workCtx) })
+	group.Go(func() error { return d.peers.sendNotes(workCtx) })
+	group.Go(func() error { return d.followConfig(workCtx) })
+	group.Go(func() error { return d.fetchConfigs(workCtx) })
+	group.Go(func() error { return d.followEndpoints(workCtx) })
+	group.Go(func() error { return d.followVMs(workCtx) })
+	group.Go(func() error { return d.suspects.processStoreQueue(workCtx) })
+	group.Go(func() error { return d.rollouts.processStatusQueue(workCtx) })
+	group.Go(func() error { return d.rollouts.announceChanges(workCtx) })
+	group.Go(func() error { return d.retryBudgets.logPeriodically(workCtx) })
+	group.Go(func() error { return d.sched.run(workCtx) })
+	group.Go(func() error { return d.sweep(workCtx) })
+	group.Go(func() error { return d.reload(workCtx) })
+	group.Go(func() error { return d.shutdown(ctx, workCtx, callersServer, stop) })
+	d.log.Info().Str("failure_domain", d.settings.Vm.FailureDomain).
+		Bool("first_start", d.settings.Vm.FirstStart).Stringer("switched_off", d.settings.Off).Msg("started")
 	err = group.Wait()
 	d.log.Info().Err(err).Msg("stopped")
 	return err
 }
 
-// serve runs a server until the process's duties end.
-func (d *Daemon) serve(group *errgroup.Group, work context.Context, s *http.Server, l net.Listener) {
+// serve runs a server until workCtx ends.
+func (d *Daemon) serve(group *errgroup.Group, workCtx context.Context, s *http.Server, l net.Listener) {
 	group.Go(func() error {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return err
@@ -214,12 +214,12 @@
 		return nil
 	})
 	group.Go(func() error {
-		<-work.Done()
+		<-workCtx.Done()
 		return s.Close()
 	})
 }
 
-// serveReady answers the balancer.
+// serveReady handles the load balancer's readiness checks.
 func (d *Daemon) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != d.codec.ReadyPath() {
 		w.WriteHeader(http.StatusNotFound)
@@ -232,43 +232,43 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// ready says whether requests can be served here. An outage of the store does
-// not change that: what was known stays in force.
+// ready reports whether this VM can serve requests. An outage of the store does not change that:
+// the last known state stays in force.
 func (d *Daemon) ready() bool {
-	return !d.draining.Load() && d.knowsAll()
+	return !d.draining.Load() && d.hasInitialState()
 }
 
-// informedWithin is up to what uptime a request waits until configuration and endpoints
-// are known. Both are read soon after a start; callers that are turned away meanwhile return
-// too late for their objective.
-const informedWithin = 500 * time.Millisecond
+// initialisationWait is the uptime until which requests wait for configuration and endpoints to
+// be loaded. Both are read soon after the start; callers that were refused in the meantime would
+// retry too late for their objective.
+const initialisationWait = 500 * time.Millisecond
 
-// knowsAll says whether configuration and endpoints are known.
-func (d *Daemon) knowsAll() bool { return d.table.Load() != nil && d.endpointsKnown.Load() }
+// hasInitialState reports whether configuration and endpoints are loaded.
+func (d *Daemon) hasInitialState() bool { return d.table.Load() != nil && d.endpointsLoaded.Load() }
 
-// noteInformed lets requests go on that wait for what a process must know.
-func (d *Daemon) noteInformed() {
-	if d.knowsAll() && d.rollouts.allPhasesKnown() {
-		d.informedOnce.Do(func() { close(d.informed) })
+// markInitialised releases the requests that wait for initialisation, once all required state is
+// loaded.
+func (d *Daemon) markInitialised() {
+	if d.hasInitialState() && d.rollouts.allPhasesKnown() {
+		d.initialisedOnce.Do(func() { close(d.initialised) })
 	}
 }
 
-// awaitInformed waits in the first moments of a process until it can serve, but not beyond
-// ctx.
-func (d *Daemon) awaitInformed(ctx context.Context) {
+// awaitInitialised waits shortly after the start until the process can serve, or until ctx ends.
+func (d *Daemon) awaitInitialised(ctx context.Context) {
 	select {
-	case <-d.informed:
+	case <-d.initialised:
 		return
 	default:
 	}
-	left := informedWithin - d.now()
-	if left <= 0 || d.set.Off.Has(mechanism.StartWait) {
+	remaining := initialisationWait - d.now()
+	if remaining <= 0 || d.settings.Off.Has(mechanism.StartWait) {
 		return
 	}
-	t := time.NewTimer(left)
+	t := time.NewTimer(remaining)
 	defer t.Stop()
 	select {
-	case <-d.informed:
+	case <-d.initialised:
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -279,29 +279,29 @@
 	writeMetrics(w, d.metrics)
 }
 
-// probe sees whether an endpoint can be reached. The connection is kept for the
-// next request.
+// probe checks whether an endpoint can be reached. The connection is kept for the next request.
 func (d *Daemon) probe(p dispatch.Probe) {
-	err := d.openTo(p)
+	err := d.openConnection(p)
 	d.log.Info().Str("endpoint", p.Key).Str("address", p.Address).Err(err).Msg("endpoint_probed")
-	d.sched.probeEnded(p.Key, err == nil)
+	d.sched.recordProbe(p.Key, err == nil)
 }
 
-// openTo opens a connection to an endpoint and keeps it for the next request.
-func (d *Daemon) openTo(p dispatch.Probe) error {
+// openConnection opens a connection to an endpoint and keeps it for the next request.
+func (d *Daemon) openConnection(p dispatch.Probe) error {
 	d.count("probes")
 	return d.pool.Preconnect(p.Key, p.Address)
 }
 
-// countImpossible counts quantities that callers or other VMs told and that cannot be.
-func (d *Daemon) countImpossible(n int) {
+// countInvalid counts out-of-range values received from callers or other VMs.
+func (d *Daemon) countInvalid(n int) {
 	if n > 0 {
 		d.countMany("impossible_quantities", n)
 	}
 }
 
-// noteEjection logs which endpoint gets requests on trial only, and why.
-func (d *Daemon) noteEjection(c dispatch.EjectionChange) {
+// logEjection logs which endpoint gets only trial requests, and why, or that it no longer is
+// ejected.
+func (d *Daemon) logEjection(c dispatch.EjectionChange) {
 	event := "endpoint_taken_back"
 	if c.Ejected {
 		event = "endpoint_ejected"
@@ -311,7 +311,7 @@
 }
 
 func (d *Daemon) sweep(ctx context.Context) error {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -326,46 +326,44 @@
 }
 
 const (
-	// refusalSeen is how long after SIGTERM new connections may still come: the
-	// balancer asks once a second and acts on the second refusal.
-	refusalSeen = 2600 * time.Millisecond
-	// graceMargin is left of the time until SIGKILL.
+	// readinessRefusalDelay is how long new connections may still arrive after SIGTERM: the load
+	// balancer checks once a second and acts on the second refusal.
+	readinessRefusalDelay = 2600 * time.Millisecond
+	// graceMargin is the time reserved before SIGKILL.
 	graceMargin = 500 * time.Millisecond
 )
 
-// shutdown waits for the signal and refuses readiness. Until the balancer has
-// seen that, callers still come and are served; every answer closes its
-// connection. Then idle connections are closed too: a caller that keeps one open
-// could send a request so late that it would be cut at the end of the grace time.
-// What runs goes on to its end.
-func (d *Daemon) shutdown(signal, work context.Context, front *http.Server, stop context.CancelFunc) error {
+// shutdown waits for the signal and then fails readiness checks. Until the load balancer has
+// noticed, callers still arrive and are served; every response closes its connection. Then idle
+// connections are closed as well: a caller that keeps one open could send a request so late that
+// it would be cut off at the end of the grace period. Running requests continue to their end.
+func (d *Daemon) shutdown(signal, workCtx context.Context, callersServer *http.Server, stop context.CancelFunc) error {
 	select {
-	case <-work.Done():
+	case <-workCtx.Done():
 		return nil
 	case <-signal.Done():
 	}
 	since := time.Now()
 	d.draining.Store(true)
 	d.log.Info().Int64("active", d.active.Load()).Msg("draining")
-	seen := time.NewTimer(refusalSeen)
+	seen := time.NewTimer(readinessRefusalDelay)
 	defer seen.Stop()
 	select {
-	case <-work.Done():
+	case <-workCtx.Done():
 		return nil
 	case <-seen.C:
 	}
-	end, cancel := context.WithTimeout(work, d.set.Grace-graceMargin-time.Since(since))
+	end, cancel := context.WithTimeout(workCtx, d.settings.Grace-graceMargin-time.Since(since))
 	defer cancel()
-	if err := front.Shutdown(end); err != nil {
+	if err := callersServer.Shutdown(end); err != nil {
 		d.log.Warn().Err(err).Int64("active", d.active.Load()).Msg("drain_bound_reached")
 	}
 	stop()
 	return nil
 }
 
-// reload reads the settings anew on request. Only what may change while the
-// process runs is taken over, which is the requests that are released and the services that are
-// not moved; addresses stay.
+// reload reads the settings again on request. Only what may change at run time is applied: the
+// released requests and the services whose rollout is held. Addresses do not change.
 func (d *Daemon) reload(ctx context.Context) error {
 	for {
 		select {
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -13,139 +13,145 @@
 	"github.com/chivefield/chivefield/upstream"
 )
 
-// hopHeaders concern one connection only.
+// hopHeaders lists the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
 const (
-	// maxAnswer bounds an answer that is not a stream, in bytes.
-	maxAnswer = 16 << 20
-	// maxAttempts bounds endpoints that are tried in vain without a byte sent.
+	// maxResponseBytes limits the size of a response that is not a stream.
+	maxResponseBytes = 16 << 20
+	// maxAttempts limits the retries, including those after attempts in which no byte was sent.
 	maxAttempts = 6
 )
 
-// attempt is the outcome of one try at an endpoint.
-type attempt struct {
+// attemptResult is the outcome of one attempt at an endpoint.
+type attemptResult struct {
 	outcome dispatch.Outcome
-	// delivered says that the caller has its final answer, whole or broken.
+	// delivered is set if the caller has received its final response, complete or broken off.
 	delivered bool
-	// unpaid says that it was not sent once more, since nothing pays for that now.
-	unpaid bool
-	// cut says that the connection broke under the request, or fell silent.
-	cut bool
-	// stopped says that the request was not sent, since it ends endpoints, heldBack that it was
-	// not, since the endpoint's version may not get it.
-	stopped, heldBack bool
-	err               error
+	// retryDenied is set if the retry was not sent because the retry budget does not cover it
+	// now.
+	retryDenied bool
+	// connectionLost is set if the connection broke, or the endpoint stopped responding, during
+	// the request.
+	connectionLost bool
+	// blocked is set if the request was not sent because it terminates endpoints, rolloutBlocked
+	// if it was not sent because the endpoint's version is not allowed for it.
+	blocked, rolloutBlocked bool
+	err                     error
 }
 
-// run tries endpoints until the caller has an answer.
-func (c *caller) run(ctx context.Context) {
-	var last attempt
-	var s *stream
+// forward tries endpoints until the caller has a response.
+func (c *callerRequest) forward(ctx context.Context) {
+	var last attemptResult
+	var s *eventStream
 	for try := 0; ; try++ {
-		j := c.jobFor(s)
+		j := c.nextJob(s)
 		j.Canary = c.d.rollouts.reserveCanary(c.service)
-		dec, ok := c.d.placing.place(ctx, c.call.ID, j)
-		c.trial = j.Canary && dec.Endpoint != nil && dec.Endpoint.Canary
-		if j.Canary && !c.trial {
+		dec, ok := c.d.placing.place(ctx, c.reqHeaders.ID, j)
+		c.canary = j.Canary && dec.Endpoint != nil && dec.Endpoint.Canary
+		if j.Canary && !c.canary {
 			c.d.rollouts.releaseCanary(c.service)
 		}
 		if !ok {
-			c.giveUp(s)
+			c.endCancelled(s)
 			return
 		}
 		if dec.Endpoint == nil {
-			c.end(s, dec.Reason, dec.RetryAfter)
+			c.fail(s, dec.Reason, dec.RetryAfter)
 			return
 		}
-		c.logPlaced(dec)
+		c.logPlacement(dec)
 		if c.route.Kind == routing.Stream && s == nil {
-			s = &stream{c: c, lastID: c.call.LastEventID}
+			s = &eventStream{c: c, lastEventID: c.reqHeaders.LastEventID}
 		}
-		last = c.try(ctx, dec, s)
-		c.d.placing.end(dec.Handle, last.outcome)
+		last = c.tryEndpoint(ctx, dec, s)
+		c.d.placing.endRun(dec.Handle, last.outcome)
 		if last.delivered {
 			return
 		}
-		if last.stopped {
-			c.end(s, reasonEndsEndpoints, 0)
+		if last.blocked {
+			c.fail(s, reasonEndsEndpoints, 0)
 			return
 		}
-		if last.heldBack && try < maxAttempts {
+		if last.rolloutBlocked && try < maxAttempts {
 			c.avoided = append(c.avoided, dispatch.EndpointHash(dec.Endpoint.Key()))
 			continue
 		}
 		c.tried = append(c.tried, dispatch.EndpointHash(dec.Endpoint.Key()))
-		c.d.log.Info().Str("request", c.call.ID).Stringer("digest", c.digest).Str("endpoint", dec.Endpoint.ID).Stringer("outcome", last.outcome).
-			Int("sent", c.sent).Bool("ran", c.ran).Err(last.err).Msg("attempt_failed")
+		c.d.log.Info().Str("request", c.reqHeaders.ID).Stringer("digest", c.digest).Str("endpoint", dec.Endpoint.ID).Stringer("outcome", last.outcome).
+			Int("sent", c.sendCount).Bool("ran", c.mayHaveRun).Err(last.err).Msg("attempt_failed")
 		if ctx.Err() != nil {
-			c.giveUp(s)
+			c.endCancelled(s)
 			return
 		}
 		if !c.mayRetry(last, try) {
-			c.end(s, "attempts_spent", shortWait)
+			c.fail(s, "attempts_spent", shortRetryAfter)
 			return
 		}
 	}
 }
 
-// shortWait is when a caller may return after an endpoint refused its request:
-// elsewhere there may be room at once.
-const shortWait = 100 * time.Millisecond
+// shortRetryAfter is the Retry-After if endpoints refused the request: others may have capacity at
+// once. It is also the least time that must be left before the deadline for another attempt after
+// an error response or a stall.
+const shortRetryAfter = 100 * time.Millisecond
 
-// jobFor is the job of the next try. A stream that is under way waits as long
-// as its caller waits for the next event.
-func (c *caller) jobFor(s *stream) dispatch.Job {
-	j := c.job()
-	if s != nil && s.begun {
-		j.AbandonAt = c.d.now() + min(time.Until(c.limit), c.patience()/2)
+// nextJob returns the job for the next attempt. A stream that has started waits for an endpoint
+// for at most half the time for which its caller waits for the next event.
+func (c *callerRequest) nextJob(s *eventStream) dispatch.Job {
+	j := c.dispatchJob()
+	if s != nil && s.headersSent {
+		j.AbandonAt = c.d.now() + min(time.Until(c.deadline), c.eventTimeout()/2)
 		j.Objective = c.d.now()
 	}
 	return j
 }
 
-// mayRetry says whether another endpoint may be tried.
-func (c *caller) mayRetry(last attempt, try int) bool {
+// mayRetry reports whether another endpoint may be tried.
+func (c *callerRequest) mayRetry(last attemptResult, try int) bool {
 	if try >= maxAttempts {
 		return false
 	}
 	if last.outcome == dispatch.Unreachable {
 		return true
 	}
-	if last.unpaid || c.ran && !c.route.Retryable() {
+	if last.retryDenied || c.mayHaveRun && !c.route.Retryable() {
 		return false
 	}
-	return c.sent < c.route.MaxEndpoints && (c.sent == 0 || c.again.pay())
+	return c.sendCount < c.route.MaxEndpoints && (c.sendCount == 0 || c.retryPermit.acquire())
 }
 
-// giveUp ends a request whose caller left or whose time is over.
-func (c *caller) giveUp(s *stream) {
+// endCancelled ends a request whose caller has disconnected, that was blocked, or whose deadline
+// has passed.
+func (c *callerRequest) endCancelled(s *eventStream) {
 	if c.r.Context().Err() != nil {
 		c.d.count("callers_left")
-		c.d.log.Info().Str("request", c.call.ID).Dur("held", time.Since(c.arrived)).Msg("caller_left")
+		c.d.log.Info().Str("request", c.reqHeaders.ID).Dur("held", time.Since(c.arrived)).Msg("caller_left")
 		panic(http.ErrAbortHandler)
 	}
-	if c.stopped.Load() {
-		c.end(s, reasonEndsEndpoints, 0)
+	if c.blocked.Load() {
+		c.fail(s, reasonEndsEndpoints, 0)
 		return
 	}
-	c.end(s, "time_over", shortWait)
+	c.fail(s, "time_over", shortRetryAfter)
 }
 
-// end gives the caller the truth: a failed answer of an endpoint if that is all
-// there is, "not run" only if that is so, else a failure that promises nothing.
-func (c *caller) end(s *stream, reason string, after time.Duration) {
-	if s != nil && s.begun {
+// fail ends a request for which there is no response to forward. A stream that has started is
+// broken off. Otherwise the status says no more than is known: 503, which means that the request
+// was not run, is sent only if that is certain, else 504 after the deadline and 502 in all other
+// cases.
+func (c *callerRequest) fail(s *eventStream, reason string, retryAfter time.Duration) {
+	if s != nil && s.headersSent {
 		c.d.count("streams_broken")
-		c.d.log.Warn().Str("request", c.call.ID).Str("reason", reason).Int("events", s.events).Msg("stream_broken")
+		c.d.log.Warn().Str("request", c.reqHeaders.ID).Str("reason", reason).Int("events", s.events).Msg("stream_broken")
 		panic(http.ErrAbortHandler)
 	}
 	switch {
-	case !c.ran:
-		c.refuse(refusal{http.StatusServiceUnavailable, reason, after})
+	case !c.mayHaveRun:
+		c.refuse(refusal{http.StatusServiceUnavailable, reason, retryAfter})
 	case reason == "time_over":
 		c.refuse(refusal{status: http.StatusGatewayTimeout, reason: reason})
 	default:
@@ -153,25 +159,25 @@
 	}
 }
 
-func (c *caller) logPlaced(dec dispatch.Decision) {
-	c.d.log.Info().Str("request", c.call.ID).Str("route", c.route.Name).Str("endpoint", dec.Endpoint.ID).
+func (c *callerRequest) logPlacement(dec dispatch.Decision) {
+	c.d.log.Info().Str("request", c.reqHeaders.ID).Str("route", c.route.Name).Str("endpoint", dec.Endpoint.ID).
 		Str("address", dec.Endpoint.Address).Str("by", dec.DecidedBy).Dur("predicted", dec.Predicted).Int("candidates", dec.Candidates).
-		Int("waiting", dec.Waiting).Int("running", dec.Load.Running).Int("unread", dec.Load.PromptTokens).Int("prompt", c.call.Prompt).Int("output", c.call.GuessedOutput).Dur("gap", dec.Load.EventGap).Dur("waited", time.Since(c.arrived)).Int("try", len(c.tried)).Msg("placed")
+		Int("waiting", dec.Waiting).Int("running", dec.Load.Running).Int("unread", dec.Load.PromptTokens).Int("prompt", c.reqHeaders.PromptTokens).Int("output", c.reqHeaders.EstimatedOutputTokens).Dur("gap", dec.Load.EventGap).Dur("waited", time.Since(c.arrived)).Int("try", len(c.tried)).Msg("placed")
 }
 
-// headers are those for the endpoint.
-func (c *caller) headers(ep *members.Endpoint, lastEventID string) http.Header {
+// upstreamHeaders returns the request headers for an endpoint.
+func (c *callerRequest) upstreamHeaders(ep *members.Endpoint, lastEventID string) http.Header {
 	h := c.r.Header.Clone()
-	dropHop(h)
-	o := Outgoing{Endpoint: ep.ID, TimeLeft: time.Until(c.limit), LastEventID: lastEventID}
+	removeHopHeaders(h)
+	o := UpstreamHeaders{Endpoint: ep.ID, Timeout: time.Until(c.deadline), LastEventID: lastEventID}
 	if c.org != nil {
 		o.Organisation = c.org.Name
 	}
-	c.d.codec.Outgoing(h, o)
+	c.d.codec.SetUpstreamHeaders(h, o)
 	return h
 }
 
-func dropHop(h http.Header) {
+func removeHopHeaders(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for _, name := range splitList(v) {
 			h.Del(name)
@@ -182,90 +188,90 @@
 	}
 }
 
-// try sends the request to one endpoint and passes its answer on.
-func (c *caller) try(ctx context.Context, dec dispatch.Decision, s *stream) attempt {
+// tryEndpoint sends the request to one endpoint and forwards its response.
+func (c *callerRequest) tryEndpoint(ctx context.Context, dec dispatch.Decision, s *eventStream) attemptResult {
 	ep := dec.Endpoint
-	// The one place where bytes of a caller's request leave for an endpoint, whichever VM
-	// chose it and however long that took.
+	// Bytes of a caller's request are sent to an endpoint only below this check, whichever VM
+	// chose the endpoint and however long that took.
 	view := c.d.suspects.status(c.digest)
 	if view.Convicted() {
-		return attempt{outcome: dispatch.CallerLeft, stopped: true}
+		return attemptResult{outcome: dispatch.CallerLeft, blocked: true}
 	}
-	if c.sent > 0 && !c.again.mayLeave() {
-		return attempt{outcome: dispatch.CallerLeft, unpaid: true, err: &UnpaidRepeatError{Service: c.service}}
+	if c.sendCount > 0 && !c.retryPermit.renew() {
+		return attemptResult{outcome: dispatch.CallerLeft, retryDenied: true, err: &RetryBudgetError{Service: c.service}}
 	}
-	lastID := c.call.LastEventID
+	lastID := c.reqHeaders.LastEventID
 	if s != nil {
-		lastID = s.lastID
+		lastID = s.lastEventID
 	}
 	req := &upstream.Request{
-		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: c.headers(ep, lastID),
+		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: c.upstreamHeaders(ep, lastID),
 		Body: c.body, HasBody: c.r.ContentLength != 0 || c.r.Header.Get("Content-Length") != "",
-		Matches: func(resp *http.Response) bool { return c.mine(resp) },
+		Matches: func(resp *http.Response) bool { return c.ownsResponse(resp) },
 	}
-	visit, ok := c.d.rollouts.beginAttempt(c, ep, c.trial)
+	tracked, ok := c.d.rollouts.beginAttempt(c, ep, c.canary)
 	if !ok {
-		return attempt{outcome: dispatch.CallerLeft, heldBack: true}
+		return attemptResult{outcome: dispatch.CallerLeft, rolloutBlocked: true}
 	}
-	c.visit = visit
-	before := c.sent
-	tctx, cancel := context.WithCancel(ctx)
+	c.tracked = tracked
+	before := c.sendCount
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.d.sched.onRestart(dec.Handle, cancel)
-	watch := c.watch(dec, cancel)
+	c.d.sched.cancelOnRestart(dec.Handle, cancel)
+	watchdog := c.startWatchdog(dec, cancel)
 	sent := c.d.now()
-	a := c.exchange(tctx, ctx, dec, req, sent, s, watch)
-	if watch.over() {
-		c.again.take(watch.repeat)
+	a := c.exchange(attemptCtx, ctx, dec, req, sent, s, watchdog)
+	if watchdog.stop() {
+		c.retryPermit.adopt(watchdog.permit)
 		if !a.delivered {
-			a.outcome, a.cut = dispatch.Silent, true
+			a.outcome, a.connectionLost = dispatch.Silent, true
 		}
 	}
 	c.d.suspects.recordAttempt(c, ep, sent, view.Generation, a)
-	visit.finish(a, c.sent > before, before > 0)
+	tracked.finish(a, c.sendCount > before, before > 0)
 	return a
 }
 
-// exchange sends the request, which is at sent, and passes the answer on. ctx ends with the
-// attempt, whole with the request.
-func (c *caller) exchange(ctx, whole context.Context, dec dispatch.Decision, req *upstream.Request, sent time.Duration, s *stream, watch *stall) attempt {
+// exchange sends the request, at the time sent, and forwards the response. ctx ends with the
+// attempt, requestCtx with the request.
+func (c *callerRequest) exchange(ctx, requestCtx context.Context, dec dispatch.Decision, req *upstream.Request, sent time.Duration, s *eventStream, watchdog *stallWatchdog) attemptResult {
 	ep := dec.Endpoint
-	ans, err := c.d.pool.Do(ctx, ep.Key(), ep.Address, req, false)
+	resp, err := c.d.pool.Do(ctx, ep.Key(), ep.Address, req, false)
 	var ex *upstream.ExchangeError
 	if errors.As(err, &ex) && ex.Stage == upstream.NotSent {
-		if whole.Err() != nil {
-			return attempt{outcome: dispatch.CallerLeft, err: err}
+		if requestCtx.Err() != nil {
+			return attemptResult{outcome: dispatch.CallerLeft, err: err}
 		}
-		return attempt{outcome: dispatch.Unreachable, err: err}
+		return attemptResult{outcome: dispatch.Unreachable, err: err}
 	}
-	if c.sent > 0 {
-		c.again.sent()
+	if c.sendCount > 0 {
+		c.retryPermit.recordSent()
 	}
-	c.sent++
+	c.sendCount++
 	if err != nil {
-		c.ran = true
-		if whole.Err() != nil {
-			return attempt{outcome: dispatch.CallerLeft, err: err}
+		c.mayHaveRun = true
+		if requestCtx.Err() != nil {
+			return attemptResult{outcome: dispatch.CallerLeft, err: err}
 		}
-		return attempt{outcome: dispatch.Broken, cut: isConnectionBroken(err), err: err}
+		return attemptResult{outcome: dispatch.Broken, connectionLost: isConnectionBroken(err), err: err}
 	}
-	defer ans.Finish()
-	reply := c.d.codec.Reply(ans.Response)
-	c.d.notices.observe(ep, sent, reply)
-	c.d.suspects.recordAnswerStart(c, ep, sent, reply)
-	return c.pass(whole, dec.Handle, ans, reply, s, watch)
+	defer resp.Finish()
+	headers := c.d.codec.ParseResponse(resp.Response)
+	c.d.notices.observe(ep, sent, headers)
+	c.d.suspects.recordAnswerStart(c, ep, sent, headers)
+	return c.forwardResponse(requestCtx, dec.Handle, resp, headers, s, watchdog)
 }
 
-// mine says whether an answer belongs to this request. Answers without an id are
-// the endpoint's word on a request that it did not read.
-func (c *caller) mine(resp *http.Response) bool {
-	id := c.d.codec.Reply(resp).ID
-	return id == c.call.ID || id == "" && resp.StatusCode >= http.StatusBadRequest
+// ownsResponse reports whether a response belongs to this request. An error response without an
+// ID comes from an endpoint that did not read the request.
+func (c *callerRequest) ownsResponse(resp *http.Response) bool {
+	id := c.d.codec.ParseResponse(resp).ID
+	return id == c.reqHeaders.ID || id == "" && resp.StatusCode >= http.StatusBadRequest
 }
 
-// promisesNotRun says whether a status promises that a request was not run; from an
-// endpoint that does not say so itself it must not be passed on.
-func promisesNotRun(status int) bool {
+// impliesNotExecuted reports whether a status tells the caller that the request was not run. Such
+// a status must not be forwarded from an endpoint that does not confirm it explicitly.
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -273,49 +279,49 @@
 	return false
 }
 
-// pass judges an answer and passes it on if it is one.
-func (c *caller) pass(ctx context.Context, handle uint64, ans *upstream.Response, reply Reply, s *stream, watch *stall) attempt {
-	if reply.NotRun {
-		_, _ = io.Copy(io.Discard, io.LimitReader(ans, maxAnswer))
-		if reply.Replaced {
-			return attempt{outcome: dispatch.Replaced, err: &RejectedError{Status: ans.StatusCode}}
+// forwardResponse checks a response and forwards it if it is valid.
+func (c *callerRequest) forwardResponse(ctx context.Context, handle uint64, resp *upstream.Response, headers ResponseHeaders, s *eventStream, watch *stallWatchdog) attemptResult {
+	if headers.NotExecuted {
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxResponseBytes))
+		if headers.Replaced {
+			return attemptResult{outcome: dispatch.Replaced, err: &RejectedError{Status: resp.StatusCode}}
 		}
-		return attempt{outcome: dispatch.Rejected, err: &RejectedError{Status: ans.StatusCode}}
+		return attemptResult{outcome: dispatch.Rejected, err: &RejectedError{Status: resp.StatusCode}}
 	}
-	c.ran = true
-	ok := ans.StatusCode < http.StatusMultipleChoices
-	if reply.Encoded || ok && !reply.Sealed || promisesNotRun(ans.StatusCode) {
-		return attempt{outcome: dispatch.Broken, err: &UntrustedAnswerError{Status: ans.StatusCode}}
+	c.mayHaveRun = true
+	ok := resp.StatusCode < http.StatusMultipleChoices
+	if headers.Encoded || ok && !headers.Sealed || impliesNotExecuted(resp.StatusCode) {
+		return attemptResult{outcome: dispatch.Broken, err: &UntrustedResponseError{Status: resp.StatusCode}}
 	}
 	if ok && s != nil {
-		return s.pass(ctx, handle, ans, watch)
+		return s.forward(ctx, handle, resp, watch)
 	}
-	if s != nil && s.begun {
-		return attempt{outcome: dispatch.Broken, err: &UntrustedAnswerError{Status: ans.StatusCode}}
+	if s != nil && s.headersSent {
+		return attemptResult{outcome: dispatch.Broken, err: &UntrustedResponseError{Status: resp.StatusCode}}
 	}
-	body, err := io.ReadAll(io.LimitReader(ans, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp, maxResponseBytes))
 	if err != nil {
 		if ctx.Err() != nil {
-			return attempt{outcome: dispatch.CallerLeft, err: err}
+			return attemptResult{outcome: dispatch.CallerLeft, err: err}
 		}
-		return attempt{outcome: dispatch.Broken, cut: isConnectionBroken(err), err: err}
+		return attemptResult{outcome: dispatch.Broken, connectionLost: isConnectionBroken(err), err: err}
 	}
-	c.d.suspects.recordSuccess(c.digest, ans)
-	if ans.StatusCode >= http.StatusInternalServerError && c.route.Retryable() && c.sent < c.route.MaxEndpoints &&
-		time.Until(c.limit) > shortWait && c.again.pay() {
-		return attempt{outcome: dispatch.Failed, err: &FailedAnswerError{Status: ans.StatusCode}}
+	c.d.suspects.recordSuccess(c.digest, resp)
+	if resp.StatusCode >= http.StatusInternalServerError && c.route.Retryable() && c.sendCount < c.route.MaxEndpoints &&
+		time.Until(c.deadline) > shortRetryAfter && c.retryPermit.acquire() {
+		return attemptResult{outcome: dispatch.Failed, err: &FailedResponseError{Status: resp.StatusCode}}
 	}
-	c.visit.markFirstEvent()
-	c.d.placing.events(handle, 1)
-	c.write(ans.Response, body)
-	if ans.StatusCode >= http.StatusInternalServerError {
-		return attempt{outcome: dispatch.Failed, delivered: true}
+	c.tracked.markFirstEvent()
+	c.d.placing.recordEvents(handle, 1)
+	c.writeResponse(resp.Response, body)
+	if resp.StatusCode >= http.StatusInternalServerError {
+		return attemptResult{outcome: dispatch.Failed, delivered: true}
 	}
-	return attempt{outcome: dispatch.Answered, delivered: true}
+	return attemptResult{outcome: dispatch.Answered, delivered: true}
 }
 
-// write passes on a whole answer.
-func (c *caller) write(resp *http.Response, body []byte) {
+// writeResponse sends a complete response to the caller.
+func (c *callerRequest) writeResponse(resp *http.Response, body []byte) {
 	copyHeaders(c.w.Header(), resp.Header)
 	c.w.Header().Set("Content-Length", itoa(len(body)))
 	c.w.WriteHeader(resp.StatusCode)
@@ -323,20 +329,20 @@
 	took := time.Since(c.arrived)
 	c.d.count("answers")
 	c.d.observe("answer", took)
-	c.d.log.Info().Str("request", c.call.ID).Int("status", resp.StatusCode).Dur("took", took).
-		Bool("late", took > c.route.Objective).Int("sent", c.sent).Err(err).Msg("answered")
+	c.d.log.Info().Str("request", c.reqHeaders.ID).Int("status", resp.StatusCode).Dur("took", took).
+		Bool("late", took > c.route.Objective).Int("sent", c.sendCount).Err(err).Msg("answered")
 }
 
-func copyHeaders(to, from http.Header) {
-	h := from.Clone()
-	dropHop(h)
+func copyHeaders(dst, src http.Header) {
+	h := src.Clone()
+	removeHopHeaders(h)
 	for name, values := range h {
-		to[name] = values
+		dst[name] = values
 	}
-	if _, ok := from["Date"]; !ok {
-		to["Date"] = nil
+	if _, ok := src["Date"]; !ok {
+		dst["Date"] = nil
 	}
-	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil
+	if _, ok := src["Content-Type"]; !ok {
+		dst["Content-Type"] = nil
 	}
 }
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Whatever datagram comes from another VM, or from who pretends to be one, the process
-// goes on: a note holds numbers, names and addresses that nobody has checked.
+// No datagram from another VM, or from a sender that impersonates one, may crash the process: a
+// note contains unchecked numbers, names and addresses.
 func FuzzNote(f *testing.F) {
 	set := testSettings(f, false)
 	for _, n := range []*schema.PeerNote{
@@ -30,12 +30,12 @@
 		f.Add(b)
 	}
 	f.Add([]byte{0xff})
-	// What the VM would send goes nowhere.
-	closed, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	// Notes that the VM sends are discarded.
+	closedConn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		f.Fatal(err)
 	}
-	if err := closed.Close(); err != nil {
+	if err := closedConn.Close(); err != nil {
 		f.Fatal(err)
 	}
 	from := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 5}
@@ -45,11 +45,11 @@
 			return
 		}
 		d := New(Options{Settings: set, Log: logging.New(io.Discard)})
-		d.peers.conn = closed
+		d.peers.conn = closedConn
 		d.peers.handleNote(n, from)
 		d.peers.handleNote(n, from)
-		d.remoteJobs.sweep()
-		d.placing.choose()
+		d.remoteJobs.expireRequesters()
+		d.placing.updatePlacer()
 		d.peers.sendRound(0)
 	})
 }
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -29,11 +29,11 @@
 		names = append(names, listEntry(allowance.VM{Address: a, Domain: pe.domain}))
 	}
 	slices.Sort(names)
-	return append(names, listEntry(allowance.VM{Address: p.d.set.Listen.Peers, Domain: p.d.set.Vm.FailureDomain}))
+	return append(names, listEntry(allowance.VM{Address: p.d.settings.Listen.Peers, Domain: p.d.settings.Vm.FailureDomain}))
 }
 
 func (p *peers) newNote() *schema.PeerNote {
-	n := &schema.PeerNote{Vm: p.d.set.Vm.Name, Incarnation: p.incarnation, Address: p.d.set.Listen.Peers, FailureDomain: p.d.set.Vm.FailureDomain}
+	n := &schema.PeerNote{Vm: p.d.settings.Vm.Name, Incarnation: p.incarnation, Address: p.d.settings.Listen.Peers, FailureDomain: p.d.settings.Vm.FailureDomain}
 	if t := p.d.table.Load(); t != nil {
 		n.ConfigVersion = t.Document.Version
 	}
@@ -58,10 +58,10 @@
 			continue
 		case <-t.C:
 		}
-		p.d.remoteJobs.sweep()
-		p.reconsider()
-		p.d.placing.choose()
-		p.d.sched.setReach(p.coverage())
+		p.d.remoteJobs.expireRequesters()
+		p.updatePlacerRole()
+		p.d.placing.updatePlacer()
+		p.d.sched.setCoverage(p.coverage())
 		p.d.rollouts.step()
 		p.sendRound(i)
 	}
@@ -71,12 +71,12 @@
 func (p *peers) newHeartbeat(i uint64) *schema.PeerNote {
 	n := p.newNote()
 	n.Number = i + 1
-	n.Places, n.CpuShare = p.offers(), p.d.set.Limits.CpuShare
+	n.Places, n.CpuShare = p.offersPlacement(), p.d.settings.Limits.CpuShare
 	at := p.d.registry.position()
 	n.Registry, n.RegistryEra = at.Offset, at.Era
-	n.Members = uint32(len(p.d.remoteJobs.members()))
+	n.Members = uint32(len(p.d.remoteJobs.requesterAddresses()))
 	n.Rollouts = p.d.rollouts.forNote()
-	if placer := p.d.placing.followed(); placer != nil {
+	if placer := p.d.placing.assignedPlacer(); placer != nil {
 		n.Placer = placer.addr.String()
 	}
 	return n
@@ -91,7 +91,7 @@
 	heartbeat.Suspects, heartbeat.Notices = p.d.suspects.forNote(full), p.d.notices.forNote(full)
 	p.writeAll(p.encode(heartbeat), to.Heartbeats)
 	state := proto.Clone(heartbeat).(*schema.PeerNote)
-	p.d.placing.describe(state)
+	p.d.placing.addRunState(state)
 	if full {
 		state.Vms = p.listEntries()
 		// VMs that ask a placer need the event gaps in case they have to place requests themselves.
@@ -120,11 +120,11 @@
 
 // recipients returns who gets the i-th round of notes.
 func (p *peers) recipients(i uint64) cell.Recipients {
-	members := p.d.remoteJobs.members()
-	placer := p.d.placing.followed()
+	members := p.d.remoteJobs.requesterAddresses()
+	placer := p.d.placing.assignedPlacer()
 	var next []string
 	if placer == nil && len(members) > 0 {
-		self, willing := p.willing(p.d.now())
+		self, willing := p.willingPlacers(p.d.now())
 		next = cell.Successors(self, p.fleet(), willing)
 	}
 	now := p.d.now()
@@ -134,7 +134,7 @@
 	peers := make([]cell.Peer, 0, len(p.byAddress))
 	for a, pe := range p.byAddress {
 		peers = append(peers, cell.Peer{
-			Address: a, SameDomain: pe.domain == p.d.set.Vm.FailureDomain, IsPlacer: pe.placesRequests(now),
+			Address: a, SameDomain: pe.domain == p.d.settings.Vm.FailureDomain, IsPlacer: pe.placesRequests(now),
 			SameCell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
@@ -197,8 +197,8 @@
 
 // handleNote processes a received note.
 func (p *peers) handleNote(n *schema.PeerNote, from *net.UDPAddr) {
-	p.d.placing.take(n, from)
-	p.d.remoteJobs.take(n, from)
+	p.d.placing.handleDecisions(n, from)
+	p.d.remoteJobs.handleNote(n, from)
 	if n.Address == "" {
 		// Messages about single requests carry nothing else.
 		return
@@ -209,7 +209,7 @@
 	if pe != nil {
 		started = pe.incarnation != n.Incarnation
 		pe.incarnation, pe.name = n.Incarnation, n.Vm
-		pe.hear(p.d.now())
+		pe.recordContact(p.d.now())
 	}
 	if len(n.Vms) > 0 {
 		p.mergeListLocked(n.Vms)
@@ -236,7 +236,7 @@
 	if started {
 		p.sendStartState(pe)
 	}
-	p.takeRelayed(n)
+	p.handleRelay(n)
 	if n.Loads {
 		p.d.sched.applyPeerLoads(n)
 	}
@@ -252,7 +252,7 @@
 
 // endpointLoads returns this VM's load at the endpoints it uses. With withGaps it includes the
 // other endpoints whose event gap this VM knows.
-func (s *scheduling) endpointLoads(withGaps bool) []*schema.EndpointUse {
+func (s *sharedScheduler) endpointLoads(withGaps bool) []*schema.EndpointUse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*schema.EndpointUse
@@ -265,7 +265,7 @@
 	return list
 }
 
-func (s *scheduling) applyPeerLoads(n *schema.PeerNote) {
+func (s *sharedScheduler) applyPeerLoads(n *schema.PeerNote) {
 	uses := make([]dispatch.EndpointLoad, 0, len(n.Uses))
 	for _, u := range n.Uses {
 		uses = append(uses, dispatch.EndpointLoad{EndpointHash: u.Endpoint, Load: dispatch.Load{
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -50,13 +50,13 @@
 }
 
 // observe records an endpoint's response to a request that was sent at the time sent.
-func (n *notices) observe(ep *members.Endpoint, sent time.Duration, reply Reply) {
+func (n *notices) observe(ep *members.Endpoint, sent time.Duration, reply ResponseHeaders) {
 	if reply.Replaced {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.logUnreadableHeaders(ep, reply.Unreadable)
+	n.logUnreadableHeaders(ep, reply.HeaderErrors)
 	received := reply.Notice
 	// A response without an id may come from something other than the incarnation: it does not lift
 	// a limit.
@@ -102,11 +102,11 @@
 	for _, m := range list {
 		r := noticeFromWire(m)
 		if !r.Valid() {
-			n.d.countImpossible(1)
+			n.d.countInvalid(1)
 			continue
 		}
 		before := n.ledger.Current(r.Endpoint)
-		if !n.ledger.Merge(n.d.now(), r, n.d.sched.lists(r.Endpoint)) {
+		if !n.ledger.Merge(n.d.now(), r, n.d.sched.isListed(r.Endpoint)) {
 			continue
 		}
 		n.updateScheduler(r.Endpoint)
@@ -121,10 +121,10 @@
 func (n *notices) updateScheduler(hash uint64) {
 	current := n.ledger.Current(hash)
 	ownEnd, othersEnd := n.ledger.BackoffEnds(hash)
-	n.d.sched.setLimit(hash, current)
-	n.d.sched.setRest(hash, n.jitteredBackoffEnd(hash, ownEnd), othersEnd)
+	n.d.sched.setRateLimit(hash, current)
+	n.d.sched.setBackoff(hash, n.jitteredBackoffEnd(hash, ownEnd), othersEnd)
 	if current.Leaving {
-		n.d.sched.leave(hash)
+		n.d.sched.markLeaving(hash)
 	}
 }
 
@@ -158,8 +158,8 @@
 		return
 	}
 	n.evictedAt = now
-	for _, hash := range n.ledger.Expire(now, unlistedTTL, n.d.sched.lists) {
-		n.d.sched.forget(hash)
+	for _, hash := range n.ledger.Expire(now, unlistedTTL, n.d.sched.isListed) {
+		n.d.sched.clearNotice(hash)
 	}
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -112,7 +112,7 @@
 // all remote VMs in rotation, the placers among them would get them too seldom and send requests to
 // full engines.
 func (pe *peer) placesRequests(now time.Duration) bool {
-	return pe.heardLately(now) && !pe.asksPlacer || pe.namedAt > 0 && now-pe.namedAt < placerNameTTL
+	return pe.isAlive(now) && !pe.asksPlacer || pe.namedAt > 0 && now-pe.namedAt < placerNameTTL
 }
 
 // domainAddresses returns the addresses of the other VMs of this VM's failure domain.
@@ -121,7 +121,7 @@
 	defer p.mu.Unlock()
 	var list []string
 	for a, pe := range p.byAddress {
-		if pe.domain == p.d.set.Vm.FailureDomain {
+		if pe.domain == p.d.settings.Vm.FailureDomain {
 			list = append(list, a)
 		}
 	}
@@ -147,14 +147,14 @@
 
 func newPeers(d *Daemon) *peers {
 	return &peers{
-		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.FleetSize{Region: 1, Domain: 1}, offset: turnOffset(d.set.Listen.Peers),
+		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.FleetSize{Region: 1, Domain: 1}, offset: turnOffset(d.settings.Listen.Peers),
 		relays: make(chan relay, relayBuffer), configHints: make(chan configHint, hintBuffer),
 		client: &http.Client{Transport: &http.Transport{DialContext: d.opts.Dial, DisableKeepAlives: true}},
 	}
 }
 
 func (p *peers) listen() (err error) {
-	p.conn, err = p.d.opts.ListenPacket(p.d.set.Listen.Peers)
+	p.conn, err = p.d.opts.ListenPacket(p.d.settings.Listen.Peers)
 	return err
 }
 
@@ -264,7 +264,7 @@
 		return
 	}
 	p.sharedAmong = len(p.byAddress) + 1
-	vms := []allowance.VM{{Address: p.d.set.Listen.Peers, Domain: p.d.set.Vm.FailureDomain}}
+	vms := []allowance.VM{{Address: p.d.settings.Listen.Peers, Domain: p.d.settings.Vm.FailureDomain}}
 	for a, pe := range p.byAddress {
 		vms = append(vms, allowance.VM{Address: a, Domain: pe.domain})
 	}
@@ -300,7 +300,7 @@
 // addVM adds a VM and returns it. It returns nil for this VM itself and for an address that cannot
 // be parsed.
 func (p *peers) addVM(v allowance.VM) *peer {
-	if v.Address == p.d.set.Listen.Peers {
+	if v.Address == p.d.settings.Listen.Peers {
 		return nil
 	}
 	if known := p.byAddress[v.Address]; known != nil {
@@ -314,7 +314,7 @@
 	}
 	pe := &peer{addr: net.UDPAddrFromAddrPort(ap), domain: v.Domain, learnedAt: p.d.now()}
 	p.byAddress[v.Address] = pe
-	p.countKnown(v.Domain)
+	p.countVM(v.Domain)
 	p.d.log.Info().Str("address", v.Address).Str("peer_domain", v.Domain).Int("vms", len(p.byAddress)+1).Msg("peer_known")
 	return pe
 }
--- a/entry/placing.go
+++ b/entry/placing.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	// placerSilence is after how long without a note a placer counts as lost: notes
-	// come ten times a second, and one in a hundred datagrams is lost.
-	placerSilence = 350 * time.Millisecond
-	// askAgain is when an unanswered ask is sent again, twenty round trips within a
-	// region; after maxAsks the VM places for itself.
-	askAgain = 40 * time.Millisecond
-	maxAsks  = 3
-	// avoidFor is how long a placer that did not answer is left alone.
-	avoidFor = time.Second
-	// willingAfter is how long a process hears others before it places for them:
-	// until then it knows neither their loads nor the endpoints' paces. Where nobody else
-	// places, that is no better than what all others know: then it is willingAlone, three
-	// notes of those who place.
-	willingAfter = 2 * time.Second
-	willingAlone = 300 * time.Millisecond
-	// maxAvoided bounds the endpoints that a VM asks to be left out: the registry as
-	// this VM knows it may be a moment older than the placer's, or newer.
+	// placerTimeout is the time without a note after which a placer is considered lost: notes are
+	// sent ten times a second, and one datagram in a hundred is lost.
+	placerTimeout = 350 * time.Millisecond
+	// placeRetryInterval is the interval at which an unanswered placement request is sent again,
+	// twenty round trips within a region; after maxPlaceRequests the VM places the request
+	// itself.
+	placeRetryInterval = 40 * time.Millisecond
+	maxPlaceRequests   = 3
+	// placerAvoidTime is how long a placer that did not answer is not used.
+	placerAvoidTime = time.Second
+	// placerWarmup is how long a process receives notes before it places requests for others:
+	// until then it knows neither their loads nor the speeds of the endpoints. If no other VM
+	// places, this gains nothing, as the others know no more; then the time is soloPlacerWarmup,
+	// three note intervals of a VM that places.
+	placerWarmup     = 2 * time.Second
+	soloPlacerWarmup = 300 * time.Millisecond
+	// maxAvoided limits the endpoints that a VM asks the placer to exclude: its copy of the
+	// registry may be slightly older or newer than the placer's.
 	maxAvoided = 8
-	// answerBuffer holds the answers to one ask.
-	answerBuffer = 4
+	// decisionBuffer is the number of decisions buffered for one placement request.
+	decisionBuffer = 4
 )
 
-// placing finds out where requests go: it asks the VM that places for this one, its
-// placer, and falls back on its own scheduler if that one cannot be heard.
-type placing struct {
+// placement decides which endpoint each request goes to. It asks this VM's placer, and falls back
+// to the local scheduler if no notes are received from the placer.
+type placement struct {
 	d *Daemon
 
 	mu sync.Mutex
-	// placer is the VM that is asked, nil if this VM places for itself; since is when
-	// it was chosen.
-	placer *peer
-	since  time.Duration
-	asks   map[uint64]*ask
-	// runs are this VM's requests that others placed.
-	runs map[uint64]*remoteRun
+	// placer is the VM that places this VM's requests, nil if this VM does so itself; placerSince
+	// is when it was selected.
+	placer      *peer
+	placerSince time.Duration
+	// pending holds the placement requests without a final decision, by handle.
+	pending map[uint64]*pendingPlacement
+	// remoteRuns holds this VM's requests that other VMs placed, by handle.
+	remoteRuns map[uint64]*remoteRun
 }
 
-// ask is a request that waits for the placer's answer.
-type ask struct {
-	to      *peer
-	answers chan *schema.PlaceDecision
-	queued  bool
+// pendingPlacement is a placement request that waits for the placer's decision.
+type pendingPlacement struct {
+	placer    *peer
+	decisions chan *schema.PlaceDecision
+	queued    bool
 }
 
 // remoteRun is a request that another VM placed.
@@ -61,41 +63,42 @@
 	started bool
 }
 
-func newPlacing(d *Daemon) *placing {
-	return &placing{d: d, asks: make(map[uint64]*ask), runs: make(map[uint64]*remoteRun)}
+func newPlacement(d *Daemon) *placement {
+	return &placement{d: d, pending: make(map[uint64]*pendingPlacement), remoteRuns: make(map[uint64]*remoteRun)}
 }
 
-// place finds an endpoint for a job of a caller's request; ok is false if ctx ended first.
-func (p *placing) place(ctx context.Context, request string, j dispatch.Job) (dec dispatch.Decision, ok bool) {
-	if dec, ok, over := p.awaitRest(ctx, j); over {
+// place finds an endpoint for a caller's request. ok is false if ctx ended first.
+func (p *placement) place(ctx context.Context, request string, j dispatch.Job) (dec dispatch.Decision, ok bool) {
+	if dec, ok, ended := p.awaitBackoff(ctx, j); ended {
 		return dec, ok
 	}
-	j.Avoided = append(j.Avoided, p.d.sched.barred(j.Service)...)
-	for to := p.current(); to != nil; to = p.current() {
+	j.Avoided = append(j.Avoided, p.d.sched.unavailable(j.Service)...)
+	for placer := p.livePlacer(); placer != nil; placer = p.livePlacer() {
 		start := p.d.now()
-		dec, ok, alone := p.ask(ctx, to, j)
-		if alone == "" {
+		dec, ok, localReason := p.requestPlacement(ctx, placer, j)
+		if localReason == "" {
 			return dec, ok
 		}
-		p.d.log.Info().Str("request", request).Str("placer", to.addr.String()).Str("reason", alone).
+		p.d.log.Info().Str("request", request).Str("placer", placer.addr.String()).Str("reason", localReason).
 			Uint64("endpoint_hash", dec.EndpointHash).Dur("asked_for", p.d.now()-start).Msg("placer_passed_over")
-		if dec.EndpointHash != 0 && len(j.Avoided) < maxAvoided && alone != string(dispatch.CanaryOnly) {
-			// Asked anew, as another request: what is left of this one may be on its way.
+		if dec.EndpointHash != 0 && len(j.Avoided) < maxAvoided && localReason != string(dispatch.CanaryOnly) {
+			// Ask again under a new handle: messages about the old one may still be in transit.
 			j.Avoided = append(j.Avoided, dec.EndpointHash)
 			j.Handle = p.d.lastHandle.Add(1)
 			continue
 		}
-		p.d.count("placed_alone." + alone)
+		p.d.count("placed_alone." + localReason)
 		break
 	}
 	return p.d.sched.place(ctx, j)
 }
 
-// awaitRest waits while all endpoints for a job want nothing from this VM; over says that the job ended, as
-// they do for longer than its caller waits, or as ctx did.
-func (p *placing) awaitRest(ctx context.Context, j dispatch.Job) (dec dispatch.Decision, ok, over bool) {
+// awaitBackoff waits while all endpoints for a job have asked this VM to back off. ended is set
+// if the job is over, because the backoff lasts longer than the caller waits or because ctx
+// ended.
+func (p *placement) awaitBackoff(ctx context.Context, j dispatch.Job) (dec dispatch.Decision, ok, ended bool) {
 	for {
-		wait := p.d.sched.restWait(j.Service, j.Tried)
+		wait := p.d.sched.backoffWait(j.Service, j.Tried)
 		if wait == 0 {
 			return dec, false, false
 		}
@@ -108,212 +111,215 @@
 	}
 }
 
-// Reasons for placing a request here though another VM places, beside those why its
-// endpoint may not be used.
+// Reasons for placing a request locally although another VM is the placer, in addition to the
+// reasons for which the chosen endpoint may not be used.
 const (
-	aloneUnknown = "not_known_there"
-	aloneSilent  = "no_answer"
-	aloneMoved   = "placer_changed"
+	localReasonUnknown       = "not_known_there"
+	localReasonNoAnswer      = "no_answer"
+	localReasonPlacerChanged = "placer_changed"
 )
 
-// current is the placer, if it is heard.
-func (p *placing) current() *peer {
+// livePlacer returns the placer, or nil if no recent note was received from it.
+func (p *placement) livePlacer() *peer {
 	p.mu.Lock()
-	to := p.placer
+	placer := p.placer
 	p.mu.Unlock()
-	if to == nil || !p.d.peers.heardWithin(to, placerSilence) {
+	if placer == nil || !p.d.peers.seenWithin(placer, placerTimeout) {
 		return nil
 	}
-	return to
+	return placer
 }
 
-// followed is the placer, heard or not.
-func (p *placing) followed() *peer {
+// assignedPlacer returns the placer, whether or not it is alive.
+func (p *placement) assignedPlacer() *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.placer
 }
 
-// ask asks the placer; alone says why this VM has to place for itself, if it has.
-func (p *placing) ask(ctx context.Context, to *peer, j dispatch.Job) (dec dispatch.Decision, ok bool, alone string) {
-	a := &ask{to: to, answers: make(chan *schema.PlaceDecision, answerBuffer)}
+// requestPlacement asks the placer for a decision. localReason is set if this VM has to place the
+// request itself.
+func (p *placement) requestPlacement(ctx context.Context, placer *peer, j dispatch.Job) (dec dispatch.Decision, ok bool, localReason string) {
+	pending := &pendingPlacement{placer: placer, decisions: make(chan *schema.PlaceDecision, decisionBuffer)}
 	p.mu.Lock()
-	p.asks[j.Handle] = a
+	p.pending[j.Handle] = pending
 	p.mu.Unlock()
-	defer p.forget(j.Handle)
-	timer := time.NewTimer(askAgain)
+	defer p.removePending(j.Handle)
+	timer := time.NewTimer(placeRetryInterval)
 	defer timer.Stop()
-	p.d.peers.send(p.askNote(j), to.addr)
-	for sends := 1; ; {
+	p.d.peers.send(p.placeRequestNote(j), placer.addr)
+	for sent := 1; ; {
 		select {
-		case m := <-a.answers:
+		case m := <-pending.decisions:
 			switch m.Verdict {
 			case schema.PlaceDecision_QUEUED:
-				p.setQueued(a)
-				timer.Reset(placerSilence)
+				p.markQueued(pending)
+				timer.Reset(placerTimeout)
 			case schema.PlaceDecision_REFUSED:
-				return refused(m), true, ""
+				return refusedDecision(m), true, ""
 			case schema.PlaceDecision_PLACED:
-				dec, why := p.adopt(to, j, m)
+				dec, why := p.adoptDecision(placer, j, m)
 				return dec, dec.Endpoint != nil, string(why)
 			default:
-				return dec, false, aloneUnknown
+				return dec, false, localReasonUnknown
 			}
 		case <-timer.C:
-			if a.queued && p.current() == to && p.d.now() < j.AbandonAt {
-				timer.Reset(min(placerSilence, max(time.Millisecond, j.AbandonAt-p.d.now())))
+			if pending.queued && p.livePlacer() == placer && p.d.now() < j.AbandonAt {
+				timer.Reset(min(placerTimeout, max(time.Millisecond, j.AbandonAt-p.d.now())))
 				continue
 			}
 			if p.d.now() >= j.AbandonAt {
-				// The placer should have refused it by now; its caller is about to leave.
-				p.leave(to, j.Handle)
-				return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonTooLate, RetryAfter: shortWait}, true, ""
+				// The placer should have refused the request by now; the caller is about to
+				// disconnect.
+				p.cancelRemote(placer, j.Handle)
+				return dispatch.Decision{Handle: j.Handle, Reason: dispatch.ReasonTooLate, RetryAfter: shortRetryAfter}, true, ""
 			}
-			if a.queued {
-				// It has fallen silent, or another VM places now.
-				p.leave(to, j.Handle)
-				return dec, false, aloneMoved
+			if pending.queued {
+				// The placer has stopped sending notes, or another VM is the placer now.
+				p.cancelRemote(placer, j.Handle)
+				return dec, false, localReasonPlacerChanged
 			}
-			if sends == maxAsks {
-				p.leave(to, j.Handle)
-				p.avoid(to)
-				return dec, false, aloneSilent
+			if sent == maxPlaceRequests {
+				p.cancelRemote(placer, j.Handle)
+				p.avoidPlacer(placer)
+				return dec, false, localReasonNoAnswer
 			}
-			sends++
-			timer.Reset(askAgain)
-			p.d.peers.send(p.askNote(j), to.addr)
+			sent++
+			timer.Reset(placeRetryInterval)
+			p.d.peers.send(p.placeRequestNote(j), placer.addr)
 		case <-ctx.Done():
-			p.leave(to, j.Handle)
+			p.cancelRemote(placer, j.Handle)
 			return dec, false, ""
 		}
 	}
 }
 
-func (p *placing) setQueued(a *ask) {
+func (p *placement) markQueued(pending *pendingPlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a.queued = true
+	pending.queued = true
 }
 
-func (p *placing) forget(handle uint64) {
+func (p *placement) removePending(handle uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.asks, handle)
+	delete(p.pending, handle)
 }
 
-// adopt takes over what the placer decided, unless this VM knows that the endpoint
-// may not be used.
-func (p *placing) adopt(to *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.UnusableReason) {
-	// While requests move, which go to the new version is the placer's to say: it may be some ms
-	// ahead of this VM, whose own list still holds the new endpoints back.
+// adoptDecision applies the placer's decision, unless this VM knows a reason not to use the
+// endpoint.
+func (p *placement) adoptDecision(placer *peer, j dispatch.Job, m *schema.PlaceDecision) (dispatch.Decision, dispatch.UnusableReason) {
+	// During a rollout the placer decides which requests go to the new version: it may be some ms
+	// ahead of this VM, whose own list still excludes the new endpoints.
 	j.Canary = j.Canary || p.d.rollouts.isShifting(j.Service)
 	j.LimitCharged = m.Counted
 	dec, why := p.d.sched.adopt(j, m.Endpoint, micros(m.PredictedUs), int(m.PromptTokens))
 	if dec == nil {
-		p.leave(to, j.Handle)
+		p.cancelRemote(placer, j.Handle)
 		return dispatch.Decision{EndpointHash: m.Endpoint}, why
 	}
-	dec.DecidedBy, dec.Candidates, dec.Waiting = to.addr.String(), int(m.Candidates), int(m.Waiting)
+	dec.DecidedBy, dec.Candidates, dec.Waiting = placer.addr.String(), int(m.Candidates), int(m.Waiting)
 	dec.Load = dispatch.Load{Running: int(m.Running), PromptTokens: int(m.PromptTokens), EventGap: micros(m.EventGapUs)}
 	p.mu.Lock()
-	p.runs[j.Handle] = &remoteRun{placer: to}
+	p.remoteRuns[j.Handle] = &remoteRun{placer: placer}
 	p.mu.Unlock()
 	return *dec, ""
 }
 
-func refused(m *schema.PlaceDecision) dispatch.Decision {
+func refusedDecision(m *schema.PlaceDecision) dispatch.Decision {
 	return dispatch.Decision{
 		Handle: m.Handle, Reason: m.Reason, RetryAfter: micros(m.RetryAfterUs), Candidates: int(m.Candidates), Waiting: int(m.Waiting),
 	}
 }
 
-// leave tells the placer that the request needs no place any more.
-func (p *placing) leave(to *peer, handle uint64) {
-	p.tell(to, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome_RUN_LEFT})
+// cancelRemote tells the placer that the request no longer needs an endpoint.
+func (p *placement) cancelRemote(placer *peer, handle uint64) {
+	p.sendProgress(placer, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome_RUN_LEFT})
 }
 
-func (p *placing) tell(to *peer, m *schema.RunProgress) {
+func (p *placement) sendProgress(to *peer, m *schema.RunProgress) {
 	p.d.peers.send(&schema.PeerNote{Progress: []*schema.RunProgress{m}}, to.addr)
 }
 
-// avoid leaves a placer alone that did not answer.
-func (p *placing) avoid(to *peer) {
-	p.d.peers.avoid(to, p.d.now()+avoidFor)
-	p.d.log.Warn().Str("placer", to.addr.String()).Int("asks", maxAsks).Dur("for", avoidFor).Msg("placer_lost")
-	p.choose()
+// avoidPlacer stops using a placer that did not answer, for placerAvoidTime.
+func (p *placement) avoidPlacer(placer *peer) {
+	p.d.peers.setAvoidUntil(placer, p.d.now()+placerAvoidTime)
+	p.d.log.Warn().Str("placer", placer.addr.String()).Int("asks", maxPlaceRequests).Dur("for", placerAvoidTime).Msg("placer_lost")
+	p.updatePlacer()
 }
 
-// events says that n events of a stream came.
-func (p *placing) events(handle uint64, n int) {
-	p.d.sched.events(handle, n)
+// recordEvents records n events of a response.
+func (p *placement) recordEvents(handle uint64, n int) {
+	p.d.sched.recordEvents(handle, n)
 	p.mu.Lock()
-	r := p.runs[handle]
+	r := p.remoteRuns[handle]
 	first := r != nil && !r.started
 	if first {
 		r.started = true
 	}
 	p.mu.Unlock()
 	if first {
-		p.tell(r.placer, &schema.RunProgress{Handle: handle, Started: true})
+		p.sendProgress(r.placer, &schema.RunProgress{Handle: handle, Started: true})
 	}
 }
 
-// end says that a request is over at its endpoint.
-func (p *placing) end(handle uint64, o dispatch.Outcome) {
-	p.d.sched.end(handle, o)
+// endRun records that a request has ended at its endpoint.
+func (p *placement) endRun(handle uint64, o dispatch.Outcome) {
+	p.d.sched.endRun(handle, o)
 	p.mu.Lock()
-	r := p.runs[handle]
-	delete(p.runs, handle)
+	r := p.remoteRuns[handle]
+	delete(p.remoteRuns, handle)
 	p.mu.Unlock()
 	if r != nil {
-		p.tell(r.placer, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome(o)})
+		p.sendProgress(r.placer, &schema.RunProgress{Handle: handle, Ended: true, Outcome: schema.RunOutcome(o)})
 	}
 }
 
-// describe adds what the placer needs to see that it knows all requests of this VM.
-func (p *placing) describe(n *schema.PeerNote) {
+// addRunState adds the handles of this VM's requests, which the placer compares with those that
+// it has.
+func (p *placement) addRunState(n *schema.PeerNote) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for h := range p.runs {
+	for h := range p.remoteRuns {
 		n.Placed = append(n.Placed, h)
 	}
-	for h, a := range p.asks {
-		if a.queued {
+	for h, pending := range p.pending {
+		if pending.queued {
 			n.Waiting = append(n.Waiting, h)
 		}
 	}
 }
 
-// take takes in answers of placers.
-func (p *placing) take(n *schema.PeerNote, from *net.UDPAddr) {
+// handleDecisions processes the placement decisions in a note.
+func (p *placement) handleDecisions(n *schema.PeerNote, from *net.UDPAddr) {
 	for _, m := range n.PlaceDecisions {
 		p.mu.Lock()
-		a := p.asks[m.Handle]
-		known := p.runs[m.Handle] != nil
+		pending := p.pending[m.Handle]
+		known := p.remoteRuns[m.Handle] != nil
 		p.mu.Unlock()
-		if a != nil && a.to.addr.String() == from.String() {
+		if pending != nil && pending.placer.addr.String() == from.String() {
 			select {
-			case a.answers <- m:
+			case pending.decisions <- m:
 			default:
-				// It has an answer already; the placer repeats this one.
+				// The buffer is full; the placer sends its decision again.
 			}
 			continue
 		}
 		if m.Verdict == schema.PlaceDecision_PLACED && !known {
-			// Too late: the request was placed here meanwhile, or its caller left.
+			// Too late: the request has been placed locally, or its caller has disconnected.
 			p.d.peers.send(&schema.PeerNote{Progress: []*schema.RunProgress{{Handle: m.Handle, Ended: true, Outcome: schema.RunOutcome_RUN_LEFT}}}, from)
 		}
 	}
 }
 
-// askNote is the message that asks for a place.
-func (p *placing) askNote(j dispatch.Job) *schema.PeerNote {
+// placeRequestNote returns the note that requests a placement.
+func (p *placement) placeRequestNote(j dispatch.Job) *schema.PeerNote {
 	now := p.d.now()
 	m := &schema.PlaceAsk{
 		Handle: j.Handle, Service: j.Service, Tier: int32(j.Tier), Prompt: uint32(j.PromptTokens), Events: uint32(j.ExpectedEvents),
 		ObjectiveUs: (j.Objective - now).Microseconds(), AbandonUs: (j.AbandonAt - now).Microseconds(),
 		MaxPauseUs: uint64(j.MaxPause.Microseconds()), Tried: j.Tried, Avoided: j.Avoided,
-		FailureDomain: p.d.set.Vm.FailureDomain, Digest: j.Request[:], Suspicion: uint32(j.Suspicion), Trial: j.Canary,
+		FailureDomain: p.d.settings.Vm.FailureDomain, Digest: j.Request[:], Suspicion: uint32(j.Suspicion), Trial: j.Canary,
 	}
 	if j.Deadline > 0 {
 		m.LimitUs = (j.Deadline - now).Microseconds()
@@ -323,8 +329,8 @@
 
 func micros(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// avoid leaves a VM out of the choice of placers for a time.
-func (p *peers) avoid(pe *peer, until time.Duration) {
+// setAvoidUntil excludes a VM from selection as placer until a time.
+func (p *peers) setAvoidUntil(pe *peer, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pe.avoidUntil = until
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -126,7 +126,7 @@
 }
 
 func (p *peers) fetchEndpointsFrom(ctx context.Context, address string) ([]Record, Position, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
 	reply, err := schema.NewRelayProtobufClient("http://"+address, p.client).Endpoints(ctx, &schema.EndpointsRequest{})
 	if err != nil {
@@ -146,7 +146,7 @@
 	defer p.mu.Unlock()
 	list := []string{announcer}
 	for a, pe := range p.byAddress {
-		if a != announcer && pe.domain == p.d.set.Vm.FailureDomain && pe.heardLately(now) && !pe.registryPosition.Before(at) {
+		if a != announcer && pe.domain == p.d.settings.Vm.FailureDomain && pe.isAlive(now) && !pe.registryPosition.Before(at) {
 			list = append(list, a)
 		}
 	}
@@ -169,7 +169,7 @@
 		case r := <-d.peers.relays:
 			if !d.applyRelay(ctx, &c, r) {
 				read.Reset(0)
-			} else if !d.peers.reads() {
+			} else if !d.peers.isStoreReader() {
 				read.Reset(jitter(d.relaySilence()))
 			}
 			continue
@@ -181,7 +181,7 @@
 		if err != nil {
 			d.registryLostAt.Store(int64(d.now()))
 			d.registry.invalidate()
-			d.sched.update(func(_ time.Duration, m *members.Set) { m.MarkRegistryUnavailable() })
+			d.sched.updateMembers(func(_ time.Duration, m *members.Set) { m.MarkRegistryUnavailable() })
 			read.Reset(jitter(delay.next(d.maxRetryPause())))
 			continue
 		}
@@ -192,8 +192,8 @@
 				Int("endpoints", len(got.records)).Msg("registry_read")
 		}
 		parts := d.applyReadResult(got, before, c.next)
-		if d.peers.reads() {
-			d.peers.relay(parts)
+		if d.peers.isStoreReader() {
+			d.peers.relayParts(parts)
 			read.Reset(jitter(d.endpointsInterval()))
 		} else {
 			read.Reset(jitter(d.relaySilence()))
@@ -216,7 +216,7 @@
 	case got.full:
 		before = next
 	}
-	return partsOf(before.Offset, next, got.records, changed)
+	return splitParts(before.Offset, next, got.records, changed)
 }
 
 // restoreDiff returns the difference between the cached registry and the one read after the store
@@ -243,7 +243,7 @@
 		relay.Records = append(relay.Records, &schema.StoreRecord{Key: key})
 		size += len(key)
 	}
-	if size > relayBytes {
+	if size > relayPartBytes {
 		relay.Records = nil
 		return relay
 	}
@@ -305,7 +305,7 @@
 	for _, r := range list {
 		rec := Record{Key: r.Key, Value: r.Value}
 		if r.Written > 0 {
-			rec.At, rec.Placed = Position{Era: era, Offset: r.Written - 1}, true
+			rec.Position, rec.HasPosition = Position{Era: era, Offset: r.Written - 1}, true
 		}
 		records = append(records, rec)
 	}
@@ -315,10 +315,10 @@
 // wireOffset returns the record's offset plus one, or 0 if its position is unknown or of another
 // era.
 func (r Record) wireOffset(era uint64) uint64 {
-	if !r.Placed || r.At.Era != era {
+	if !r.HasPosition || r.Position.Era != era {
 		return 0
 	}
-	return r.At.Offset + 1
+	return r.Position.Offset + 1
 }
 
 // applyEndpoints applies what was read of the registry and returns the indexes of the records that
@@ -327,13 +327,13 @@
 	d.registry.apply(got.records, got.full, next)
 	changes := make([]members.Change, 0, len(got.records))
 	for _, r := range got.records {
-		c, err := d.codec.Endpoint(r)
+		c, err := d.codec.DecodeEndpoint(r)
 		d.logUnreadableEntry(r.Key, err)
 		c.Written = r.wireOffset(next.Era)
 		changes = append(changes, c)
 	}
 	var logged []members.Change
-	d.sched.update(func(now time.Duration, m *members.Set) {
+	d.sched.updateMembers(func(now time.Duration, m *members.Set) {
 		m.MarkRegistryAvailable(now)
 		if got.restored {
 			m.MarkRegistryRestored(now)
@@ -356,8 +356,8 @@
 		m.Expire(now)
 	})
 	d.logEndpointChanges(logged)
-	d.endpointsKnown.Store(true)
-	d.noteInformed()
+	d.endpointsLoaded.Store(true)
+	d.markInitialised()
 	return changed
 }
 
@@ -368,14 +368,14 @@
 // logUnreadableEntry logs a decoding error of an entry once; a nil error clears it.
 func (d *Daemon) logUnreadableEntry(key string, err error) {
 	if err == nil {
-		delete(d.unreadable, key)
+		delete(d.invalidEntries, key)
 		return
 	}
 	d.count("entries_unreadable")
-	if d.unreadable[key] == err.Error() || len(d.unreadable) >= maxUnreadable {
+	if d.invalidEntries[key] == err.Error() || len(d.invalidEntries) >= maxUnreadable {
 		return
 	}
-	d.unreadable[key] = err.Error()
+	d.invalidEntries[key] = err.Error()
 	d.log.Warn().Str("endpoint", key).Err(err).Msg("endpoint_unreadable")
 }
 
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -15,93 +15,96 @@
 )
 
 const (
-	// aliveFor is how long after its last note a VM counts as alive, or aliveNotes of
-	// its usual times between two notes, which are longer in large failure domains. Few
-	// notes are lost.
-	aliveFor   = time.Second
-	aliveNotes = 4
-	// unheardFor is how long a VM that was never heard counts as alive after it was learned
-	// of: notes come in turns, seconds apart in a large failure domain.
-	unheardFor = 4 * time.Second
-	// everyWeight is the weight of one time between two notes in the usual one.
-	everyWeight = 0.2
-	// fetchTimeout bounds the fetching of a configuration from another VM.
-	fetchTimeout = 700 * time.Millisecond
-	// readerKey is hashed with the VMs' addresses to choose the reader.
-	readerKey = "store-reader"
+	// A VM counts as alive for aliveTimeout after its last note, or for aliveIntervals times its
+	// usual interval between notes if that is longer, as in large failure domains. Few notes are
+	// lost.
+	aliveTimeout   = time.Second
+	aliveIntervals = 4
+	// unseenTimeout is how long a newly discovered VM counts as alive before its first note:
+	// notes are sent in rotation, seconds apart in a large failure domain.
+	unseenTimeout = 4 * time.Second
+	// intervalWeight is the weight of the latest interval between notes in the moving average.
+	intervalWeight = 0.2
+	// configFetchTimeout limits the time to fetch a configuration from another VM.
+	configFetchTimeout = 700 * time.Millisecond
+	// readerHashKey is hashed with the VMs' addresses to choose the reader.
+	readerHashKey = "store-reader"
 )
 
-// reads says whether this VM reads the store for its failure domain: the first
-// by rendezvous hashing of those alive that did not fail to read it. VMs may disagree
-// for a moment; then two read, or none does and each reads for itself after a while.
-// VMs that were not heard yet count: in the first seconds each VM has heard few others,
-// and each would read for its failure domain.
-func (p *peers) reads() bool {
+// isStoreReader reports whether this VM reads the store for its failure domain: the reader is the
+// first by rendezvous hashing of the VMs that are alive and did not fail to read the store. VMs
+// may disagree for a moment; then two read, or none does and each VM reads for itself after a
+// while. VMs without a note so far are included: in the first seconds each VM has received notes
+// from few others, and each would become a reader.
+func (p *peers) isStoreReader() bool {
 	now := p.d.now()
 	if p.d.registryReadFailed(now) {
 		return false
 	}
-	own := rendezvous.Hash(readerKey, p.d.set.Listen.Peers)
+	own := rendezvous.Hash(readerHashKey, p.d.settings.Listen.Peers)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, pe := range p.byAddress {
-		if pe.presumedAlive(now) && pe.domain == p.d.set.Vm.FailureDomain && !pe.storeLost && rendezvous.Hash(readerKey, address) > own {
+		if pe.presumedAlive(now) && pe.domain == p.d.settings.Vm.FailureDomain && !pe.storeLost && rendezvous.Hash(readerHashKey, address) > own {
 			return false
 		}
 	}
 	return true
 }
 
-// heardLately says whether the VM counts as alive.
-func (pe *peer) heardLately(now time.Duration) bool {
-	return pe.lastHeard > 0 && now-pe.lastHeard < max(aliveFor, aliveNotes*pe.usualInterval)
+// isAlive reports whether a recent note was received from the VM.
+func (pe *peer) isAlive(now time.Duration) bool {
+	return pe.lastHeard > 0 && now-pe.lastHeard < max(aliveTimeout, aliveIntervals*pe.usualInterval)
 }
 
-// presumedAlive says whether the VM is alive as far as is known, heard or not yet.
+// presumedAlive reports whether the VM is alive as far as is known, including a new VM without a
+// note so far.
 func (pe *peer) presumedAlive(now time.Duration) bool {
-	return pe.heardLately(now) || pe.lastHeard == 0 && now-pe.learnedAt < unheardFor
+	return pe.isAlive(now) || pe.lastHeard == 0 && now-pe.learnedAt < unseenTimeout
 }
 
-// hear notes that the VM spoke. A silence counts as no more than aliveFor, or a VM that
-// was away would count as alive for long after.
-func (pe *peer) hear(now time.Duration) {
+// recordContact records that a note was received from the VM. A gap counts as at most
+// aliveIntervals times aliveTimeout in the average, or a VM that was away would count as alive
+// for long after.
+func (pe *peer) recordContact(now time.Duration) {
 	if pe.lastHeard > 0 {
-		pe.usualInterval += time.Duration(everyWeight * float64(min(now-pe.lastHeard, aliveNotes*aliveFor)-pe.usualInterval))
+		pe.usualInterval += time.Duration(intervalWeight * float64(min(now-pe.lastHeard, aliveIntervals*aliveTimeout)-pe.usualInterval))
 	}
 	pe.lastHeard, pe.wentSilent = now, false
 }
 
-// configFollowed says whether a VM of this failure domain follows the
-// configuration in the store. In the first moments of a process none was heard yet, and
-// the one that should is taken to.
-func (p *peers) configFollowed() bool {
+// configWatched reports whether a VM of this failure domain follows the configuration in the
+// store. In the first moments of a process no notes have been received yet, and the reader is
+// assumed to follow it.
+func (p *peers) configWatched() bool {
 	now := p.d.now()
-	if now < aliveFor {
+	if now < aliveTimeout {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pe := range p.byAddress {
-		if pe.heardLately(now) && pe.domain == p.d.set.Vm.FailureDomain && pe.followsConfig {
+		if pe.isAlive(now) && pe.domain == p.d.settings.Vm.FailureDomain && pe.followsConfig {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *peers) setFollows(v bool) { p.followsConfig.Store(v) }
+func (p *peers) setFollowsConfig(v bool) { p.followsConfig.Store(v) }
 
-// relayBytes is about how much of the registry one note passes on before it is packed;
-// longer notes are not sent. When all endpoints start, 82 and more change between two reads.
-const relayBytes = maxDatagram / 2
+// relayPartBytes is the approximate size of the registry records in one note before compression;
+// notes beyond maxDatagram are not sent. When all endpoints start, 82 or more records change
+// between two reads.
+const relayPartBytes = maxDatagram / 2
 
-// mostUnpacked bounds the records of one note, in bytes.
-const mostUnpacked = 4 * maxDatagram
+// maxUnpackedBytes limits the size of the decompressed records of one note.
+const maxUnpackedBytes = 4 * maxDatagram
 
-// pack compresses a part's records, which are much alike, to a fifth or less. The reader
-// sends each part to all of its failure domain at once: unpacked they fill its link, most notes
-// are lost, and all read the store instead.
-func pack(part *schema.EndpointRelay) (*schema.EndpointRelay, error) {
+// packPart compresses a part's records, which are very similar, to a fifth of their size or less.
+// The reader sends each part to its whole failure domain at once: uncompressed parts fill its
+// link, most notes are lost, and all VMs read the store instead.
+func packPart(part *schema.EndpointRelay) (*schema.EndpointRelay, error) {
 	if len(part.Records) == 0 {
 		return part, nil
 	}
@@ -123,12 +126,12 @@
 	return &schema.EndpointRelay{From: part.From, Next: part.Next, Era: part.Era, Before: part.Before, Packed: out.Bytes()}, nil
 }
 
-// unpack puts a packed part's records back.
-func unpack(part *schema.EndpointRelay) error {
+// unpackPart decompresses the records of a part in place.
+func unpackPart(part *schema.EndpointRelay) error {
 	if len(part.Packed) == 0 {
 		return nil
 	}
-	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(part.Packed)), mostUnpacked))
+	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(part.Packed)), maxUnpackedBytes))
 	if err != nil {
 		return err
 	}
@@ -140,17 +143,17 @@
 	return nil
 }
 
-// partsOf divides what was read of the registry into parts that fit into notes. Each part
-// covers a span of offsets, so that a VM that misses one knows from the next; without
-// records the only part says that the span was read. The i-th record is that at offset
-// from+i; changed are the indexes of those to pass on.
-func partsOf(from uint64, next Position, records []Record, changed []int) []*schema.EndpointRelay {
+// splitParts splits what was read of the registry into parts that fit into notes. Each part
+// covers a range of offsets, so that a VM that misses a part detects it from the next one;
+// without records the only part states that the range was read. The i-th record is at offset
+// from+i; changed holds the indexes of the records to send.
+func splitParts(from uint64, next Position, records []Record, changed []int) []*schema.EndpointRelay {
 	part := &schema.EndpointRelay{From: from, Era: next.Era}
 	parts := []*schema.EndpointRelay{part}
 	size := 0
 	for _, i := range changed {
 		r := records[i]
-		if size > 0 && size+len(r.Key)+len(r.Value) > relayBytes {
+		if size > 0 && size+len(r.Key)+len(r.Value) > relayPartBytes {
 			part.Next = from + uint64(i)
 			part = &schema.EndpointRelay{From: part.Next, Era: next.Era}
 			parts = append(parts, part)
@@ -163,11 +166,11 @@
 	return parts
 }
 
-// relay passes on to the VMs of the own failure domain what was read of the registry.
-func (p *peers) relay(parts []*schema.EndpointRelay) {
+// relayParts sends what was read of the registry to the other VMs of this failure domain.
+func (p *peers) relayParts(parts []*schema.EndpointRelay) {
 	to := p.domainAddresses()
 	for _, part := range parts {
-		packed, err := pack(part)
+		packed, err := packPart(part)
 		if err != nil {
 			p.d.log.Error().Err(err).Msg("relay_unsendable")
 			return
@@ -178,11 +181,11 @@
 	}
 }
 
-// takeRelayed takes what a note says of the store. What does not fit into the
-// buffers is lost, and read from the store later.
-func (p *peers) takeRelayed(n *schema.PeerNote) {
+// handleRelay processes what a note contains from the store. Whatever does not fit into the
+// buffers is dropped and later read from the store.
+func (p *peers) handleRelay(n *schema.PeerNote) {
 	if n.Endpoints != nil {
-		if err := unpack(n.Endpoints); err != nil {
+		if err := unpackPart(n.Endpoints); err != nil {
 			p.d.count("relays_unreadable")
 			p.d.log.Warn().Str("from", n.Address).Err(err).Msg("relay_unreadable")
 			return
@@ -203,23 +206,23 @@
 	}
 }
 
-// fetchConfig asks a VM for the configuration that it serves by.
+// fetchConfig fetches the configuration that another VM has in force.
 func (p *peers) fetchConfig(ctx context.Context, h configHint) (*Record, []*schema.Rollout, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
-	var have uint64
+	var current uint64
 	if t := p.d.table.Load(); t != nil {
-		have = t.Document.Version
+		current = t.Document.Version
 	}
 	client := schema.NewRelayProtobufClient("http://"+h.address, p.client)
-	reply, err := client.Config(ctx, &schema.ConfigRequest{NewerThan: have})
+	reply, err := client.Config(ctx, &schema.ConfigRequest{NewerThan: current})
 	if err != nil || reply.Record == nil {
 		return nil, reply.GetRollouts(), err
 	}
 	return &Record{Key: reply.Record.Key, Value: reply.Record.Value}, reply.Rollouts, nil
 }
 
-// relayServer answers other VMs.
+// relayServer serves requests of other VMs.
 type relayServer struct{ d *Daemon }
 
 func (p *peers) relayHandler() http.Handler { return schema.NewRelayServer(&relayServer{p.d}) }
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -11,7 +11,7 @@
 //
 // Not counted: endpoints that were full or gone, and requests cut off by the crash of their
 // endpoint, which happens to good versions too.
-func (v *trackedAttempt) observe(a attempt) {
+func (v *trackedAttempt) observe(a attemptResult) {
 	took := v.rollouts.d.now() - v.startedAt
 	switch a.outcome {
 	case dispatch.Answered:
@@ -27,7 +27,7 @@
 	case dispatch.Failed:
 		v.countFailure()
 	case dispatch.Broken, dispatch.Silent:
-		if a.cut {
+		if a.connectionLost {
 			time.AfterFunc(cutSettleTime, v.countCut)
 			return
 		}
@@ -63,7 +63,7 @@
 // countCut counts a request that was cut off cutSettleTime ago, unless its endpoint has ended or is
 // leaving.
 func (v *trackedAttempt) countCut() {
-	if !v.rollouts.d.sched.serving(v.ep) || v.rollouts.d.suspects.hasEnded(v.ep) {
+	if !v.rollouts.d.sched.isServing(v.ep) || v.rollouts.d.suspects.hasEnded(v.ep) {
 		return
 	}
 	v.rollouts.mu.Lock()
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -69,8 +69,8 @@
 // evidence sent to one judge is then sent again to the next, and counts once.
 func (p *peers) judges() map[string]string {
 	now := p.d.now()
-	own := p.d.set.Listen.Peers
-	judges := map[string]string{p.d.set.Vm.FailureDomain: own}
+	own := p.d.settings.Listen.Peers
+	judges := map[string]string{p.d.settings.Vm.FailureDomain: own}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, pe := range p.byAddress {
@@ -125,8 +125,8 @@
 }
 
 func (r *rollouts) stepRollout(m *rolloutState, judges map[string]string, interval time.Duration) {
-	own := r.d.set.Listen.Peers
-	mine := judges[r.d.set.Vm.FailureDomain]
+	own := r.d.settings.Listen.Peers
+	mine := judges[r.d.settings.Vm.FailureDomain]
 	r.mu.Lock()
 	now := r.d.now()
 	if m.phase.Final() && now-m.finalSince > finalAnnounceTime {
@@ -185,7 +185,7 @@
 
 // ownReport returns the evidence of this process. The caller holds the lock.
 func (r *rollouts) ownReport(m *rolloutState, now time.Duration) *schema.RolloutReport {
-	_, all := m.trafficShare(now, r.d.set.Bounds.ExposureShare)
+	_, all := m.trafficShare(now, r.d.settings.Bounds.ExposureShare)
 	report := reportToWire(m.order, m.evidence)
 	report.Drained = m.phaseKnown && all && m.runningOld == 0 && m.listedNew > 0
 	return report
@@ -194,7 +194,7 @@
 // domainReport returns the evidence of the failure domain. The caller holds the lock.
 func (r *rollouts) domainReport(m *rolloutState, now, interval time.Duration) *schema.RolloutReport {
 	sum := m.judge.vms.Sum()
-	m.judge.domains.Merge(r.d.set.Vm.FailureDomain, sum)
+	m.judge.domains.Merge(r.d.settings.Vm.FailureDomain, sum)
 	report := reportToWire(m.order, sum)
 	report.Domain = true
 	report.Drained = r.domainDrained(m, now, interval)
@@ -205,7 +205,7 @@
 // old version. An unreachable VM is dead or partitioned: it cannot be waited for, and sees the old
 // endpoints gone when they stop. The caller holds the lock.
 func (r *rollouts) domainDrained(m *rolloutState, now, interval time.Duration) bool {
-	for _, address := range append(r.d.peers.reachableIn(r.d.set.Vm.FailureDomain), r.d.set.Listen.Peers) {
+	for _, address := range append(r.d.peers.reachableIn(r.d.settings.Vm.FailureDomain), r.d.settings.Listen.Peers) {
 		if !m.judge.drainedVMs.isDrained(now, interval, address) {
 			return false
 		}
@@ -224,7 +224,7 @@
 		return false
 	}
 	for domain := range judges {
-		if domain != r.d.set.Vm.FailureDomain && !m.judge.drainedDomains.isDrained(now, interval, domain) {
+		if domain != r.d.settings.Vm.FailureDomain && !m.judge.drainedDomains.isDrained(now, interval, domain) {
 			return false
 		}
 	}
@@ -293,9 +293,9 @@
 			continue
 		}
 		switch {
-		case report.Domain && n.FailureDomain != r.d.set.Vm.FailureDomain:
+		case report.Domain && n.FailureDomain != r.d.settings.Vm.FailureDomain:
 			m.judge.mergeDomainReport(r.d.now(), n.FailureDomain, report)
-		case !report.Domain && n.FailureDomain == r.d.set.Vm.FailureDomain:
+		case !report.Domain && n.FailureDomain == r.d.settings.Vm.FailureDomain:
 			source := n.Address + " " + strconv.FormatUint(n.Incarnation, 10)
 			m.judge.mergeVMReport(r.d.now(), source, n.Address, report)
 		}
--- a/entry/rollout_notes.go
+++ b/entry/rollout_notes.go
@@ -49,7 +49,7 @@
 // announceNow sends the phases of rollouts to this VM's failure domain and to the judges of the
 // others, which pass them on.
 func (r *rollouts) announceNow() {
-	r.announce(otherJudges(r.d.peers.judges(), r.d.set.Listen.Peers))
+	r.announce(otherJudges(r.d.peers.judges(), r.d.settings.Listen.Peers))
 }
 
 // sendReport sends evidence to judges.
@@ -62,7 +62,7 @@
 // coverage returns the number of VMs served by the reachable placers, this VM included, and the
 // number of known VMs; both are 0 if the list of VMs is incomplete.
 func (p *peers) coverage() (heard, known int) {
-	now, members := p.d.now(), p.d.remoteJobs.members()
+	now, members := p.d.now(), p.d.remoteJobs.requesterAddresses()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.listIsComplete {
@@ -70,7 +70,7 @@
 	}
 	heard = 1 + len(members)
 	for _, pe := range p.byAddress {
-		if pe.heardLately(now) && !pe.asksPlacer {
+		if pe.isAlive(now) && !pe.asksPlacer {
 			heard += 1 + pe.members
 		}
 	}
@@ -91,7 +91,7 @@
 func (p *peers) knownDomains() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	domains := map[string]bool{p.d.set.Vm.FailureDomain: true}
+	domains := map[string]bool{p.d.settings.Vm.FailureDomain: true}
 	for _, pe := range p.byAddress {
 		domains[pe.domain] = true
 	}
@@ -105,7 +105,7 @@
 	defer p.mu.Unlock()
 	var list []string
 	for address, pe := range p.byAddress {
-		if pe.domain == domain && pe.heardLately(now) {
+		if pe.domain == domain && pe.isAlive(now) {
 			list = append(list, address)
 		}
 	}
--- a/entry/rollout_status.go
+++ b/entry/rollout_status.go
@@ -72,7 +72,7 @@
 // writeStatus reads the statuses in the store, adopts them and writes the status of a service if it
 // is due. It reports whether nothing is left to do.
 func (r *rollouts) writeStatus(ctx context.Context, service string) (done bool, err error) {
-	records, next, err := r.d.opts.Store.Newest(ctx, FeedVMs)
+	records, next, err := r.d.opts.Store.Snapshot(ctx, FeedVMs)
 	if err != nil {
 		return false, err
 	}
@@ -81,11 +81,11 @@
 	if !ok {
 		return true, nil
 	}
-	rec, err := r.d.codec.StatusRecord(status)
+	rec, err := r.d.codec.EncodeRolloutStatus(status)
 	if err != nil {
 		return false, err
 	}
-	if err := r.d.opts.Store.WriteAt(ctx, rec, next); err != nil {
+	if err := r.d.opts.Store.CompareAndWrite(ctx, rec, next); err != nil {
 		return false, err
 	}
 	r.d.log.Info().Str("service", status.Service).Str("version", status.Version).Stringer("phase", status.Phase).Msg("rollout_status_written")
@@ -115,7 +115,7 @@
 		status.Phase = rollout.Completed
 	}
 	for _, rec := range records {
-		if s, err := r.d.codec.RolloutStatus(rec); err == nil && s != nil && *s == status {
+		if s, err := r.d.codec.DecodeRolloutStatus(rec); err == nil && s != nil && *s == status {
 			return status, false
 		}
 	}
@@ -126,7 +126,7 @@
 func (r *rollouts) loadStatuses(records []Record) {
 	r.mu.Lock()
 	for _, rec := range records {
-		s, err := r.d.codec.RolloutStatus(rec)
+		s, err := r.d.codec.DecodeRolloutStatus(rec)
 		if err != nil {
 			r.d.log.Warn().Err(err).Msg("rollout_status_unreadable")
 			continue
@@ -169,7 +169,7 @@
 		return false
 	}
 	judges := r.d.peers.judges()
-	return judges[r.d.set.Vm.FailureDomain] == r.d.set.Listen.Peers && len(judges) < r.d.peers.knownDomains()
+	return judges[r.d.settings.Vm.FailureDomain] == r.d.settings.Listen.Peers && len(judges) < r.d.peers.knownDomains()
 }
 
 // adoptStatus adopts the store's verdict on an order. The caller holds the lock.
@@ -184,6 +184,6 @@
 
 // isStatusRecord reports whether a record of FeedVMs is the status of a rollout.
 func (d *Daemon) isStatusRecord(rec Record) bool {
-	s, err := d.codec.RolloutStatus(rec)
+	s, err := d.codec.DecodeRolloutStatus(rec)
 	return s != nil || err != nil
 }
--- a/entry/rollout_versions.go
+++ b/entry/rollout_versions.go
@@ -18,7 +18,7 @@
 	if m == nil {
 		return r.settledEndpoints(now, service, list)
 	}
-	return m.usableEndpoints(now, list, r.d.set.Bounds.ExposureShare)
+	return m.usableEndpoints(now, list, r.d.settings.Bounds.ExposureShare)
 }
 
 // recordVersions records since when versions are listed. Versions found when a process first reads
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -98,20 +98,20 @@
 func newRollouts(d *Daemon) *rollouts {
 	return &rollouts{
 		d: d, byService: make(map[string]*rolloutState), versions: make(map[string]map[string]time.Duration), statuses: make(map[string]RolloutStatus),
-		held: d.set.Rollouts.Held, statusQueue: make(chan string, statusQueueSize), changed: make(chan struct{}, 1),
+		held: d.settings.Rollouts.Held, statusQueue: make(chan string, statusQueueSize), changed: make(chan struct{}, 1),
 	}
 }
 
 // applyOrders applies the orders read from the operator's feed.
 func (r *rollouts) applyOrders(records []Record) {
 	for _, rec := range records {
-		o, err := r.d.codec.Order(rec)
+		o, err := r.d.codec.DecodeOrder(rec)
 		if err != nil {
 			r.d.log.Error().Err(err).Msg("rollout_unreadable")
 			continue
 		}
 		if o != nil {
-			r.applyOrder(*o, rec.At, r.d.now(), nil)
+			r.applyOrder(*o, rec.Position, r.d.now(), nil)
 		}
 	}
 	r.markFeedRead()
@@ -144,7 +144,7 @@
 		before := m
 		m = &rolloutState{order: o, position: at, orderedAt: orderedAt, evidence: make(rollout.Evidence), phaseKnown: r.statusesRead}
 		if r.isNew(orderedAt) {
-			m.gate = rollout.NewGate(rollout.InitialGrant(r.d.set.Bounds.ExposureSlack, r.d.peers.fleetSize()))
+			m.gate = rollout.NewGate(rollout.InitialGrant(r.d.settings.Bounds.ExposureSlack, r.d.peers.fleetSize()))
 		}
 		if before != nil {
 			m.superseded = append(before.superseded, before.order.Version)
@@ -261,16 +261,16 @@
 // beginAttempt registers a request that is about to be sent to an endpoint; it may be sent only if
 // ok is true. This check sees rollout changes that the placer may not know yet. v is nil if the
 // service has no unfinished rollout.
-func (r *rollouts) beginAttempt(c *caller, ep *members.Endpoint, canary bool) (v *trackedAttempt, ok bool) {
+func (r *rollouts) beginAttempt(c *callerRequest, ep *members.Endpoint, canary bool) (v *trackedAttempt, ok bool) {
 	if !r.hasOrder(c.service) {
 		return nil, true
 	}
-	cold := r.d.sched.cold(ep)
+	cold := r.d.sched.isCold(ep)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.byService[c.service]
 	now := r.d.now()
-	if !m.admits(now, ep, canary, r.d.set.Bounds.ExposureShare) {
+	if !m.admits(now, ep, canary, r.d.settings.Bounds.ExposureShare) {
 		return nil, false
 	}
 	if m.phase.Final() {
@@ -309,7 +309,7 @@
 
 // finish records the result of the attempt. sent means that the request was sent, again that it had
 // been sent to another endpoint before.
-func (v *trackedAttempt) finish(a attempt, sent, again bool) {
+func (v *trackedAttempt) finish(a attemptResult, sent, again bool) {
 	if v == nil {
 		return
 	}
@@ -322,7 +322,7 @@
 		return
 	}
 	if !again {
-		share, _ := v.rollout.trafficShare(v.rollouts.d.now(), v.rollouts.d.set.Bounds.ExposureShare)
+		share, _ := v.rollout.trafficShare(v.rollouts.d.now(), v.rollouts.d.settings.Bounds.ExposureShare)
 		v.rollout.gate.RecordSent(share)
 	}
 	v.observe(a)
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -13,82 +13,83 @@
 )
 
 const (
-	// stallFirst is how long a request that may be repeated waits at least for a
-	// first sign of an endpoint before it goes on to another, and stallFactor how
-	// many times the expected time. An endpoint that went dark behind an open
-	// connection never answers; its callers leave after two seconds.
-	stallFirst  = time.Second
-	stallFactor = 4
-	// stallNext is the same between two events of a stream.
-	stallNext = time.Second
+	// A retryable request is sent to another endpoint if the first event does not arrive within
+	// firstEventTimeoutFactor times the predicted time, or firstEventTimeout if that is longer.
+	// An endpoint that becomes unreachable behind an open connection never responds; its callers
+	// disconnect after two seconds.
+	firstEventTimeout       = time.Second
+	firstEventTimeoutFactor = 4
+	// nextEventTimeout is the timeout between two events of a stream.
+	nextEventTimeout = time.Second
 )
 
-// stall ends an attempt at an endpoint that has gone silent, if the request may
-// go on elsewhere.
-type stall struct {
-	mu     sync.Mutex
-	timer  *time.Timer
-	silent bool
-	// ended says that the attempt is over, repeat is what was paid as it fell silent.
-	ended  bool
-	repeat budget.Permit
+// stallWatchdog cancels an attempt at an endpoint that has stopped responding, if the request may
+// be retried elsewhere.
+type stallWatchdog struct {
+	mu       sync.Mutex
+	timer    *time.Timer
+	timedOut bool
+	// stopped is set once the attempt is over, permit is the retry acquired when the attempt
+	// timed out.
+	stopped bool
+	permit  budget.Permit
 }
 
-// watch starts to watch an attempt.
-func (c *caller) watch(dec dispatch.Decision, cancel context.CancelFunc) *stall {
-	s := &stall{}
-	// This attempt counts too.
-	if c.d.set.Off.Has(mechanism.StallRetry) || !c.route.Retryable() || c.sent+1 >= c.route.MaxEndpoints {
-		return s
+// startWatchdog starts a watchdog for an attempt.
+func (c *callerRequest) startWatchdog(dec dispatch.Decision, cancel context.CancelFunc) *stallWatchdog {
+	w := &stallWatchdog{}
+	// The endpoint limit includes this attempt.
+	if c.d.settings.Off.Has(mechanism.StallRetry) || !c.route.Retryable() || c.sendCount+1 >= c.route.MaxEndpoints {
+		return w
 	}
 	tried := append(slices.Clone(c.tried), dispatch.EndpointHash(dec.Endpoint.Key()))
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(max(stallFirst, stallFactor*dec.Predicted), func() {
-		if time.Until(c.limit) < shortWait || !c.d.sched.otherFit(c.service, tried) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(max(firstEventTimeout, firstEventTimeoutFactor*dec.Predicted), func() {
+		if time.Until(c.deadline) < shortRetryAfter || !c.d.sched.hasAlternative(c.service, tried) {
 			return
 		}
-		repeat, ok := c.d.retries.pay(c.service)
+		permit, ok := c.d.retryBudgets.acquire(c.service)
 		if !ok {
 			return
 		}
-		if !s.fallSilent(repeat) {
-			c.d.retries.giveBack(c.service, repeat)
+		if !w.markTimedOut(permit) {
+			c.d.retryBudgets.release(c.service, permit)
 			return
 		}
 		cancel()
 	})
-	return s
+	return w
 }
 
-// fallSilent notes that the endpoint fell silent and that a repeat was paid, unless the attempt is
-// over.
-func (s *stall) fallSilent(repeat budget.Permit) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.ended {
+// markTimedOut records that the endpoint stopped responding and that a retry was acquired. It
+// returns false if the attempt is already over.
+func (w *stallWatchdog) markTimedOut(permit budget.Permit) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return false
 	}
-	s.silent, s.repeat = true, repeat
+	w.timedOut, w.permit = true, permit
 	return true
 }
 
-// sign notes a sign of life.
-func (s *stall) sign() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.timer != nil && !s.silent {
-		s.timer.Reset(stallNext)
+// recordEvent restarts the timeout after an event.
+func (w *stallWatchdog) recordEvent() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer != nil && !w.timedOut {
+		w.timer.Reset(nextEventTimeout)
 	}
 }
 
-// over ends the watch, and says whether the attempt was ended for silence.
-func (s *stall) over() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ended = true
-	if s.timer != nil {
-		s.timer.Stop()
+// stop stops the watchdog and reports whether it timed the attempt out.
+func (w *stallWatchdog) stop() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	return s.silent
+	return w.timedOut
 }
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -178,7 +178,7 @@
 // conviction with it if all VMs are killed while the store is away. The caller holds the lock.
 func (s *suspects) storeConvicted() {
 	convicted := s.ledger.ConvictedDigests()
-	if len(convicted) == 0 || !s.d.peers.reads() {
+	if len(convicted) == 0 || !s.d.peers.isStoreReader() {
 		return
 	}
 	for _, d := range convicted {
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -46,7 +46,7 @@
 	// unanswered holds the requests here that no endpoint has answered yet. When a digest is
 	// convicted its other requests are stopped: those in an endpoint's queue have not run yet, and
 	// closing their connections may spare the endpoint.
-	unanswered map[suspect.Digest]map[*caller]context.CancelFunc
+	unanswered map[suspect.Digest]map[*callerRequest]context.CancelFunc
 	// probing holds the incarnations to which a connection is being opened, ended those that have
 	// ended, with the time.
 	probing map[uint64]bool
@@ -67,10 +67,10 @@
 
 func newSuspects(d *Daemon) *suspects {
 	s := &suspects{
-		d: d, ledger: suspect.New(), unanswered: make(map[suspect.Digest]map[*caller]context.CancelFunc),
+		d: d, ledger: suspect.New(), unanswered: make(map[suspect.Digest]map[*callerRequest]context.CancelFunc),
 		stored: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), storeQueue: make(chan suspect.Digest, storeQueueSize), urgent: make(chan struct{}, 1),
 	}
-	s.ledger.SetReleased(d.set.Released)
+	s.ledger.SetReleased(d.settings.Released)
 	return s
 }
 
@@ -100,28 +100,28 @@
 
 // admit reports whether a request may run. If the request is convicted before an endpoint answers
 // it, stop is called. The caller must call unregister afterwards.
-func (s *suspects) admit(c *caller, stop context.CancelFunc) bool {
+func (s *suspects) admit(c *callerRequest, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ledger.Status(c.digest).Convicted() {
 		return false
 	}
 	if s.unanswered[c.digest] == nil {
-		s.unanswered[c.digest] = make(map[*caller]context.CancelFunc)
+		s.unanswered[c.digest] = make(map[*callerRequest]context.CancelFunc)
 	}
 	s.unanswered[c.digest][c] = stop
 	return true
 }
 
 // unregister removes a request from those that a conviction stops.
-func (s *suspects) unregister(c *caller) {
+func (s *suspects) unregister(c *callerRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unregisterLocked(c)
 }
 
 // unregisterLocked is unregister for a caller that holds the lock.
-func (s *suspects) unregisterLocked(c *caller) {
+func (s *suspects) unregisterLocked(c *callerRequest) {
 	delete(s.unanswered[c.digest], c)
 	if len(s.unanswered[c.digest]) == 0 {
 		delete(s.unanswered, c.digest)
@@ -130,13 +130,13 @@
 
 // recordAnswerStart records that an endpoint began to answer a request that was sent at the time
 // sent.
-func (s *suspects) recordAnswerStart(c *caller, ep *members.Endpoint, sent time.Duration, reply Reply) {
+func (s *suspects) recordAnswerStart(c *callerRequest, ep *members.Endpoint, sent time.Duration, reply ResponseHeaders) {
 	if reply.Replaced {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !reply.NotRun {
+	if !reply.NotExecuted {
 		s.unregisterLocked(c)
 	}
 	s.ledger.RecordResponse(s.d.now(), sent, dispatch.EndpointHash(ep.Key()))
@@ -167,9 +167,9 @@
 
 // recordAttempt records how an attempt that was sent at the time sent ended. generation is the
 // request's generation in the ledger at that time.
-func (s *suspects) recordAttempt(c *caller, ep *members.Endpoint, sent time.Duration, generation int, a attempt) {
+func (s *suspects) recordAttempt(c *callerRequest, ep *members.Endpoint, sent time.Duration, generation int, a attemptResult) {
 	switch {
-	case a.cut:
+	case a.connectionLost:
 		s.recordCut(c.digest, ep, sent, generation)
 	case a.outcome == dispatch.Replaced:
 		s.recordEnd(ep.Key(), howReplaced)
@@ -181,7 +181,7 @@
 // recordCut records that a request was cut off at an endpoint, and probes whether the endpoint
 // ended.
 func (s *suspects) recordCut(d suspect.Digest, ep *members.Endpoint, sent time.Duration, generation int) {
-	if !s.d.sched.serving(ep) {
+	if !s.d.sched.isServing(ep) {
 		// The endpoint was told to leave: the cut is expected.
 		return
 	}
@@ -217,14 +217,14 @@
 // stream that continues elsewhere would count several ends. So connections to other endpoints of
 // the failure domain must succeed; otherwise the registry decides.
 func (s *suspects) probe(ep *members.Endpoint) {
-	err := s.d.openTo(dispatch.Probe{Key: ep.Key(), Address: ep.Address})
+	err := s.d.openConnection(dispatch.Probe{Key: ep.Key(), Address: ep.Address})
 	ended := false
 	if isConnectionRefused(err) {
-		s.d.sched.doubt(ep.Key())
-		controls := s.d.sched.controls(ep)
+		s.d.sched.reportUnreachable(ep.Key())
+		controls := s.d.sched.controlProbes(ep)
 		ended = len(controls) == 0
 		for _, c := range controls {
-			ended = ended || s.d.openTo(c) == nil
+			ended = ended || s.d.openConnection(c) == nil
 		}
 	}
 	s.mu.Lock()
@@ -344,7 +344,7 @@
 		return
 	}
 	for c, stop := range s.unanswered[d] {
-		c.stopped.Store(true)
+		c.blocked.Store(true)
 		stop()
 	}
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -42,17 +42,17 @@
 
 // configWait returns how long a read of the configuration waits for a change.
 func (d *Daemon) configWait() time.Duration {
-	return max(minConfigWait, fraction(configWaitShare, d.set.InForce))
+	return max(minConfigWait, fraction(configWaitShare, d.settings.InForce))
 }
 
 // relaySilence returns how long a VM waits for a relay before it reads the registry itself.
 func (d *Daemon) relaySilence() time.Duration {
-	return min(maxRelaySilence, fraction(relaySilenceShare, d.set.Drain))
+	return min(maxRelaySilence, fraction(relaySilenceShare, d.settings.Drain))
 }
 
 // endpointsInterval returns how often the reader reads the registry.
 func (d *Daemon) endpointsInterval() time.Duration {
-	return min(maxEndpointsInterval, fraction(endpointsIntervalShare, d.set.Drain))
+	return min(maxEndpointsInterval, fraction(endpointsIntervalShare, d.settings.Drain))
 }
 
 // backoff computes the pause before a call to the store is retried. The pause doubles with each
@@ -71,7 +71,7 @@
 
 // maxRetryPause returns the limit of the pause between two failed calls.
 func (d *Daemon) maxRetryPause() time.Duration {
-	if !d.knowsAll() {
+	if !d.hasInitialState() {
 		return startRetryPause
 	}
 	return d.relaySilence()
@@ -139,7 +139,7 @@
 
 func (c *feedCursor) readAll(ctx context.Context) (readResult, error) {
 	c.known = false
-	records, next, err := c.store.Newest(ctx, c.feed)
+	records, next, err := c.store.Snapshot(ctx, c.feed)
 	if err != nil {
 		return readResult{}, err
 	}
@@ -181,15 +181,15 @@
 	var delay backoff
 	readBefore := false
 	for ctx.Err() == nil {
-		if readBefore && !d.peers.reads() && d.peers.configFollowed() {
+		if readBefore && !d.peers.isStoreReader() && d.peers.configWatched() {
 			c.known = false
-			d.peers.setFollows(false)
+			d.peers.setFollowsConfig(false)
 			sleepJittered(ctx, followCheckInterval)
 			continue
 		}
 		got, err := c.read(ctx, d.configWait())
 		d.recordStoreResult(&health, "config", err)
-		d.peers.setFollows(err == nil)
+		d.peers.setFollowsConfig(err == nil)
 		if err != nil {
 			sleepJittered(ctx, delay.next(d.maxRetryPause()))
 			continue
@@ -235,7 +235,7 @@
 
 // applyConfig puts a document in force if it is newer than the current one.
 func (d *Daemon) applyConfig(r Record) {
-	doc, err := d.codec.Config(r)
+	doc, err := d.codec.DecodeConfig(r)
 	if err != nil {
 		d.log.Error().Err(err).Msg("config_unreadable")
 		return
@@ -243,8 +243,8 @@
 	if doc == nil {
 		return
 	}
-	d.takeMu.Lock()
-	defer d.takeMu.Unlock()
+	d.configMu.Lock()
+	defer d.configMu.Unlock()
 	if t := d.table.Load(); t != nil && doc.Version <= t.Document.Version {
 		return
 	}
@@ -252,9 +252,9 @@
 	d.configRecord.Store(&r)
 	d.shares.setTable(t)
 	d.sched.setTable(t)
-	d.idle.set(doc.Limits.IdleTimeout)
+	d.idleConns.setTimeout(doc.Limits.IdleTimeout)
 	d.table.Store(t)
-	d.noteInformed()
+	d.markInitialised()
 	d.log.Info().Uint64("version", doc.Version).Int("routes", len(doc.Routes)).
 		Int("organisations", len(doc.Organisations)).Msg("config_in_force")
 }
