--- a/claim/asks.go
+++ b/claim/asks.go
@@ -218,7 +218,7 @@
 func (n *Node) timeOut(f *flight) {
 	switch {
 	case f.wish.Repeat:
-		n.finish(f, Unknown, request.ReasonDomainsAway, nil)
+		n.finish(f, Unknown, request.ReasonDomainUnreachable, nil)
 	default:
 		n.finish(f, NotRun, request.ReasonClaimTimeout, nil)
 	}
@@ -250,9 +250,9 @@
 	case schema.Verdict_HELD:
 		n.held(f, a.domain, m.Record)
 	case schema.Verdict_CONFLICT:
-		n.finish(f, Conflict, request.ReasonConflict, nil)
+		n.finish(f, Conflict, request.ReasonBodyConflict, nil)
 	case schema.Verdict_ALREADY_REFUSED:
-		n.finish(f, NotRun, request.ReasonRefused, nil)
+		n.finish(f, NotRun, request.ReasonRefusedBefore, nil)
 	case schema.Verdict_DOUBTFUL:
 		n.finish(f, Unknown, request.ReasonRecordsLost, nil)
 	default:
@@ -278,7 +278,7 @@
 		return
 	}
 	if f.wish.Intent == Refuse {
-		n.finish(f, NotRun, request.ReasonRefused, nil)
+		n.finish(f, NotRun, request.ReasonRefusedBefore, nil)
 		return
 	}
 	n.out.Results = append(n.out.Results, Result{Flight: f.id, Verdict: Granted})
@@ -308,7 +308,7 @@
 func (n *Node) found(f *flight, domain string, m *schema.ClaimResult) {
 	switch {
 	case m.Verdict == schema.Verdict_CONFLICT:
-		n.finish(f, Conflict, request.ReasonConflict, nil)
+		n.finish(f, Conflict, request.ReasonBodyConflict, nil)
 	case m.Verdict == schema.Verdict_HELD && m.Record.State != schema.RecordState_SEALED:
 		f.domain = domain
 		n.finish(f, Held, "", m.Record)
--- a/claim/updates.go
+++ b/claim/updates.go
@@ -87,7 +87,7 @@
 
 func (n *Node) giveUpUpdate(u *update) {
 	if u.flight != 0 {
-		n.out.Results = append(n.out.Results, Result{Flight: u.flight, Verdict: Unknown, Reason: request.ReasonDomainsAway})
+		n.out.Results = append(n.out.Results, Result{Flight: u.flight, Verdict: Unknown, Reason: request.ReasonDomainUnreachable})
 	}
 }
 
--- a/config/rules.go
+++ b/config/rules.go
@@ -69,15 +69,15 @@
 func (r *Rules) Spec(org *schema.Organisation, kind *schema.Kind, id string) request.Spec {
 	tier := r.Tier(org.Name, kind.Name)
 	return request.Spec{
-		Key:          request.Key{Organisation: org.Name, ID: id},
-		Kind:         kind.Name,
-		Tier:         request.Tier(tier.Number),
-		Weight:       max(1, org.Weight),
-		Idempotent:   !kind.NonIdempotent,
-		TrustFirst:   !homeOnly(kind),
-		Model:        kind.Model,
-		OutputTokens: int(kind.ExpectedOutput),
-		FirstToken:   parsed(tier.FirstTokenTarget),
+		Key:               request.Key{Organisation: org.Name, ID: id},
+		Kind:              kind.Name,
+		Tier:              request.Tier(tier.Number),
+		Weight:            max(1, org.Weight),
+		Idempotent:        !kind.NonIdempotent,
+		TrustFirstAttempt: !homeOnly(kind),
+		Model:             kind.Model,
+		OutputTokens:      int(kind.ExpectedOutput),
+		FirstTokenTarget:  parsed(tier.FirstTokenTarget),
 	}
 }
 
--- a/core/calls.go
+++ b/core/calls.go
@@ -50,12 +50,12 @@
 	c := &call{handle: ev.Handle, spec: ev.Spec, arrived: n.now}
 	n.calls[ev.Handle] = c
 	if c.spec.OutputTokens > 0 {
-		c.spec.OutputTokens = n.learned.expect(c.spec.Kind, c.spec.OutputTokens, c.spec.MaxOutput)
+		c.spec.OutputTokens = n.learned.expect(c.spec.Kind, c.spec.OutputTokens, c.spec.MaxOutputTokens)
 	}
 	switch {
 	case n.draining:
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonShutdown, RetryAfter: drainRetryAfter})
-	case c.spec.Repeat():
+	case c.spec.MayBeRetry():
 		c.stage = finding
 		n.fly(c, claim.Find)
 	default:
@@ -76,8 +76,8 @@
 	unused := c.flight
 	n.newFlight(c)
 	n.claims.Acquire(n.now, c.flight, claim.Wish{
-		Intent: intent, Replaces: unused, HomeOnly: !c.spec.TrustFirst, Key: c.spec.Key, Digest: c.spec.Digest, Attempt: c.spec.Attempt,
-		Repeat: c.spec.Repeat(), Arrived: c.arrived,
+		Intent: intent, Replaces: unused, HomeOnly: !c.spec.TrustFirstAttempt, Key: c.spec.Key, Digest: c.spec.Digest, Attempt: c.spec.Attempt,
+		Repeat: c.spec.MayBeRetry(), Arrived: c.arrived,
 		Endpoint: c.assigned.Endpoint, Stream: n.stream(c),
 	})
 }
@@ -167,7 +167,7 @@
 func (n *Node) held(c *call, held claim.Result) {
 	r := held.Record
 	if r.State == schema.RecordState_CANCELLED {
-		n.finish(c, request.Cancelled, request.ReasonRefused, 0)
+		n.finish(c, request.Cancelled, request.ReasonRefusedBefore, 0)
 		return
 	}
 	c.stage = attached
@@ -189,7 +189,7 @@
 // has to be made certain first: no earlier attempt ran, and none will.
 func (n *Node) refuse(c *call, r sched.Refusal) {
 	c.refusal = r
-	if !c.spec.Repeat() {
+	if !c.spec.MayBeRetry() {
 		n.finish(c, request.NotRun, r.Reason, r.RetryAfter)
 		return
 	}
@@ -239,11 +239,11 @@
 		return
 	}
 	if c.stage == running {
-		n.stop(c, request.ReasonCaller)
+		n.stop(c, request.ReasonCallerGone)
 		return
 	}
 	n.abandon(c)
-	n.emit(Finish{Handle: handle, Outcome: request.Cancelled, Reason: request.ReasonCaller})
+	n.emit(Finish{Handle: handle, Outcome: request.Cancelled, Reason: request.ReasonCallerGone})
 }
 
 func (n *Node) stop(c *call, why request.Reason) {
@@ -271,7 +271,7 @@
 func (n *Node) stopLate() {
 	for _, c := range n.sortedCalls() {
 		if c.stage == running && c.spec.Idempotent && n.now >= c.spec.Deadline {
-			n.stop(c, request.ReasonDeadline)
+			n.stop(c, request.ReasonDeadlinePassed)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 		n.finish(c, request.Cancelled, c.stopReason, 0)
 	default:
 		n.claims.Ended(n.now, flight, schema.RecordState_UNKNOWN)
-		n.finish(c, request.Unknown, request.ReasonBroken, unknownRetryAfter)
+		n.finish(c, request.Unknown, request.ReasonStreamBroken, unknownRetryAfter)
 	}
 }
 
@@ -322,11 +322,11 @@
 	case Whole:
 		n.finish(c, request.Answered, request.ReasonDone, 0)
 	case Stopped:
-		n.finish(c, request.Cancelled, request.ReasonCaller, 0)
+		n.finish(c, request.Cancelled, request.ReasonCallerGone, 0)
 	case Missing, NotTaken:
-		n.finish(c, request.Unknown, request.ReasonAnswerGone, unknownRetryAfter)
+		n.finish(c, request.Unknown, request.ReasonAnswerExpired, unknownRetryAfter)
 	default:
-		n.finish(c, request.Unknown, request.ReasonBroken, unknownRetryAfter)
+		n.finish(c, request.Unknown, request.ReasonStreamBroken, unknownRetryAfter)
 	}
 }
 
@@ -344,7 +344,7 @@
 	n.sched.Done(n.now, c.handle)
 	n.claims.NotDispatched(n.now, c.flight)
 	n.endFlight(c)
-	c.spec.Attempt = request.Undeclared
+	c.spec.Attempt = request.UndeclaredAttempt
 	c.retries++
 	c.stage = finding
 	n.fly(c, claim.Find)
@@ -359,7 +359,7 @@
 		n.sched.Done(n.now, c.handle)
 		n.claims.NotDispatched(n.now, c.flight)
 		n.endFlight(c)
-		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonEngine, RetryAfter: unknownRetryAfter})
+		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonEndpointFailed, RetryAfter: unknownRetryAfter})
 		return
 	}
 	c.stage = queued
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -195,9 +195,9 @@
 	for _, m := range in.Messages {
 		text += m.Content
 	}
-	c.spec.PromptTokens = prompt.Tokens(text)
-	c.spec.Prefix = prompt.Blocks(text)
-	c.spec.MaxOutput = max(0, in.MaxTokens)
+	c.spec.PromptTokens = prompt.EstimateTokens(text)
+	c.spec.PrefixHashes = prompt.BlockHashes(text)
+	c.spec.MaxOutputTokens = max(0, in.MaxTokens)
 }
 
 // requestID returns the caller's id; without one the request cannot be
@@ -213,14 +213,14 @@
 
 func (d *Daemon) fillAttempt(r *http.Request, c *callerCall, given bool) *badRequest {
 	if !given {
-		c.spec.Attempt = request.First
-		c.spec.TrustFirst = true
+		c.spec.Attempt = request.FirstAttempt
+		c.spec.TrustFirstAttempt = true
 		return nil
 	}
 	h := r.Header.Get(HeaderAttempt)
 	if h == "" {
 		if d.set.Claims.UndeclaredAttempt == settings.UndeclaredFirst {
-			c.spec.Attempt = request.First
+			c.spec.Attempt = request.FirstAttempt
 		}
 		return nil
 	}
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -57,7 +57,7 @@
 	return outcome{Outcome: f.Outcome, Reason: f.Reason, RetryAfter: f.RetryAfter, RetryAfterMS: f.RetryAfter.Milliseconds()}
 }
 
-var conflictOutcome = outcome{Reason: request.ReasonConflict, conflict: true}
+var conflictOutcome = outcome{Reason: request.ReasonBodyConflict, conflict: true}
 
 // status is the HTTP status of a final outcome without an answer.
 func (o *outcome) status() int {
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -215,7 +215,7 @@
 		if i >= shared {
 			block = uint64(n+1)<<40 | uint64(i)
 		}
-		sum = prompt.Chain(sum, block)
+		sum = prompt.ExtendHash(sum, block)
 		list = append(list, sum)
 	}
 	return list
@@ -226,9 +226,9 @@
 	k := a.kind
 	s := request.Spec{
 		Key: request.Key{Organisation: a.org, ID: a.id}, Kind: k.name, Tier: k.tier, Weight: 1,
-		Idempotent: !k.nonIdempotent, TrustFirst: !k.nonIdempotent, Attempt: attempt, Digest: 1,
-		PromptTokens: a.prompt, OutputTokens: k.output, Prefix: a.prefix,
-		Deadline: now + k.deadline - (now - a.at), FirstToken: k.firstToken,
+		Idempotent: !k.nonIdempotent, TrustFirstAttempt: !k.nonIdempotent, Attempt: attempt, Digest: 1,
+		PromptTokens: a.prompt, OutputTokens: k.output, PrefixHashes: a.prefix,
+		Deadline: now + k.deadline - (now - a.at), FirstTokenTarget: k.firstToken,
 	}
 	if !k.plain {
 		s.Model = "m"
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -140,7 +140,7 @@
 			for i := range q.nodes {
 				next++
 				spec := rules.Spec(rules.Document.Organisations[0], kind, fmt.Sprintf("%016x-%d", next, i))
-				spec.Attempt, spec.Digest, spec.PromptTokens, spec.Deadline = request.First, 1, 500, q.now+time.Minute
+				spec.Attempt, spec.Digest, spec.PromptTokens, spec.Deadline = request.FirstAttempt, 1, 500, q.now+time.Minute
 				q.step(i, core.Arrive{Handle: next<<8 | uint64(i), Spec: spec})
 			}
 		}
@@ -298,7 +298,7 @@
 		for i := range uint64(n) {
 			c.Acquire(0, i+1, claim.Wish{
 				Key: request.Key{Organisation: "organisation-00001", ID: fmt.Sprintf("%032x", i)}, Digest: 1,
-				Attempt: request.First, Endpoint: "engine-00001", Stream: fmt.Sprintf("1-18ed83f4f08f65ad-%d-0", i),
+				Attempt: request.FirstAttempt, Endpoint: "engine-00001", Stream: fmt.Sprintf("1-18ed83f4f08f65ad-%d-0", i),
 			})
 			c.Ended(0, i+1, schema.RecordState_ANSWERED)
 			c.Take()
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -16,23 +16,23 @@
 	blockBytes  = BytesPerToken * BlockTokens
 )
 
-// Tokens estimates the length of a text in tokens.
-func Tokens(text string) int { return (len(text) + BytesPerToken - 1) / BytesPerToken }
+// EstimateTokens estimates the length of a text in tokens.
+func EstimateTokens(text string) int { return (len(text) + BytesPerToken - 1) / BytesPerToken }
 
-// Blocks returns a hash for each whole leading block; each covers all before it.
-func Blocks(text string) []uint64 {
+// BlockHashes returns a hash for each whole leading block; each covers all before it.
+func BlockHashes(text string) []uint64 {
 	hashes := make([]uint64, 0, len(text)/blockBytes)
 	var sum uint64
 	for len(text) >= blockBytes {
-		sum = Chain(sum, xxhash.Sum64String(text[:blockBytes]))
+		sum = ExtendHash(sum, xxhash.Sum64String(text[:blockBytes]))
 		hashes = append(hashes, sum)
 		text = text[blockBytes:]
 	}
 	return hashes
 }
 
-// Chain extends the hash of a prefix by the hash of its next block.
-func Chain(prefix, block uint64) uint64 {
+// ExtendHash extends the hash of a prefix by the hash of its next block.
+func ExtendHash(prefix, block uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], prefix)
 	binary.LittleEndian.PutUint64(b[8:], block)
--- a/request/request.go
+++ b/request/request.go
@@ -19,11 +19,11 @@
 // Attempt is the caller's count of the times it sent a key.
 type Attempt uint32
 
-// Undeclared is the attempt of a caller that did not count.
-const Undeclared Attempt = 0
+// UndeclaredAttempt is the attempt of a caller that did not count.
+const UndeclaredAttempt Attempt = 0
 
-// First is the attempt of a caller that says it never sent the key before.
-const First Attempt = 1
+// FirstAttempt is the attempt of a caller that says it never sent the key before.
+const FirstAttempt Attempt = 1
 
 // Outcome is the final answer to a caller.
 type Outcome string
@@ -45,25 +45,25 @@
 
 // Reasons of final outcomes.
 const (
-	ReasonDone         Reason = "done"
-	ReasonQueueFull    Reason = "queue_full"
-	ReasonTooLate      Reason = "cannot_finish_in_time"
-	ReasonNoEndpoint   Reason = "no_endpoint"
-	ReasonCaller       Reason = "caller_gone"
-	ReasonDeadline     Reason = "deadline_passed"
-	ReasonHigherTier   Reason = "higher_tier"
-	ReasonShutdown     Reason = "shutting_down"
-	ReasonClaimTimeout Reason = "claim_timeout"
-	ReasonDomainsAway  Reason = "failure_domain_unreachable"
-	ReasonRecordsLost  Reason = "records_lost"
-	ReasonRecordsFull  Reason = "records_full"
-	ReasonRefused      Reason = "refused_before"
-	ReasonConflict     Reason = "body_conflict"
-	ReasonAnswerLost   Reason = "answer_lost"
-	ReasonAnswerGone   Reason = "answer_no_longer_held"
-	ReasonBroken       Reason = "stream_broken"
-	ReasonEngine       Reason = "endpoint_failed"
-	ReasonNoConfig     Reason = "no_configuration"
+	ReasonDone              Reason = "done"
+	ReasonQueueFull         Reason = "queue_full"
+	ReasonTooLate           Reason = "cannot_finish_in_time"
+	ReasonNoEndpoint        Reason = "no_endpoint"
+	ReasonCallerGone        Reason = "caller_gone"
+	ReasonDeadlinePassed    Reason = "deadline_passed"
+	ReasonHigherTier        Reason = "higher_tier"
+	ReasonShutdown          Reason = "shutting_down"
+	ReasonClaimTimeout      Reason = "claim_timeout"
+	ReasonDomainUnreachable Reason = "failure_domain_unreachable"
+	ReasonRecordsLost       Reason = "records_lost"
+	ReasonRecordsFull       Reason = "records_full"
+	ReasonRefusedBefore     Reason = "refused_before"
+	ReasonBodyConflict      Reason = "body_conflict"
+	ReasonAnswerLost        Reason = "answer_lost"
+	ReasonAnswerExpired     Reason = "answer_no_longer_held"
+	ReasonStreamBroken      Reason = "stream_broken"
+	ReasonEndpointFailed    Reason = "endpoint_failed"
+	ReasonNoConfig          Reason = "no_configuration"
 )
 
 // Spec is what admission knows of a request.
@@ -75,9 +75,9 @@
 	Weight uint32
 	// Idempotent requests may be stopped for a higher tier.
 	Idempotent bool
-	// TrustFirst lets a declared first attempt run without other domains.
-	TrustFirst bool
-	Attempt    Attempt
+	// TrustFirstAttempt lets a declared first attempt run without other domains.
+	TrustFirstAttempt bool
+	Attempt           Attempt
 	// Digest of the body; a repeat must have the same.
 	Digest uint64
 	// Model is empty for plain services.
@@ -86,15 +86,15 @@
 	PromptTokens int
 	// OutputTokens is the expected length of the answer.
 	OutputTokens int
-	// MaxOutput bounds the answer; 0 is no bound.
-	MaxOutput int
-	// Prefix are hashes of the prompt's leading blocks, each covering all before it.
-	Prefix []uint64
+	// MaxOutputTokens bounds the answer; 0 is no bound.
+	MaxOutputTokens int
+	// PrefixHashes are hashes of the prompt's leading blocks, each covering all before it.
+	PrefixHashes []uint64
 	// Deadline is the time by which the whole answer must be there.
 	Deadline time.Duration
-	// FirstToken is the target for the first token, from arrival; 0 means none.
-	FirstToken time.Duration
+	// FirstTokenTarget is the target for the first token, from arrival; 0 means none.
+	FirstTokenTarget time.Duration
 }
 
-// Repeat reports whether the request may have been sent before.
-func (s *Spec) Repeat() bool { return s.Attempt != First || !s.TrustFirst }
+// MayBeRetry reports whether the request may have been sent before.
+func (s *Spec) MayBeRetry() bool { return s.Attempt != FirstAttempt || !s.TrustFirstAttempt }
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -196,7 +196,7 @@
 // cached returns how many leading tokens of a prompt the endpoint probably has.
 func (e *endpoint) cached(s *request.Spec) int {
 	n := 0
-	for _, h := range s.Prefix {
+	for _, h := range s.PrefixHashes {
 		if !e.index.Contains(h) {
 			break
 		}
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -181,10 +181,10 @@
 // has its prompt's beginning, rather than have it read again at the one picked.
 func (s *Scheduler) worthWaiting(w *waiting, all []Candidate) bool {
 	total := w.spec.Deadline - w.arrived
-	if w.spec.FirstToken > 0 {
-		total = min(total, w.spec.FirstToken)
+	if w.spec.FirstTokenTarget > 0 {
+		total = min(total, w.spec.FirstTokenTarget)
 	}
-	if len(w.spec.Prefix) == 0 || float64(s.now-w.arrived) >= patience*float64(total) {
+	if len(w.spec.PrefixHashes) == 0 || float64(s.now-w.arrived) >= patience*float64(total) {
 		return false
 	}
 	picked, full := 0.0, -1.0
@@ -228,7 +228,7 @@
 	}
 	e.prefill += r.uncached
 	// Prompts are read one by one, so the next with this beginning finds it.
-	e.remember(w.spec.Prefix)
+	e.remember(w.spec.PrefixHashes)
 	e.running[w.handle] = r
 	s.runs[w.handle] = r
 	s.out.Assignments = append(s.out.Assignments, Assignment{Handle: w.handle, Endpoint: e.Name, Candidates: candidates})
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -184,8 +184,8 @@
 	}
 	w.latest = w.spec.Deadline - best.Finish
 	w.urgentAt = w.latest - time.Duration(urgentShare*float64(best.Finish)) - urgentMargin
-	if w.spec.FirstToken > 0 {
-		w.urgentAt = min(w.urgentAt, w.arrived+w.spec.FirstToken-best.FirstToken-urgentMargin)
+	if w.spec.FirstTokenTarget > 0 {
+		w.urgentAt = min(w.urgentAt, w.arrived+w.spec.FirstTokenTarget-best.FirstToken-urgentMargin)
 	}
 	if s.now > w.latest {
 		return request.ReasonTooLate, false
--- a/sched/score.go
+++ b/sched/score.go
@@ -30,17 +30,17 @@
 // weight of an endpoint falls smoothly, so that overflow goes to the same second
 // place at every VM.
 func locality(e *endpoint, c *Candidate, s *request.Spec) float64 {
-	if len(s.Prefix) == 0 {
+	if len(s.PrefixHashes) == 0 {
 		return 0
 	}
-	away := 1 - float64(rendezvous.Weight(s.Prefix[0], e.hash))/(1<<64)
+	away := 1 - float64(rendezvous.Weight(s.PrefixHashes[0], e.hash))/(1<<64)
 	return localityWeight * away * float64(s.PromptTokens-c.Cached) * e.PrefillPrice / perMillion
 }
 
 // score adds the penalties of a candidate to its price.
 func score(now time.Duration, e *endpoint, c *Candidate, s *request.Spec, arrived time.Duration) {
 	cost := c.Cost + timeWeight*c.Finish.Seconds() + locality(e, c, s)
-	if s.FirstToken > 0 && now+c.FirstToken > arrived+s.FirstToken {
+	if s.FirstTokenTarget > 0 && now+c.FirstToken > arrived+s.FirstTokenTarget {
 		cost *= lateFirstToken
 	}
 	if float64(c.Finish) > tightShare*float64(s.Deadline-now) {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -209,7 +209,7 @@
 	e.streams[id] = s
 	e.ran[s.key]++
 	text := c.text()
-	e.model.Submit(time.Since(e.start), id, prompt.Blocks(text), prompt.Tokens(text), c.MaxTokens)
+	e.model.Submit(time.Since(e.start), id, prompt.BlockHashes(text), prompt.EstimateTokens(text), c.MaxTokens)
 	e.mu.Unlock()
 	e.write(w, r, s, 0)
 }
--- a/tomlproto/tomlproto.go
+++ b/tomlproto/tomlproto.go
@@ -59,12 +59,12 @@
 			faults = append(faults, config.Fault{Path: path, Problem: "is not a known key"})
 			continue
 		}
-		faults = append(faults, unknownBelow(tree[k], fd, path)...)
+		faults = append(faults, unknownNestedKeys(tree[k], fd, path)...)
 	}
 	return faults
 }
 
-func unknownBelow(v any, fd protoreflect.FieldDescriptor, path string) []config.Fault {
+func unknownNestedKeys(v any, fd protoreflect.FieldDescriptor, path string) []config.Fault {
 	if fd.Message() == nil {
 		return nil
 	}
