--- a/cmd/chivefield/explain.go
+++ b/cmd/chivefield/explain.go
@@ -29,9 +29,9 @@
 		return err
 	}
 	defer closeLogs()
-	about := explain.Request
+	about := explain.ReadRequest
 	if _, err := suspect.Parse(c.Args.Request); err == nil {
-		about = explain.Digest
+		about = explain.ReadDigest
 	}
 	lines, err := about(in, c.Args.Request)
 	if err != nil {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -46,15 +46,15 @@
 
 // Scan calls each for every event of a log whose line holds a text; an empty one is in all.
 // Lines that are none of the daemon's are passed over. The error is a ReadError.
-func Scan(r io.Reader, text string, each func(*Line)) error {
+func Scan(r io.Reader, substr string, handle func(*Line)) error {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
-		if !strings.Contains(sc.Text(), text) {
+		if !strings.Contains(sc.Text(), substr) {
 			continue
 		}
 		if l, ok := Parse(sc.Text()); ok {
-			each(&l)
+			handle(&l)
 		}
 	}
 	if err := sc.Err(); err != nil {
@@ -63,17 +63,17 @@
 	return nil
 }
 
-// Request returns the lines about a request, from logs of any number of VMs, in
+// ReadRequest returns the lines about a request, from logs of any number of VMs, in
 // order of time. Words before a line's time, as tools that collect logs add them,
 // are passed over.
-func Request(r io.Reader, id string) ([]Line, error) { return having(r, "request", id) }
+func ReadRequest(r io.Reader, id string) ([]Line, error) { return readMatching(r, "request", id) }
 
-// Digest returns the lines about all sendings of the same request: those that failed or were
+// ReadDigest returns the lines about all sendings of the same request: those that failed or were
 // refused, and what was found out about it.
-func Digest(r io.Reader, digest string) ([]Line, error) { return having(r, "digest", digest) }
+func ReadDigest(r io.Reader, digest string) ([]Line, error) { return readMatching(r, "digest", digest) }
 
-// having returns the lines with a field of that value.
-func having(r io.Reader, key, value string) ([]Line, error) {
+// readMatching returns the lines with a field of that value.
+func readMatching(r io.Reader, key, value string) ([]Line, error) {
 	var lines []Line
 	err := Scan(r, key+"="+value, func(l *Line) {
 		if l.Get(key) == value {
@@ -93,7 +93,7 @@
 	if start < 0 {
 		return l, false
 	}
-	for _, f := range fields(text[start:]) {
+	for _, f := range parseFields(text[start:]) {
 		switch f.Key {
 		case "time":
 			at, err := time.Parse(time.RFC3339Nano, f.Value)
@@ -113,8 +113,8 @@
 	return l, l.Event != ""
 }
 
-// fields splits key=value pairs; values with spaces are in double quotes.
-func fields(s string) []Field {
+// parseFields splits key=value pairs; values with spaces are in double quotes.
+func parseFields(s string) []Field {
 	var list []Field
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimSpace(s) {
 		key, rest, ok := strings.Cut(s, "=")
@@ -141,8 +141,8 @@
 	return s[1:], ""
 }
 
-// meanings say in words what an event tells.
-var meanings = map[string]string{
+// eventDescriptions say in words what an event tells.
+var eventDescriptions = map[string]string{
 	"over_allowance": "the organisation's allowance was spent",
 	"placed":         "an endpoint was picked",
 	"attempt_failed": "the attempt at the endpoint failed",
@@ -164,7 +164,7 @@
 // Write prints a story with times from its first line on.
 func Write(w io.Writer, lines []Line) error {
 	// Where all lines are about one sending, its id need not be repeated.
-	one := !slices.ContainsFunc(lines, func(l Line) bool { return l.Get("request") != lines[0].Get("request") })
+	singleRequest := !slices.ContainsFunc(lines, func(l Line) bool { return l.Get("request") != lines[0].Get("request") })
 	for i, l := range lines {
 		var b strings.Builder
 		fmt.Fprintf(&b, "%+9.3fs", l.At.Sub(lines[0].At).Seconds())
@@ -175,11 +175,11 @@
 			b.WriteString(" at " + l.VM)
 		}
 		b.WriteString(": " + l.Event)
-		if m := meanings[l.Event]; m != "" {
+		if m := eventDescriptions[l.Event]; m != "" {
 			b.WriteString(", " + m)
 		}
 		for _, f := range l.Fields {
-			if f.Key != "request" || !one {
+			if f.Key != "request" || !singleRequest {
 				fmt.Fprintf(&b, "\n%14s = %s", f.Key, f.Value)
 			}
 		}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -14,9 +14,9 @@
 time=2026-12-02T10:00:01Z level=info event=placed endpoint=e1 request=r10 vm=vm-a
 `
 
-func TestStoryInOrderOfTime(t *testing.T) {
+func TestLinesInTimeOrder(t *testing.T) {
 	is := is.New(t)
-	lines, err := Request(strings.NewReader(logs), "r1")
+	lines, err := ReadRequest(strings.NewReader(logs), "r1")
 	is.NoErr(err)
 	is.Equal(len(lines), 3)
 	is.Equal(lines[0].Event, "placed")
@@ -28,15 +28,15 @@
 	is.True(strings.Contains(out.String(), "reason = attempts_spent"))
 }
 
-func TestUnknownRequestHasNoStory(t *testing.T) {
+func TestUnknownRequestHasNoLines(t *testing.T) {
 	is := is.New(t)
-	lines, err := Request(strings.NewReader(logs), "r2")
+	lines, err := ReadRequest(strings.NewReader(logs), "r2")
 	is.NoErr(err)
 	is.Equal(len(lines), 0)
 }
 
 // All sendings of one request share a digest; their ids tell them apart.
-func TestStoryOfADigest(t *testing.T) {
+func TestReadDigestFindsAllAttempts(t *testing.T) {
 	is := is.New(t)
 	const digest = "0123456789abcdef0123456789abcdef"
 	text := `time=2026-12-02T10:00:02Z level=info event=refused digest=` + digest + ` reason=ends_endpoints request=r2 vm=vm-b
@@ -44,7 +44,7 @@
 time=2026-12-02T10:00:01.5Z level=info event=request_convicted digest=` + digest + ` ends=3 learned=told vm=vm-b
 time=2026-12-02T10:00:01Z level=info event=attempt_failed digest=f123456789abcdef0123456789abcdef endpoint=e1 request=r3 vm=vm-a
 `
-	lines, err := Digest(strings.NewReader(text), digest)
+	lines, err := ReadDigest(strings.NewReader(text), digest)
 	is.NoErr(err)
 	is.Equal(len(lines), 3)
 	var out strings.Builder
