--- a/logging/sink.go
+++ b/logging/sink.go
@@ -19,11 +19,11 @@
 // times what a VM carries at the size that the design is made for.
 var DefaultBudget = Budget{Lines: 400, Bytes: 120_000}
 
-// sinkBuffer is the number of lines that may wait for the writer.
-const sinkBuffer = 1024
+// queueCapacity is the number of lines that may wait for the writer.
+const queueCapacity = 1024
 
-// reportEvery is how often a Sink says what it left out.
-const reportEvery = time.Second
+// dropReportInterval is how often a Sink says what it left out.
+const dropReportInterval = time.Second
 
 // Sink writes lines without ever making the caller wait: a reader of the log that
 // stalls, or more lines than the budget, costs lines and no requests. What was left
@@ -40,33 +40,33 @@
 	mu sync.Mutex
 	// linesLeft and bytesLeft are what may be written now.
 	linesLeft, bytesLeft float64
-	refilled             time.Time
-	lastDropped          int64
+	lastRefill           time.Time
+	reportedDrops        int64
 }
 
-// reserve is the share of the budget that only warnings and errors may use, so
+// reservedShare is the share of the budget that only warnings and errors may use, so
 // that the lines of many requests do not crowd out why they fail.
-const reserve = 0.2
+const reservedShare = 0.2
 
 // Marks of lines that may use the reserve.
 var (
-	warning = []byte("level=warn")
-	failure = []byte("level=error")
+	warnMark  = []byte("level=warn")
+	errorMark = []byte("level=error")
 )
 
 // NewSink starts a sink. Close flushes it.
 func NewSink(out io.Writer, b Budget) *Sink {
 	s := &Sink{
-		out: out, budget: b, now: time.Now, lines: make(chan []byte, sinkBuffer), quit: make(chan struct{}), done: make(chan struct{}),
-		linesLeft: float64(b.Lines), bytesLeft: float64(b.Bytes), refilled: time.Now(),
+		out: out, budget: b, now: time.Now, lines: make(chan []byte, queueCapacity), quit: make(chan struct{}), done: make(chan struct{}),
+		linesLeft: float64(b.Lines), bytesLeft: float64(b.Bytes), lastRefill: time.Now(),
 	}
-	go s.write()
+	go s.writeLoop()
 	return s
 }
 
 // Write takes one line. It never waits and never fails.
 func (s *Sink) Write(p []byte) (int, error) {
-	if !s.allow(len(p), bytes.Contains(p, warning) || bytes.Contains(p, failure)) {
+	if !s.allow(len(p), bytes.Contains(p, warnMark) || bytes.Contains(p, errorMark)) {
 		s.dropped.Add(1)
 		return len(p), nil
 	}
@@ -85,15 +85,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	passed := now.Sub(s.refilled).Seconds()
-	s.refilled = now
-	s.linesLeft = min(float64(s.budget.Lines), s.linesLeft+passed*float64(s.budget.Lines))
-	s.bytesLeft = min(float64(s.budget.Bytes), s.bytesLeft+passed*float64(s.budget.Bytes))
-	var keep float64
+	elapsed := now.Sub(s.lastRefill).Seconds()
+	s.lastRefill = now
+	s.linesLeft = min(float64(s.budget.Lines), s.linesLeft+elapsed*float64(s.budget.Lines))
+	s.bytesLeft = min(float64(s.budget.Bytes), s.bytesLeft+elapsed*float64(s.budget.Bytes))
+	var reserved float64
 	if !important {
-		keep = reserve
+		reserved = reservedShare
 	}
-	if s.linesLeft-1 < keep*float64(s.budget.Lines) || s.bytesLeft-float64(n) < keep*float64(s.budget.Bytes) {
+	if s.linesLeft-1 < reserved*float64(s.budget.Lines) || s.bytesLeft-float64(n) < reserved*float64(s.budget.Bytes) {
 		return false
 	}
 	s.linesLeft--
@@ -101,16 +101,16 @@
 	return true
 }
 
-func (s *Sink) write() {
+func (s *Sink) writeLoop() {
 	defer close(s.done)
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(dropReportInterval)
 	defer report.Stop()
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
+			s.writeBatch(line)
 		case <-report.C:
-			s.report()
+			s.reportDropped()
 		case <-s.quit:
 			s.flush()
 			return
@@ -118,9 +118,9 @@
 	}
 }
 
-// put writes lines that wait together at once. A log that cannot be written has
+// writeBatch writes lines that wait together at once. A log that cannot be written has
 // nowhere to say so.
-func (s *Sink) put(line []byte) {
+func (s *Sink) writeBatch(line []byte) {
 	for range len(s.lines) {
 		line = append(line, <-s.lines...)
 	}
@@ -130,31 +130,31 @@
 func (s *Sink) flush() {
 	select {
 	case line := <-s.lines:
-		s.put(line)
+		s.writeBatch(line)
 	default:
 	}
-	s.report()
+	s.reportDropped()
 }
 
-// report says how many lines were left out since the last report.
-func (s *Sink) report() {
+// reportDropped says how many lines were left out since the last report.
+func (s *Sink) reportDropped() {
 	n := s.dropped.Load()
-	if n == s.lastDropped {
+	if n == s.reportedDrops {
 		return
 	}
 	_, _ = fmt.Fprintf(s.out, "time=%s level=warn event=log_lines_dropped lines=%d total=%d\n",
-		s.now().Format(time.RFC3339Nano), n-s.lastDropped, n)
-	s.lastDropped = n
+		s.now().Format(time.RFC3339Nano), n-s.reportedDrops, n)
+	s.reportedDrops = n
 }
 
-// closeWait bounds how long Close waits for the writer.
-const closeWait = 200 * time.Millisecond
+// closeTimeout bounds how long Close waits for the writer.
+const closeTimeout = 200 * time.Millisecond
 
 // Close writes what waits, as far as the writer takes it in time.
 func (s *Sink) Close() {
 	close(s.quit)
 	select {
 	case <-s.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/logging/sink_test.go
+++ b/logging/sink_test.go
@@ -10,25 +10,25 @@
 	"github.com/matryer/is"
 )
 
-type stalled struct{ release chan struct{} }
+type stalledWriter struct{ release chan struct{} }
 
-func (s stalled) Write(p []byte) (int, error) {
+func (s stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-type buffer struct {
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
@@ -37,27 +37,27 @@
 // Symptom: requests stood still. Sequence: the reader of standard output stalls, the
 // pipe fills, the next line waits in the middle of a request. Cause: a log line was
 // written by the goroutine of the request. Here the writer never takes a line.
-func TestStalledReaderCostsLinesNotTime(t *testing.T) {
+func TestStalledReaderDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
-	out := stalled{make(chan struct{})}
+	out := stalledWriter{make(chan struct{})}
 	s := NewSink(out, Budget{Lines: 1 << 20, Bytes: 1 << 30})
 	start := time.Now()
-	for range 10 * sinkBuffer {
+	for range 10 * queueCapacity {
 		_, err := s.Write([]byte("event=x\n"))
 		is.NoErr(err)
 	}
 	is.True(time.Since(start) < time.Second)
 	// The writer holds up to a line and a buffer of others, and the buffer may have
 	// filled again behind it.
-	is.True(s.Dropped() >= (10-2)*sinkBuffer-1)
+	is.True(s.Dropped() >= (10-2)*queueCapacity-1)
 	close(out.release)
 	s.Close()
 }
 
 // Volume stays within the budget, and what is left out is said.
-func TestBudget(t *testing.T) {
+func TestLinesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
-	var out buffer
+	var out syncBuffer
 	s := NewSink(&out, Budget{Lines: 50, Bytes: 1000})
 	for range 500 {
 		_, err := s.Write([]byte("event=x padding\n"))
@@ -71,9 +71,9 @@
 
 // Symptom: the log of a burst had thousands of placements and not the line that
 // said why they failed. Warnings keep a part of the budget.
-func TestWarningsAreNotCrowdedOut(t *testing.T) {
+func TestWarningsUseReservedBudget(t *testing.T) {
 	is := is.New(t)
-	var out buffer
+	var out syncBuffer
 	s := NewSink(&out, Budget{Lines: 50, Bytes: 1 << 20})
 	log := New(s)
 	for range 500 {
@@ -85,9 +85,9 @@
 }
 
 // Within the budget all lines are there, in order.
-func TestNothingIsLostWithinTheBudget(t *testing.T) {
+func TestNoLineDroppedWithinBudget(t *testing.T) {
 	is := is.New(t)
-	var out buffer
+	var out syncBuffer
 	s := NewSink(&out, DefaultBudget)
 	log := New(s)
 	for i := range 100 {
