--- a/report/cause.go
+++ b/report/cause.go
@@ -2,13 +2,13 @@
 
 // Causes, as the account names them.
 const (
-	CauseVMs       = "VMs started anew"
-	CausePlacers   = "VMs lost the one that places for them"
-	CauseEndpoints = "endpoints failed or could not be reached"
-	CauseAllowance = "organisations met their allowance"
-	CauseOverload  = "more was asked than endpoints do"
-	CauseStore     = "the store was lost"
-	CauseLate      = "answers were late"
+	CauseVMStarts         = "VMs started anew"
+	CausePlacersLost      = "VMs lost the one that places for them"
+	CauseEndpointFailures = "endpoints failed or could not be reached"
+	CauseAllowance        = "organisations met their allowance"
+	CauseOverload         = "more was asked than endpoints do"
+	CauseStoreLost        = "the store was lost"
+	CauseLateResponses    = "answers were late"
 )
 
 // Reasons of refusals, as the daemon logs them.
@@ -18,35 +18,35 @@
 	reasonFull      = "queue_full"
 )
 
-// failuresTell is the share of a step's requests from which failed attempts are the likely
+// failureCauseShare is the share of a step's requests from which failed attempts are the likely
 // cause.
-const failuresTell = 0.1
+const failureCauseShare = 0.1
 
-// cause names what most likely kept requests of a step from being on time. What happened to
+// likelyCause names what most likely kept requests of a step from being on time. What happened to
 // VMs and endpoints goes before what follows from it, such as overload.
-func cause(s *Step) string {
-	missed := s.Asked - s.OnTime
+func likelyCause(s *Step) string {
+	notOnTime := s.Requests - s.OnTime
 	failures := 0
 	for _, n := range s.Failures {
 		failures += n
 	}
 	switch {
-	case missed == 0:
+	case notOnTime == 0:
 		return ""
 	case s.Started > 0:
-		return CauseVMs
-	case float64(failures) >= failuresTell*float64(s.Asked):
-		return CauseEndpoints
+		return CauseVMStarts
+	case float64(failures) >= failureCauseShare*float64(s.Requests):
+		return CauseEndpointFailures
 	case s.PlacersLost > 0:
-		return CausePlacers
-	case 2*s.Refused[reasonAllowance] > missed:
+		return CausePlacersLost
+	case 2*s.Refused[reasonAllowance] > notOnTime:
 		return CauseAllowance
-	case 2*(s.Refused[reasonTooLate]+s.Refused[reasonFull]) > missed:
+	case 2*(s.Refused[reasonTooLate]+s.Refused[reasonFull]) > notOnTime:
 		return CauseOverload
 	case s.StoreLost > 0:
-		return CauseStore
-	case s.refusals() > s.Late:
+		return CauseStoreLost
+	case s.refusalCount() > s.Late:
 		return CauseOverload
 	}
-	return CauseLate
+	return CauseLateResponses
 }
--- a/report/predictions.go
+++ b/report/predictions.go
@@ -13,53 +13,53 @@
 type Predictions struct {
 	// Median and NineTenths are quantiles of what was seen over what was predicted; 0 if
 	// nothing was compared.
-	Median     float64 `json:"median"`
-	NineTenths float64 `json:"nine_tenths"`
+	Median float64 `json:"median"`
+	P90    float64 `json:"nine_tenths"`
 	// Compared is the number of streams, Impossible how many of them had a prediction of
 	// nothing or less.
-	Compared   int `json:"compared"`
-	Impossible int `json:"impossible"`
-	ratios     []float64
+	Compared    int `json:"compared"`
+	NonPositive int `json:"impossible"`
+	ratios      []float64
 }
 
-func (p *Predictions) add(predicted, seen time.Duration) {
+func (p *Predictions) add(predicted, observed time.Duration) {
 	p.Compared++
 	if predicted <= 0 {
-		p.Impossible++
+		p.NonPositive++
 		return
 	}
-	p.ratios = append(p.ratios, float64(seen)/float64(predicted))
+	p.ratios = append(p.ratios, float64(observed)/float64(predicted))
 }
 
-// settle works out the quantiles.
-func (p *Predictions) settle() {
+// computeQuantiles works out the quantiles.
+func (p *Predictions) computeQuantiles() {
 	slices.Sort(p.ratios)
 	if n := len(p.ratios); n > 0 {
-		p.Median, p.NineTenths = p.ratios[n/2], p.ratios[n*9/10]
+		p.Median, p.P90 = p.ratios[n/2], p.ratios[n*9/10]
 	}
 }
 
 // prediction is what was expected of a request when it was placed last.
 type prediction struct {
-	endpoint      string
-	first, waited time.Duration
+	endpoint           string
+	firstEvent, waited time.Duration
 }
 
-// expect notes what was expected of a request.
-func (b *builder) expect(l *explain.Line) {
-	b.expected[l.Get("request")] = prediction{
-		endpoint: l.Get("endpoint"), first: milliseconds(l.Get("predicted")), waited: milliseconds(l.Get("waited")),
+// recordPrediction notes what was expected of a request.
+func (b *builder) recordPrediction(l *explain.Line) {
+	b.predictions[l.Get("request")] = prediction{
+		endpoint: l.Get("endpoint"), firstEvent: parseMilliseconds(l.Get("predicted")), waited: parseMilliseconds(l.Get("waited")),
 	}
 }
 
-// compare takes in when the first event of a stream came.
-func (b *builder) compare(l *explain.Line) {
-	e, ok := b.expected[l.Get("request")]
+// recordFirstEvent takes in when the first event of a stream came.
+func (b *builder) recordFirstEvent(l *explain.Line) {
+	e, ok := b.predictions[l.Get("request")]
 	if !ok || l.Get("sent") != "1" {
 		// Of a stream that went on at another endpoint the first event says nothing.
 		return
 	}
-	seen := milliseconds(l.Get("first_event")) - e.waited
-	b.route(b.routeOf[l.Get("request")]).Predictions.add(e.first, seen)
-	b.endpoint(e.endpoint).Predictions.add(e.first, seen)
+	observed := parseMilliseconds(l.Get("first_event")) - e.waited
+	b.route(b.routeOf[l.Get("request")]).Predictions.add(e.firstEvent, observed)
+	b.endpoint(e.endpoint).Predictions.add(e.firstEvent, observed)
 }
--- a/report/report.go
+++ b/report/report.go
@@ -18,26 +18,26 @@
 
 // Counts are what became of requests. A request here is one attempt of a caller.
 type Counts struct {
-	Asked  int `json:"asked"`
-	OnTime int `json:"on_time"`
-	Late   int `json:"late"`
+	Requests int `json:"asked"`
+	OnTime   int `json:"on_time"`
+	Late     int `json:"late"`
 	// Refused counts the system's own answers, by reason.
 	Refused map[string]int `json:"refused"`
 	// Broken counts streams that were broken off, Left callers that left.
-	Broken int `json:"broken"`
-	Left   int `json:"left"`
+	Broken     int `json:"broken"`
+	CallerLeft int `json:"left"`
 }
 
-// Served is the share of the requests that were on time; 1 if none was asked.
-func (c *Counts) Served() float64 {
-	if c.Asked == 0 {
+// OnTimeShare is the share of the requests that were on time; 1 if none was asked.
+func (c *Counts) OnTimeShare() float64 {
+	if c.Requests == 0 {
 		return 1
 	}
-	return float64(c.OnTime) / float64(c.Asked)
+	return float64(c.OnTime) / float64(c.Requests)
 }
 
-// refusals is the number of refusals of all reasons.
-func (c *Counts) refusals() int {
+// refusalCount is the number of refusalCount of all reasons.
+func (c *Counts) refusalCount() int {
 	n := 0
 	for _, k := range c.Refused {
 		n += k
@@ -46,7 +46,7 @@
 }
 
 func (c *Counts) add(o outcome, reason string) {
-	c.Asked++
+	c.Requests++
 	switch o {
 	case onTime:
 		c.OnTime++
@@ -54,8 +54,8 @@
 		c.Late++
 	case broken:
 		c.Broken++
-	case left:
-		c.Left++
+	case callerLeft:
+		c.CallerLeft++
 	case refused:
 		if c.Refused == nil {
 			c.Refused = make(map[string]int)
@@ -83,10 +83,10 @@
 type Route struct {
 	Name string `json:"name"`
 	Counts
-	// Waited is the mean time until an endpoint was picked.
-	Waited time.Duration `json:"waited_ns"`
-	// PausedLate counts late streams whose first event was on time.
-	PausedLate  int         `json:"paused_late"`
+	// MeanWait is the mean time until an endpoint was picked.
+	MeanWait time.Duration `json:"waited_ns"`
+	// LateByPause counts late streams whose first event was on time.
+	LateByPause int         `json:"paused_late"`
 	Predictions Predictions `json:"predictions"`
 	placed      int
 }
@@ -98,13 +98,13 @@
 	Failures map[string]int `json:"failures"`
 	// Ejections counts the VMs' ejections of it.
 	Ejections int `json:"ejections"`
-	// Gap is the time between two events that was last assumed.
-	Gap         time.Duration `json:"gap_ns"`
+	// EventGap is the time between two events that was last assumed.
+	EventGap    time.Duration `json:"gap_ns"`
 	Predictions Predictions   `json:"predictions"`
 }
 
-// failed is the number of failures of all outcomes.
-func (e *Endpoint) failed() int {
+// failureCount is the number of failures of all outcomes.
+func (e *Endpoint) failureCount() int {
 	n := 0
 	for _, k := range e.Failures {
 		n += k
@@ -112,39 +112,39 @@
 	return n
 }
 
-// Account is the whole.
-type Account struct {
+// Summary is the whole.
+type Summary struct {
 	Steps     []Step     `json:"steps"`
 	Routes    []Route    `json:"routes"`
 	Endpoints []Endpoint `json:"endpoints"`
 	// Rollouts are the steps of services that moved to another version, in order of time.
 	Rollouts []RolloutStep `json:"rollouts"`
-	// Repeats are what was sent to a further endpoint, by service.
-	Repeats []Repeats `json:"repeats"`
+	// Retries are what was sent to a further endpoint, by service.
+	Retries []Retries `json:"repeats"`
 	// Dropped counts lines that are missing from the logs.
 	Dropped int `json:"lines_dropped"`
 }
 
-// Worst returns the n steps with the smallest share on time among those with a tenth of the
+// WorstSteps returns the n steps with the smallest share on time among those with a tenth of the
 // usual number of requests or more, the worst first.
-func (a *Account) Worst(n int) []Step {
-	asked := 0
-	for _, s := range a.Steps {
-		asked += s.Asked
+func (sum *Summary) WorstSteps(n int) []Step {
+	requests := 0
+	for _, s := range sum.Steps {
+		requests += s.Requests
 	}
-	least := float64(asked) / float64(max(1, len(a.Steps))) / tellingShare
+	minRequests := float64(requests) / float64(max(1, len(sum.Steps))) / minRequestsDivisor
 	var list []Step
-	for _, s := range a.Steps {
-		if float64(s.Asked) >= least && s.Served() < 1 {
+	for _, s := range sum.Steps {
+		if float64(s.Requests) >= minRequests && s.OnTimeShare() < 1 {
 			list = append(list, s)
 		}
 	}
-	slices.SortStableFunc(list, func(x, y Step) int { return cmp.Compare(x.Served(), y.Served()) })
+	slices.SortStableFunc(list, func(x, y Step) int { return cmp.Compare(x.OnTimeShare(), y.OnTimeShare()) })
 	return list[:min(n, len(list))]
 }
 
-// tellingShare is how many times fewer requests than usual a step may have to be judged.
-const tellingShare = 10
+// minRequestsDivisor is how many times fewer requests than usual a step may have to be judged.
+const minRequestsDivisor = 10
 
 type outcome int
 
@@ -153,11 +153,11 @@
 	late
 	refused
 	broken
-	left
+	callerLeft
 )
 
-// ending is how a request ended.
-type ending struct {
+// requestEnd is how a request ended.
+type requestEnd struct {
 	request string
 	arrived time.Time
 	outcome outcome
@@ -166,16 +166,16 @@
 
 // Read works the account out of logs of any number of VMs, in any order, in steps of a
 // length. The error is an explain.ReadError.
-func Read(r io.Reader, step time.Duration) (*Account, error) {
+func Read(r io.Reader, step time.Duration) (*Summary, error) {
 	b := &builder{
 		step: step, steps: make(map[time.Time]*Step), routes: make(map[string]*Route),
-		endpoints: make(map[string]*Endpoint), routeOf: make(map[string]string), expected: make(map[string]prediction),
-		repeats: newRepeatSums(),
+		endpoints: make(map[string]*Endpoint), routeOf: make(map[string]string), predictions: make(map[string]prediction),
+		retries: newRetryTotals(),
 	}
-	if err := explain.Scan(r, "", b.line); err != nil {
+	if err := explain.Scan(r, "", b.addLine); err != nil {
 		return nil, err
 	}
-	return b.account(), nil
+	return b.summary(), nil
 }
 
 type builder struct {
@@ -185,15 +185,15 @@
 	endpoints map[string]*Endpoint
 	// routeOf are the routes of requests that have an endpoint.
 	routeOf map[string]string
-	// expected is what was expected of requests when they were placed.
-	expected map[string]prediction
-	endings  []ending
-	rollouts []RolloutStep
-	repeats  *repeatSums
-	dropped  int
+	// predictions is what was predictions of requests when they were placed.
+	predictions map[string]prediction
+	requestEnds []requestEnd
+	rollouts    []RolloutStep
+	retries     *retryTotals
+	dropped     int
 }
 
-func (b *builder) at(t time.Time) *Step {
+func (b *builder) stepAt(t time.Time) *Step {
 	from := t.Truncate(b.step)
 	s := b.steps[from]
 	if s == nil {
@@ -221,17 +221,17 @@
 	return r
 }
 
-// line takes in one event.
-func (b *builder) line(l *explain.Line) {
-	if strings.HasPrefix(l.Event, rolloutEvents) {
-		b.rollout(l)
+// addLine takes in one event.
+func (b *builder) addLine(l *explain.Line) {
+	if strings.HasPrefix(l.Event, rolloutEventPrefix) {
+		b.addRolloutStep(l)
 		return
 	}
 	switch l.Event {
 	case "placed":
-		b.placed(l)
+		b.addPlacement(l)
 	case "attempt_failed":
-		b.at(l.At).Failures[l.Get("outcome")]++
+		b.stepAt(l.At).Failures[l.Get("outcome")]++
 		b.endpoint(l.Get("endpoint")).Failures[l.Get("outcome")]++
 	case "answered", "streamed":
 		o := onTime
@@ -239,29 +239,29 @@
 			o = late
 		}
 		if l.Event == "streamed" {
-			b.compare(l)
+			b.recordFirstEvent(l)
 		}
 		if l.Get("late_by") == "pause" {
-			b.route(b.routeOf[l.Get("request")]).PausedLate++
+			b.route(b.routeOf[l.Get("request")]).LateByPause++
 		}
-		b.end(l, l.At.Add(-milliseconds(l.Get("took"))), o, "")
+		b.addEnd(l, l.At.Add(-parseMilliseconds(l.Get("took"))), o, "")
 	case "refused":
 		b.routeOf[l.Get("request")] = l.Get("route")
-		b.end(l, l.At.Add(-milliseconds(l.Get("held"))), refused, l.Get("reason"))
+		b.addEnd(l, l.At.Add(-parseMilliseconds(l.Get("held"))), refused, l.Get("reason"))
 	case "stream_broken":
-		b.end(l, l.At, broken, l.Get("reason"))
+		b.addEnd(l, l.At, broken, l.Get("reason"))
 	case "caller_left":
-		b.end(l, l.At.Add(-milliseconds(l.Get("held"))), left, "")
+		b.addEnd(l, l.At.Add(-parseMilliseconds(l.Get("held"))), callerLeft, "")
 	case "retry_budget":
-		b.repeats.take(l)
+		b.retries.addLine(l)
 	case "endpoint_ejected":
 		b.endpoint(l.Get("endpoint")).Ejections++
 	case "started":
-		b.at(l.At).Started++
+		b.stepAt(l.At).Started++
 	case "store_lost":
-		b.at(l.At).StoreLost++
+		b.stepAt(l.At).StoreLost++
 	case "placer_lost":
-		b.at(l.At).PlacersLost++
+		b.stepAt(l.At).PlacersLost++
 	case "log_lines_dropped":
 		n, err := strconv.Atoi(l.Get("lines"))
 		if err == nil {
@@ -270,24 +270,24 @@
 	}
 }
 
-func (b *builder) placed(l *explain.Line) {
+func (b *builder) addPlacement(l *explain.Line) {
 	name := l.Get("route")
 	b.routeOf[l.Get("request")] = name
 	r := b.route(name)
 	r.placed++
-	r.Waited += milliseconds(l.Get("waited"))
-	b.expect(l)
+	r.MeanWait += parseMilliseconds(l.Get("waited"))
+	b.recordPrediction(l)
 	e := b.endpoint(l.Get("endpoint"))
 	e.Placed++
-	e.Gap = milliseconds(l.Get("gap"))
+	e.EventGap = parseMilliseconds(l.Get("gap"))
 }
 
-func (b *builder) end(l *explain.Line, arrived time.Time, o outcome, reason string) {
-	b.endings = append(b.endings, ending{request: l.Get("request"), arrived: arrived, outcome: o, reason: reason})
+func (b *builder) addEnd(l *explain.Line, arrived time.Time, o outcome, reason string) {
+	b.requestEnds = append(b.requestEnds, requestEnd{request: l.Get("request"), arrived: arrived, outcome: o, reason: reason})
 }
 
-// milliseconds reads a time as the logs write it; 0 if it is none.
-func milliseconds(v string) time.Duration {
+// parseMilliseconds reads a time as the logs write it; 0 if it is none.
+func parseMilliseconds(v string) time.Duration {
 	ms, err := strconv.ParseFloat(v, 64)
 	if err != nil {
 		return 0
@@ -295,27 +295,27 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func (b *builder) account() *Account {
-	for _, e := range b.endings {
-		b.at(e.arrived).add(e.outcome, e.reason)
+func (b *builder) summary() *Summary {
+	for _, e := range b.requestEnds {
+		b.stepAt(e.arrived).add(e.outcome, e.reason)
 		b.route(b.routeOf[e.request]).add(e.outcome, e.reason)
 	}
-	a := &Account{Dropped: b.dropped, Rollouts: b.rolloutSteps(), Repeats: b.repeats.sums()}
+	sum := &Summary{Dropped: b.dropped, Rollouts: b.sortedRollouts(), Retries: b.retries.totals()}
 	for _, from := range slices.SortedFunc(maps.Keys(b.steps), time.Time.Compare) {
 		s := b.steps[from]
-		s.Cause = cause(s)
-		a.Steps = append(a.Steps, *s)
+		s.Cause = likelyCause(s)
+		sum.Steps = append(sum.Steps, *s)
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.routes)) {
 		r := b.routes[name]
-		r.Waited /= time.Duration(max(1, r.placed))
-		r.Predictions.settle()
-		a.Routes = append(a.Routes, *r)
+		r.MeanWait /= time.Duration(max(1, r.placed))
+		r.Predictions.computeQuantiles()
+		sum.Routes = append(sum.Routes, *r)
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.endpoints)) {
-		b.endpoints[name].Predictions.settle()
-		a.Endpoints = append(a.Endpoints, *b.endpoints[name])
+		b.endpoints[name].Predictions.computeQuantiles()
+		sum.Endpoints = append(sum.Endpoints, *b.endpoints[name])
 	}
-	slices.SortStableFunc(a.Endpoints, func(x, y Endpoint) int { return cmp.Compare(y.failed(), x.failed()) })
-	return a
+	slices.SortStableFunc(sum.Endpoints, func(x, y Endpoint) int { return cmp.Compare(y.failureCount(), x.failureCount()) })
+	return sum
 }
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -30,7 +30,7 @@
 no line of a daemon
 `
 
-func TestAccount(t *testing.T) {
+func TestSummary(t *testing.T) {
 	is := is.New(t)
 	a, err := Read(strings.NewReader(session), time.Second)
 	is.NoErr(err)
@@ -38,16 +38,16 @@
 	is.Equal(a.Steps[0].OnTime, 2)
 	is.Equal(a.Steps[0].Cause, "")
 	// r4 came in the second step, though it was refused in the fourth.
-	is.Equal(a.Steps[1].Asked, 2)
+	is.Equal(a.Steps[1].Requests, 2)
 	is.Equal(a.Steps[1].Refused, map[string]int{"attempts_spent": 1, "too_late": 1})
-	is.Equal(a.Steps[1].Cause, CauseEndpoints)
-	is.Equal(a.Steps[2].Cause, CauseVMs)
+	is.Equal(a.Steps[1].Cause, CauseEndpointFailures)
+	is.Equal(a.Steps[2].Cause, CauseVMStarts)
 	is.Equal(a.Dropped, 7)
 	is.Equal(a.Endpoints[0].Name, "e1")
 	is.Equal(a.Endpoints[0].Placed, 2)
 	is.Equal(a.Endpoints[0].Ejections, 1)
-	is.Equal(a.Endpoints[0].Gap, 21*time.Millisecond)
-	is.Equal(a.Worst(1)[0].Asked, 2)
+	is.Equal(a.Endpoints[0].EventGap, 21*time.Millisecond)
+	is.Equal(a.WorstSteps(1)[0].Requests, 2)
 	var b bytes.Buffer
 	is.NoErr(a.Write(&b, 5))
 	want, err := os.ReadFile("testdata/account")
@@ -55,16 +55,16 @@
 	is.Equal(b.String(), string(want))
 }
 
-func TestCauses(t *testing.T) {
+func TestLikelyCause(t *testing.T) {
 	for want, s := range map[string]*Step{
-		CauseAllowance: {Counts: Counts{Asked: 10, OnTime: 5, Refused: map[string]int{reasonAllowance: 4}}},
-		CauseOverload:  {Counts: Counts{Asked: 10, OnTime: 5, Refused: map[string]int{reasonTooLate: 4}}},
-		CausePlacers:   {Counts: Counts{Asked: 10, OnTime: 5, Refused: map[string]int{reasonTooLate: 4}}, PlacersLost: 1},
-		CauseLate:      {Counts: Counts{Asked: 10, OnTime: 5, Late: 5}},
-		CauseStore:     {Counts: Counts{Asked: 10, OnTime: 5, Late: 5}, StoreLost: 1},
+		CauseAllowance:     {Counts: Counts{Requests: 10, OnTime: 5, Refused: map[string]int{reasonAllowance: 4}}},
+		CauseOverload:      {Counts: Counts{Requests: 10, OnTime: 5, Refused: map[string]int{reasonTooLate: 4}}},
+		CausePlacersLost:   {Counts: Counts{Requests: 10, OnTime: 5, Refused: map[string]int{reasonTooLate: 4}}, PlacersLost: 1},
+		CauseLateResponses: {Counts: Counts{Requests: 10, OnTime: 5, Late: 5}},
+		CauseStoreLost:     {Counts: Counts{Requests: 10, OnTime: 5, Late: 5}, StoreLost: 1},
 	} {
 		is := is.New(t)
-		is.Equal(cause(s), want)
+		is.Equal(likelyCause(s), want)
 	}
 }
 
@@ -73,13 +73,13 @@
 	is := is.New(t)
 	a, err := Read(strings.NewReader(""), time.Second)
 	is.NoErr(err)
-	is.Equal(len(a.Worst(3)), 0)
+	is.Equal(len(a.WorstSteps(3)), 0)
 	is.NoErr(a.Write(&bytes.Buffer{}, 3))
 }
 
 // Predictions are compared per route and endpoint: what was seen is counted from when the
 // request was placed; a stream that went on at another endpoint is left out.
-func TestPredictionsAreCompared(t *testing.T) {
+func TestPredictionsPerRouteAndEndpoint(t *testing.T) {
 	is := is.New(t)
 	const logs = `
 time=2026-08-12T08:41:00.100Z level=info event=placed request=r1 route=plan endpoint=e1 predicted=100 waited=50
@@ -92,15 +92,15 @@
 	a, err := Read(strings.NewReader(logs), time.Second)
 	is.NoErr(err)
 	is.Equal(len(a.Routes), 1)
-	is.Equal(a.Routes[0].PausedLate, 1)
+	is.Equal(a.Routes[0].LateByPause, 1)
 	is.Equal(a.Routes[0].Predictions.Compared, 2)
-	is.Equal(a.Routes[0].Predictions.Impossible, 1)
+	is.Equal(a.Routes[0].Predictions.NonPositive, 1)
 	is.Equal(a.Routes[0].Predictions.Median, 1.0)
 	is.Equal(a.Endpoints[1].Predictions.Compared, 0)
 }
 
 // An operator who finds a version rolled back gets from the logs why, by whom and when.
-func TestWhyAVersionWasRolledBack(t *testing.T) {
+func TestRolloutStepsShowCauseOfRollback(t *testing.T) {
 	is := is.New(t)
 	const logs = `
 time=2026-08-12T08:41:02.373Z level=info event=rollout_phase age=2372.6 learned=seen phase=rolled_back service=plain version=v2 was=trying vm=a
@@ -120,7 +120,7 @@
 }
 
 // Repeats of all VMs are had as a sum, also where processes ended and others began to count anew.
-func TestRepeatsOfAllVMs(t *testing.T) {
+func TestRetriesAreSummedOverProcesses(t *testing.T) {
 	is := is.New(t)
 	const logs = `
 time=2026-08-12T08:41:05.000Z level=info event=retry_budget service=plain requests=100 held=1.5 paid=9 refused=3 sent=7 given_back=1 expired=0 vm=a
@@ -130,7 +130,7 @@
 `
 	a, err := Read(strings.NewReader(logs), time.Second)
 	is.NoErr(err)
-	is.Equal(a.Repeats, []Repeats{{Service: "plain", Processes: 3, Requests: 310, Paid: 28, Refused: 10, Sent: 26, GivenBack: 2, Expired: 1}})
+	is.Equal(a.Retries, []Retries{{Service: "plain", Processes: 3, Requests: 310, Acquired: 28, Refused: 10, Sent: 26, Refunded: 2, Expired: 1}})
 	var out bytes.Buffer
 	is.NoErr(a.Write(&out, 1))
 	is.True(strings.Contains(out.String(), "repeats of"))
--- a/report/rollouts.go
+++ b/report/rollouts.go
@@ -19,12 +19,12 @@
 	Detail string `json:"detail"`
 }
 
-// rolloutEvents begin the names of such steps.
-const rolloutEvents = "rollout_"
+// rolloutEventPrefix begin the names of such steps.
+const rolloutEventPrefix = "rollout_"
 
-// rollout takes in a step of a roll-out. What a VM was told by others is left out: each of them
+// addRolloutStep takes in a step of a roll-out. What a VM was told by others is left out: each of them
 // hears of each step.
-func (b *builder) rollout(l *explain.Line) {
+func (b *builder) addRolloutStep(l *explain.Line) {
 	if l.Get("learned") == "told" || l.Get("told") == "true" {
 		return
 	}
@@ -36,12 +36,12 @@
 	}
 	b.rollouts = append(b.rollouts, RolloutStep{
 		At: l.At, VM: l.VM, Service: l.Get("service"), Version: l.Get("version"),
-		Event: strings.TrimPrefix(l.Event, rolloutEvents), Detail: strings.Join(detail, " "),
+		Event: strings.TrimPrefix(l.Event, rolloutEventPrefix), Detail: strings.Join(detail, " "),
 	})
 }
 
-// rolloutSteps are the steps in order of time.
-func (b *builder) rolloutSteps() []RolloutStep {
+// sortedRollouts are the steps in order of time.
+func (b *builder) sortedRollouts() []RolloutStep {
 	slices.SortStableFunc(b.rollouts, func(x, y RolloutStep) int { return x.At.Compare(y.At) })
 	return b.rollouts
 }
--- a/report/write.go
+++ b/report/write.go
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// mostEndpoints bounds the endpoints that are printed: those that failed most.
-const mostEndpoints = 12
+// maxPrintedEndpoints bounds the endpoints that are printed: those that failed most.
+const maxPrintedEndpoints = 12
 
 // Write prints the account as tables, with the n worst steps.
-func (a *Account) Write(w io.Writer, worst int) error {
+func (sum *Summary) Write(w io.Writer, worst int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "route\tasked\ton time\tlate\trefused\tbroken\tleft\twaited\tlate by a pause\tseen over predicted")
-	for _, r := range a.Routes {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\n", nameOr(r.Name), r.cells(), r.Waited.Round(time.Millisecond), r.PausedLate, &r.Predictions)
+	for _, r := range sum.Routes {
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\n", nameOrDash(r.Name), r.cells(), r.MeanWait.Round(time.Millisecond), r.LateByPause, &r.Predictions)
 	}
 	fmt.Fprintln(t, "\nworst\tasked\ton time\tlate\trefused\tbroken\tleft\tlikely cause")
-	for _, s := range a.Worst(worst) {
+	for _, s := range sum.WorstSteps(worst) {
 		fmt.Fprintf(t, "%s\t%s\t%s\n", s.From.Format("15:04:05.0"), s.cells(), s.Cause)
 	}
 	fmt.Fprintln(t, "\nendpoint\tplaced\tfailed\tejected\tgap\tseen over predicted")
-	for _, e := range a.Endpoints[:min(mostEndpoints, len(a.Endpoints))] {
-		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%s\t%s\n", nameOr(e.Name), e.Placed, list(e.Failures), e.Ejections, e.Gap, &e.Predictions)
+	for _, e := range sum.Endpoints[:min(maxPrintedEndpoints, len(sum.Endpoints))] {
+		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%s\t%s\n", nameOrDash(e.Name), e.Placed, formatCounts(e.Failures), e.Ejections, e.EventGap, &e.Predictions)
 	}
-	writeRepeats(t, a.Repeats)
-	if len(a.Rollouts) > 0 {
+	writeRetries(t, sum.Retries)
+	if len(sum.Rollouts) > 0 {
 		fmt.Fprintln(t, "\nroll-outs\tvm\tservice\tto\tstep\twhy")
 	}
-	for _, r := range a.Rollouts {
+	for _, r := range sum.Rollouts {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", r.At.Format("15:04:05.000"), r.VM, r.Service, r.Version, r.Event, r.Detail)
 	}
-	if a.Dropped > 0 {
-		fmt.Fprintf(t, "\n%d lines are missing from the logs\n", a.Dropped)
+	if sum.Dropped > 0 {
+		fmt.Fprintf(t, "\n%d lines are missing from the logs\n", sum.Dropped)
 	}
 	return t.Flush()
 }
@@ -46,19 +46,19 @@
 	if p.Compared == 0 {
 		return "-"
 	}
-	s := fmt.Sprintf("%.2f, %.2f", p.Median, p.NineTenths)
-	if p.Impossible > 0 {
-		s += fmt.Sprintf(" (%d impossible)", p.Impossible)
+	s := fmt.Sprintf("%.2f, %.2f", p.Median, p.P90)
+	if p.NonPositive > 0 {
+		s += fmt.Sprintf(" (%d impossible)", p.NonPositive)
 	}
 	return s
 }
 
 func (c *Counts) cells() string {
-	return fmt.Sprintf("%d\t%d\t%d\t%s\t%d\t%d", c.Asked, c.OnTime, c.Late, list(c.Refused), c.Broken, c.Left)
+	return fmt.Sprintf("%d\t%d\t%d\t%s\t%d\t%d", c.Requests, c.OnTime, c.Late, formatCounts(c.Refused), c.Broken, c.CallerLeft)
 }
 
-// list prints counts by name, such as "3 (too_late 2, no_route 1)".
-func list(counts map[string]int) string {
+// formatCounts prints counts by name, such as "3 (too_late 2, no_route 1)".
+func formatCounts(counts map[string]int) string {
 	n, parts := 0, make([]string, 0, len(counts))
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
 		n += counts[k]
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("%d (%s)", n, strings.Join(parts, ", "))
 }
 
-func nameOr(name string) string {
+func nameOrDash(name string) string {
 	if name == "" {
 		return "-"
 	}
