--- a/cmd/chivefield-entry/main.go
+++ b/cmd/chivefield-entry/main.go
@@ -73,7 +73,7 @@
 	log := logging.New(sink).With().Str("vm", set.Vm.Name).Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hangup := hangups()
+	hangup := hangupSignals()
 	dialer := &net.Dialer{Timeout: storeDialTimeout}
 	store := &platform.Store{
 		Base: "http://" + set.Platform.Address,
@@ -87,8 +87,8 @@
 
 const storeDialTimeout = time.Second
 
-// hangups delivers SIGHUP.
-func hangups() <-chan struct{} {
+// hangupSignals delivers SIGHUP.
+func hangupSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	out := make(chan struct{})
--- a/cmd/chivefield/demo.go
+++ b/cmd/chivefield/demo.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.tell(); err != nil {
+	if err := d.runScenario(); err != nil {
 		return err
 	}
 	fmt.Println("\n# SIGTERM: each VM hands over its keys and ends")
@@ -70,12 +70,12 @@
 // startDemo runs a VM for each name of a failure domain, and the stand-ins.
 func startDemo(ctx context.Context, log io.Writer, domains []string) (*demo, *errgroup.Group, error) {
 	d := &demo{listeners: map[string]net.Listener{}, log: log}
-	if err := d.open(domains); err != nil {
+	if err := d.setUp(domains); err != nil {
 		return nil, nil, err
 	}
 	var g errgroup.Group
 	for _, v := range d.vms {
-		set, err := settings.Parse([]byte(d.settings(v)))
+		set, err := settings.Parse([]byte(d.vmSettings(v)))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -106,8 +106,8 @@
 	return len(p), nil
 }
 
-// open listens on free addresses and starts the stand-ins.
-func (d *demo) open(domains []string) error {
+// setUp listens on free addresses and starts the stand-ins.
+func (d *demo) setUp(domains []string) error {
 	var addrs []string
 	for range 4 + 3*len(domains) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -141,7 +141,7 @@
 	go func() { _ = s.Serve(l) }()
 }
 
-func (d *demo) settings(v *demoVM) string {
+func (d *demo) vmSettings(v *demoVM) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[vm]\nid = %d\nfailure_domain = %q\n", v.id, v.domain)
 	fmt.Fprintf(&b, "[listen]\ncallers = %q\npeers = %q\noperators = %q\n", v.callers, v.peers, v.operators)
@@ -155,7 +155,7 @@
 	return b.String()
 }
 
-func (d *demo) document() string {
+func (d *demo) configDocument() string {
 	sum := sha256.Sum256([]byte(demoAPIKey))
 	var b strings.Builder
 	b.WriteString("schema_version = 1\nauthor = \"demo\"\nrecord_ttl = \"15m\"\n")
@@ -175,11 +175,11 @@
 	return b.String()
 }
 
-// tell plays the demo's story.
-func (d *demo) tell() error {
+// runScenario plays the demo's story.
+func (d *demo) runScenario() error {
 	fmt.Println("# Four VMs in two failure domains join; a configuration is submitted to one")
 	op := operatorFlags{Address: d.vms[0].operators, Key: demoOperatorKey}
-	if err := op.call(http.MethodPost, "/config", []byte(d.document())); err != nil {
+	if err := op.callAndPrint(http.MethodPost, "/config", []byte(d.configDocument())); err != nil {
 		return err
 	}
 	for _, v := range d.vms {
--- a/cmd/chivefield/explain.go
+++ b/cmd/chivefield/explain.go
@@ -15,10 +15,10 @@
 	} `positional-args:"yes"`
 }
 
-// noStoryError reports a request that no log speaks of.
-type noStoryError struct{ id string }
+// requestNotLoggedError reports a request that no log speaks of.
+type requestNotLoggedError struct{ id string }
 
-func (e *noStoryError) Error() string {
+func (e *requestNotLoggedError) Error() string {
 	return fmt.Sprintf("no line about request %s; look for event=log_lines_dropped at its time, and at the other VMs", e.id)
 }
 
@@ -29,16 +29,16 @@
 		return err
 	}
 	defer closeLogs()
-	about := explain.ReadRequest
+	readLines := explain.ReadRequest
 	if _, err := suspect.Parse(c.Args.Request); err == nil {
-		about = explain.ReadDigest
+		readLines = explain.ReadDigest
 	}
-	lines, err := about(in, c.Args.Request)
+	lines, err := readLines(in, c.Args.Request)
 	if err != nil {
 		return err
 	}
 	if len(lines) == 0 {
-		return &noStoryError{c.Args.Request}
+		return &requestNotLoggedError{c.Args.Request}
 	}
 	return explain.Write(os.Stdout, lines)
 }
--- a/cmd/chivefield/load.go
+++ b/cmd/chivefield/load.go
@@ -22,7 +22,7 @@
 	if len(c.Scenarios) == 0 {
 		for _, w := range load.Workloads {
 			for _, v := range load.Variants {
-				c.Scenarios = append(c.Scenarios, name(w, v))
+				c.Scenarios = append(c.Scenarios, scenarioName(w, v))
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func name(workload, variant string) string {
+func scenarioName(workload, variant string) string {
 	if variant == "" {
 		return workload
 	}
--- a/cmd/chivefield/operate.go
+++ b/cmd/chivefield/operate.go
@@ -34,8 +34,8 @@
 
 const callTimeout = 15 * time.Second
 
-// call prints the answer of a daemon.
-func (o *operatorFlags) call(method, path string, body []byte) error {
+// callAndPrint prints the answer of a daemon.
+func (o *operatorFlags) callAndPrint(method, path string, body []byte) error {
 	out, err := o.fetch(method, path, body)
 	if err != nil {
 		return err
@@ -70,12 +70,14 @@
 type statusCommand struct{ operatorFlags }
 
 // Execute implements flags.Commander.
-func (c *statusCommand) Execute([]string) error { return c.call(http.MethodGet, "/status", nil) }
+func (c *statusCommand) Execute([]string) error {
+	return c.callAndPrint(http.MethodGet, "/status", nil)
+}
 
 type drainCommand struct{ operatorFlags }
 
 // Execute implements flags.Commander.
-func (c *drainCommand) Execute([]string) error { return c.call(http.MethodPost, "/drain", nil) }
+func (c *drainCommand) Execute([]string) error { return c.callAndPrint(http.MethodPost, "/drain", nil) }
 
 type configCommand struct {
 	Submit submitCommand `command:"submit" description:"Submit a document (TOML); prints accepted, refused or unknown"`
@@ -95,13 +97,13 @@
 	if err != nil {
 		return err
 	}
-	return c.call(http.MethodPost, "/config", data)
+	return c.callAndPrint(http.MethodPost, "/config", data)
 }
 
 type showCommand struct{ operatorFlags }
 
 // Execute implements flags.Commander.
-func (c *showCommand) Execute([]string) error { return c.call(http.MethodGet, "/config", nil) }
+func (c *showCommand) Execute([]string) error { return c.callAndPrint(http.MethodGet, "/config", nil) }
 
 type checkCommand struct {
 	Args struct {
@@ -123,11 +125,11 @@
 	return nil
 }
 
-// UnknownSortError reports a first argument of check that is not known.
-type UnknownSortError struct{ Name string }
+// UnknownCheckError reports a first argument of check that is not known.
+type UnknownCheckError struct{ Name string }
 
 // Error describes the failure.
-func (e *UnknownSortError) Error() string { return "check settings or config, not " + e.Name }
+func (e *UnknownCheckError) Error() string { return "check settings or config, not " + e.Name }
 
 func check(what string, data []byte) error {
 	switch what {
@@ -145,7 +147,7 @@
 		}
 		return nil
 	}
-	return &UnknownSortError{Name: what}
+	return &UnknownCheckError{Name: what}
 }
 
 type auditCommand struct {
@@ -186,7 +188,7 @@
 				return err
 			}
 			for _, l := range trail.Apply(r.Offset, rec) {
-				printLine(l)
+				printAuditLine(l)
 			}
 			next = r.Offset + 1
 		}
@@ -196,7 +198,7 @@
 	}
 }
 
-func printLine(l config.Line) {
+func printAuditLine(l config.Line) {
 	out := auditLine{
 		Offset: l.Offset, At: time.UnixMilli(l.UnixMs).UTC().Format(time.RFC3339), Author: l.Author, Comment: l.Comment,
 		Base: l.Base, Judgement: string(l.Judgement), Version: l.Version, Changed: l.Changed,
--- a/cmd/chivefield/report.go
+++ b/cmd/chivefield/report.go
@@ -32,12 +32,12 @@
 		return err
 	}
 	defer closeLogs()
-	a, err := report.Read(in, c.Step)
+	summary, err := report.Read(in, c.Step)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(a)
+		return json.NewEncoder(os.Stdout).Encode(summary)
 	}
-	return a.Write(os.Stdout, c.Worst)
+	return summary.Write(os.Stdout, c.Worst)
 }
--- a/cmd/chivefield/serve.go
+++ b/cmd/chivefield/serve.go
@@ -33,10 +33,10 @@
 		stop()
 		<-signals
 		log.Warn().Msg("second_signal")
-		os.Exit(secondSignalExit)
+		os.Exit(secondSignalExitCode)
 	}()
 	return daemon.New(daemon.Options{Settings: set, Log: log}).Run(ctx)
 }
 
-// secondSignalExit is the status after a second signal.
-const secondSignalExit = 3
+// secondSignalExitCode is the status after a second signal.
+const secondSignalExitCode = 3
--- a/cmd/chivefield/traffic.go
+++ b/cmd/chivefield/traffic.go
@@ -51,31 +51,31 @@
 		_ = g.Wait()
 	}()
 	op := operatorFlags{Address: d.vms[0].operators, Key: demoOperatorKey}
-	if _, err := op.fetch(http.MethodPost, "/config", []byte(d.document())); err != nil {
+	if _, err := op.fetch(http.MethodPost, "/config", []byte(d.configDocument())); err != nil {
 		return err
 	}
 	for _, v := range d.vms {
 		d.waitReady(v)
 	}
 	time.Sleep(time.Second)
-	before, err := d.counters()
+	before, err := d.readPeerTraffic()
 	if err != nil {
 		return err
 	}
-	usedBefore := processorTime()
-	latency := d.offer(rate, c.Length)
-	used := processorTime() - usedBefore
-	after, err := d.counters()
+	cpuBefore := cpuTime()
+	latency := d.measureLatency(rate, c.Length)
+	cpuUsed := cpuTime() - cpuBefore
+	after, err := d.readPeerTraffic()
 	if err != nil {
 		return err
 	}
-	per := c.Length.Seconds() * float64(n)
-	fmt.Printf("| %d | %d | %.0f | %.1f | %.2f | %s |\n", n, rate, (after.bytes-before.bytes)/per, (after.calls-before.calls)/per,
-		100*used.Seconds()/per, latency)
+	vmSeconds := c.Length.Seconds() * float64(n)
+	fmt.Printf("| %d | %d | %.0f | %.1f | %.2f | %s |\n", n, rate, (after.bytes-before.bytes)/vmSeconds, (after.calls-before.calls)/vmSeconds,
+		100*cpuUsed.Seconds()/vmSeconds, latency)
 	return nil
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -83,13 +83,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// offer sends plain calls at a steady rate to every VM and tells how long they took.
-func (d *demo) offer(rate int, length time.Duration) string {
+// measureLatency sends plain calls at a steady rate to every VM and tells how long they took.
+func (d *demo) measureLatency(rate int, length time.Duration) string {
 	if rate == 0 {
 		time.Sleep(length)
 		return "-"
 	}
-	took := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	tick := time.NewTicker(time.Second / time.Duration(rate))
@@ -99,18 +99,18 @@
 		for vm := range d.vms {
 			wg.Go(func() {
 				start := time.Now()
-				d.offerOne(vm, fmt.Sprintf("%032x-%d", i, vm))
+				d.sendLookup(vm, fmt.Sprintf("%032x-%d", i, vm))
 				mu.Lock()
 				defer mu.Unlock()
-				_ = took.RecordValue(time.Since(start).Microseconds())
+				_ = latencies.RecordValue(time.Since(start).Microseconds())
 			})
 		}
 	}
 	wg.Wait()
-	return fmt.Sprintf("%.2f, %.2f", float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000)
+	return fmt.Sprintf("%.2f, %.2f", float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000)
 }
 
-func (d *demo) offerOne(vm int, id string) {
+func (d *demo) sendLookup(vm int, id string) {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+d.vms[vm].callers+"/v1/services/lookup", strings.NewReader("x"))
 	req.Header.Set("Authorization", "Bearer "+demoAPIKey)
 	req.Header.Set(daemon.HeaderID, id)
@@ -122,11 +122,11 @@
 	}
 }
 
-// traffic is the sum over the VMs.
-type traffic struct{ bytes, calls float64 }
+// peerTraffic is the sum over the VMs.
+type peerTraffic struct{ bytes, calls float64 }
 
-func (d *demo) counters() (traffic, error) {
-	var t traffic
+func (d *demo) readPeerTraffic() (peerTraffic, error) {
+	var t peerTraffic
 	for _, v := range d.vms {
 		op := operatorFlags{Address: v.operators, Key: demoOperatorKey}
 		data, err := op.fetch(http.MethodGet, "/metrics", nil)
