--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -1,5 +1,6 @@
-// Package prompt cuts prompts into the blocks that engines cache. Scheduler and
-// engines must cut alike, or the index of cached prefixes finds nothing.
+// Package prompt splits prompts into the blocks that engines cache. The scheduler
+// and the engines must split them in the same way, otherwise lookups in the index
+// of cached prefixes never match.
 package prompt
 
 import (
@@ -9,17 +10,18 @@
 )
 
 const (
-	// BytesPerToken is the length taken for a token where no tokenizer is at hand.
+	// BytesPerToken is the assumed length of a token where no tokenizer is available.
 	BytesPerToken = 4
-	// BlockTokens is the length of a block in tokens.
+	// BlockTokens is the length of a cache block in tokens.
 	BlockTokens = 64
 	blockBytes  = BytesPerToken * BlockTokens
 )
 
-// EstimateTokens estimates the length of a text in tokens.
+// EstimateTokens returns the approximate length of a text in tokens.
 func EstimateTokens(text string) int { return (len(text) + BytesPerToken - 1) / BytesPerToken }
 
-// BlockHashes returns a hash for each whole leading block; each covers all before it.
+// BlockHashes returns a hash for each complete leading block of a text. Each hash
+// also covers all blocks before its own.
 func BlockHashes(text string) []uint64 {
 	hashes := make([]uint64, 0, len(text)/blockBytes)
 	var sum uint64
@@ -31,7 +33,7 @@
 	return hashes
 }
 
-// ExtendHash extends the hash of a prefix by the hash of its next block.
+// ExtendHash combines the hash of a prefix with the hash of the next block.
 func ExtendHash(prefix, block uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], prefix)
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks nodes for a key by highest random weight, so that
-// every process ranks them alike and a lost node moves only its own keys
-// (Thaler and Ravishankar, 1998).
+// Package rendezvous implements rendezvous (highest random weight) hashing: every
+// process ranks the nodes for a key in the same order, and the loss of a node
+// moves only the keys of that node (Thaler and Ravishankar, 1998).
 package rendezvous
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash gives the hash of a key made of two parts.
+// Hash returns the hash of a key of two parts.
 func Hash(a, b string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -21,7 +21,7 @@
 	return d.Sum64()
 }
 
-// Weight is the weight of a node for a key's hash.
+// Weight returns the weight of a node for the hash of a key.
 func Weight(key uint64, node uint32) uint64 {
 	var b [12]byte
 	binary.LittleEndian.PutUint64(b[:8], key)
@@ -29,7 +29,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Rank returns the nodes, the highest weight first.
+// Rank returns the nodes by descending weight for the key; equal weights are
+// ordered by node number.
 func Rank(key uint64, nodes []uint32) []uint32 {
 	ranked := slices.Clone(nodes)
 	slices.SortFunc(ranked, func(a, b uint32) int {
@@ -41,7 +42,8 @@
 	return ranked
 }
 
-// Top returns the heaviest of the nodes that ok accepts.
+// Top returns the node of the highest weight among those that ok accepts. If two
+// weights are equal, the lower node number wins. found is false if ok accepts none.
 func Top(key uint64, nodes []uint32, ok func(uint32) bool) (node uint32, found bool) {
 	var best uint64
 	for _, n := range nodes {
@@ -55,8 +57,8 @@
 	return node, found
 }
 
-// Compare orders candidates for a key, the one with the highest hash first and equal
-// ones by name.
+// Compare orders two candidates for a key by descending hash, and by name if the
+// hashes are equal.
 func Compare(key, a, b string) int {
 	if c := cmp.Compare(Hash(key, b), Hash(key, a)); c != 0 {
 		return c
--- a/request/request.go
+++ b/request/request.go
@@ -1,46 +1,47 @@
-// Package request holds the nouns that every decision speaks about: the key
-// of a request, its tier and kind, and how it can end.
+// Package request defines the types that describe a request to all other
+// packages: its key, tier, attempt and properties, and its final outcome.
 package request
 
 import "time"
 
-// Key identifies a request for good. Repeats carry the same key.
+// Key identifies a request permanently. Retries carry the same key.
 type Key struct {
 	Organisation string
 	ID           string
 }
 
-// String gives the key as organisation/id.
+// String returns the key as organisation/id.
 func (k Key) String() string { return k.Organisation + "/" + k.ID }
 
-// Tier orders work; 0 is the highest.
+// Tier is the priority class of a request; 0 is the highest.
 type Tier uint32
 
-// Attempt is the caller's count of the times it sent a key.
+// Attempt is the number of times that the caller has sent a key, this one
+// included, as declared by the caller.
 type Attempt uint32
 
-// UndeclaredAttempt is the attempt of a caller that did not count.
+// UndeclaredAttempt is the attempt number of a caller that declared none.
 const UndeclaredAttempt Attempt = 0
 
-// FirstAttempt is the attempt of a caller that says it never sent the key before.
+// FirstAttempt is the attempt number of a key that was never sent before.
 const FirstAttempt Attempt = 1
 
-// Outcome is the final answer to a caller.
+// Outcome is the final result of a request, as returned to the caller.
 type Outcome string
 
-// The four outcomes. Whoever cannot prove NotRun says Unknown.
+// The four outcomes. Where NotRun cannot be proven, the outcome is Unknown.
 const (
-	// Answered: the whole answer was delivered.
+	// Answered: the complete response was delivered.
 	Answered Outcome = "answered"
-	// NotRun: the request certainly ran nowhere.
+	// NotRun: the request certainly did not run at any endpoint.
 	NotRun Outcome = "not_run"
-	// Cancelled: dispatched, then stopped; never dispatched again.
+	// Cancelled: the request was dispatched, then stopped; it is never dispatched again.
 	Cancelled Outcome = "cancelled"
-	// Unknown: the request may have run; ask again with the same id.
+	// Unknown: the request may have run; the caller may retry with the same id.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why a request ended as it did. It is stable text for callers and logs.
+// Reason is the cause of an outcome. Its text is stable: callers and logs depend on it.
 type Reason string
 
 // Reasons of final outcomes.
@@ -66,35 +67,37 @@
 	ReasonNoConfig          Reason = "no_configuration"
 )
 
-// Spec is what admission knows of a request.
+// Spec holds the properties of a request that are known at admission.
 type Spec struct {
 	Key  Key
 	Kind string
 	Tier Tier
-	// Weight is the organisation's share within its tier, at least 1.
+	// Weight is the organisation's weight in sharing capacity within its tier, at least 1.
 	Weight uint32
 	// Idempotent requests may be stopped for a higher tier.
 	Idempotent bool
-	// TrustFirstAttempt lets a declared first attempt run without other domains.
+	// TrustFirstAttempt lets a declared first attempt run without a claim in another failure domain.
 	TrustFirstAttempt bool
 	Attempt           Attempt
-	// Digest of the body; a repeat must have the same.
+	// Digest is a hash of the body; a retry must have the same.
 	Digest uint64
-	// Model is empty for plain services.
+	// Model is the requested model; empty for plain services.
 	Model string
-	// PromptTokens is the length of the prompt.
+	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens int
-	// OutputTokens is the expected length of the answer.
+	// OutputTokens is the expected length of the response in tokens.
 	OutputTokens int
-	// MaxOutputTokens bounds the answer; 0 is no bound.
+	// MaxOutputTokens bounds the length of the response; 0 means no bound.
 	MaxOutputTokens int
-	// PrefixHashes are hashes of the prompt's leading blocks, each covering all before it.
+	// PrefixHashes are hashes of the prompt's leading blocks. Each hash also covers all
+	// blocks before its own.
 	PrefixHashes []uint64
-	// Deadline is the time by which the whole answer must be there.
+	// Deadline is the time by which the complete response must be delivered.
 	Deadline time.Duration
-	// FirstTokenTarget is the target for the first token, from arrival; 0 means none.
+	// FirstTokenTarget is the target time from arrival to the first token; 0 means none.
 	FirstTokenTarget time.Duration
 }
 
-// MayBeRetry reports whether the request may have been sent before.
+// MayBeRetry reports whether the request may have been sent before. This is assumed
+// unless the attempt is a FirstAttempt and the declaration is trusted.
 func (s *Spec) MayBeRetry() bool { return s.Attempt != FirstAttempt || !s.TrustFirstAttempt }
--- a/tomlproto/tomlproto.go
+++ b/tomlproto/tomlproto.go
@@ -1,5 +1,5 @@
-// Package tomlproto reads TOML into the messages of the schema. Keys that the
-// schema does not have are refused with their full path.
+// Package tomlproto decodes TOML into the protobuf messages of the schema. Keys
+// that the schema does not define are rejected with their full path.
 package tomlproto
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/chivefield/chivefield/config"
 )
 
-// Decode reads TOML into m and returns every fault found.
+// Decode decodes TOML into m and returns every fault found.
 func Decode(data []byte, m proto.Message) []config.Fault {
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
@@ -44,7 +44,8 @@
 	return config.Fault{Path: "document", Problem: err.Error()}
 }
 
-// unknownKeys walks the tree beside the schema.
+// unknownKeys walks the TOML tree along the message descriptor and returns a fault
+// for each key that the schema does not define.
 func unknownKeys(tree map[string]any, d protoreflect.MessageDescriptor, prefix string) []config.Fault {
 	var faults []config.Fault
 	keys := make([]string, 0, len(tree))
