--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging writes one line of key=value pairs for each event.
+// Package logging writes one line of key=value pairs per event and bounds the log volume.
 package logging
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/rs/zerolog"
 )
 
-// The library keeps the format of times for the whole process.
+// zerolog's time format is a global setting of the process.
 func init() { zerolog.TimeFieldFormat = time.RFC3339Nano }
 
-// New returns a logger that writes key=value lines. zerolog itself writes JSON;
-// its console writer is set to fields only.
+// New returns a logger that writes key=value lines. zerolog itself emits JSON; its
+// console writer is configured to print the fields only.
 func New(out io.Writer) zerolog.Logger {
 	w := zerolog.ConsoleWriter{Out: out, NoColor: true, TimeFormat: time.RFC3339Nano}
 	w.FormatTimestamp = func(v any) string { return fmt.Sprintf("time=%v", v) }
--- a/logging/sink.go
+++ b/logging/sink.go
@@ -9,52 +9,52 @@
 	"time"
 )
 
-// Budget bounds what a Sink writes.
+// Budget limits the rate at which a Sink writes.
 type Budget struct {
-	// Lines and Bytes a second; bursts of one second's worth are let through.
+	// Lines and Bytes are per second. Bursts of up to one second's budget pass.
 	Lines, Bytes int
 }
 
-// DefaultBudget is enough for six lines a request at 60 requests a second, three
-// times what a VM carries at the size that the design is made for.
+// DefaultBudget allows six lines per request at 60 requests/s, which is three times
+// the load of a VM at the deployment size that the design targets.
 var DefaultBudget = Budget{Lines: 400, Bytes: 120_000}
 
-// queueCapacity is the number of lines that may wait for the writer.
+// queueCapacity is the maximum number of lines queued for the writer.
 const queueCapacity = 1024
 
-// dropReportInterval is how often a Sink says what it left out.
+// dropReportInterval is the interval at which a Sink logs how many lines it dropped.
 const dropReportInterval = time.Second
 
-// Sink writes lines without ever making the caller wait: a reader of the log that
-// stalls, or more lines than the budget, costs lines and no requests. What was left
-// out is counted and said in a line of its own.
+// Sink is an io.Writer for log lines that never blocks its caller. If the reader of
+// the log stalls or the budget is exceeded, lines are dropped; requests are not
+// delayed. Dropped lines are counted, and the count is logged.
 type Sink struct {
 	out     io.Writer
 	budget  Budget
 	now     func() time.Time
 	lines   chan []byte
 	dropped atomic.Int64
-	// quit ends the writer, done is closed when it has ended.
+	// quit stops the writer goroutine; done is closed when it has stopped.
 	quit, done chan struct{}
 
 	mu sync.Mutex
-	// linesLeft and bytesLeft are what may be written now.
+	// linesLeft and bytesLeft are the tokens left in the two rate limiters.
 	linesLeft, bytesLeft float64
 	lastRefill           time.Time
 	reportedDrops        int64
 }
 
-// reservedShare is the share of the budget that only warnings and errors may use, so
-// that the lines of many requests do not crowd out why they fail.
+// reservedShare is the share of the budget that only warnings and errors may use.
+// Otherwise the lines of many requests would displace those that say why they fail.
 const reservedShare = 0.2
 
-// Marks of lines that may use the reserve.
+// Level fields of the lines that may use the reserved share.
 var (
 	warnMark  = []byte("level=warn")
 	errorMark = []byte("level=error")
 )
 
-// NewSink starts a sink. Close flushes it.
+// NewSink returns a Sink and starts its writer goroutine. Close flushes the sink.
 func NewSink(out io.Writer, b Budget) *Sink {
 	s := &Sink{
 		out: out, budget: b, now: time.Now, lines: make(chan []byte, queueCapacity), quit: make(chan struct{}), done: make(chan struct{}),
@@ -64,7 +64,7 @@
 	return s
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues one line or drops it. It never blocks and never returns an error.
 func (s *Sink) Write(p []byte) (int, error) {
 	if !s.allow(len(p), bytes.Contains(p, warnMark) || bytes.Contains(p, errorMark)) {
 		s.dropped.Add(1)
@@ -78,9 +78,10 @@
 	return len(p), nil
 }
 
-// Dropped is the number of lines left out so far.
+// Dropped returns the total number of dropped lines.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
+// allow takes a line of n bytes from the budget and reports whether it fits.
 func (s *Sink) allow(n int, important bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,8 +119,8 @@
 	}
 }
 
-// writeBatch writes lines that wait together at once. A log that cannot be written has
-// nowhere to say so.
+// writeBatch writes a line and all lines queued behind it in a single call. Write
+// errors are ignored: there is no other place to report them.
 func (s *Sink) writeBatch(line []byte) {
 	for range len(s.lines) {
 		line = append(line, <-s.lines...)
@@ -136,7 +137,7 @@
 	s.reportDropped()
 }
 
-// reportDropped says how many lines were left out since the last report.
+// reportDropped logs how many lines were dropped since the last report.
 func (s *Sink) reportDropped() {
 	n := s.dropped.Load()
 	if n == s.reportedDrops {
@@ -147,10 +148,10 @@
 	s.reportedDrops = n
 }
 
-// closeTimeout bounds how long Close waits for the writer.
+// closeTimeout bounds the time that Close waits for the writer goroutine.
 const closeTimeout = 200 * time.Millisecond
 
-// Close writes what waits, as far as the writer takes it in time.
+// Close writes the queued lines, as far as the output accepts them within closeTimeout.
 func (s *Sink) Close() {
 	close(s.quit)
 	select {
--- a/logging/sink_test.go
+++ b/logging/sink_test.go
@@ -34,9 +34,9 @@
 	return b.b.String()
 }
 
-// Symptom: requests stood still. Sequence: the reader of standard output stalls, the
-// pipe fills, the next line waits in the middle of a request. Cause: a log line was
-// written by the goroutine of the request. Here the writer never takes a line.
+// Guards against stalled requests. If the reader of standard output stalls, the pipe
+// fills up; a log line written by the goroutine of a request then blocks that request.
+// In this test the output accepts no line.
 func TestStalledReaderDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
 	out := stalledWriter{make(chan struct{})}
@@ -47,14 +47,14 @@
 		is.NoErr(err)
 	}
 	is.True(time.Since(start) < time.Second)
-	// The writer holds up to a line and a buffer of others, and the buffer may have
-	// filled again behind it.
+	// The blocked writer may hold one line and a full queue of others, and the queue may
+	// have filled up again behind it.
 	is.True(s.Dropped() >= (10-2)*queueCapacity-1)
 	close(out.release)
 	s.Close()
 }
 
-// Volume stays within the budget, and what is left out is said.
+// The volume stays within the budget, and dropped lines are reported.
 func TestLinesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	var out syncBuffer
@@ -69,8 +69,9 @@
 	is.True(strings.Contains(got, "event=log_lines_dropped"))
 }
 
-// Symptom: the log of a burst had thousands of placements and not the line that
-// said why they failed. Warnings keep a part of the budget.
+// Guards against dropped warnings: the log of a burst contained thousands of
+// placements but not the line with the cause of their failure. Warnings have a
+// reserved share of the budget.
 func TestWarningsUseReservedBudget(t *testing.T) {
 	is := is.New(t)
 	var out syncBuffer
@@ -84,7 +85,7 @@
 	is.True(strings.Contains(out.String(), "event=store_lost"))
 }
 
-// Within the budget all lines are there, in order.
+// Within the budget no line is dropped, and the order is kept.
 func TestNoLineDroppedWithinBudget(t *testing.T) {
 	is := is.New(t)
 	var out syncBuffer
