--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells the story of one request from the logs of all VMs.
+// Package explain extracts the events of one request from the logs of all VMs and
+// prints them in order of time.
 package explain
 
 import (
@@ -10,19 +11,19 @@
 	"time"
 )
 
-// Line is one event of a log.
+// Line is a parsed log line.
 type Line struct {
 	At    time.Time
 	VM    string
 	Event string
-	// Fields are the rest, in the order of the line.
+	// Fields are the other fields except the level, in the order of the line.
 	Fields []Field
 }
 
-// Field is a key and its value.
+// Field is a key-value pair of a line.
 type Field struct{ Key, Value string }
 
-// Get returns a field's value; empty if the line has none.
+// Get returns the value of a field, or an empty string if the line does not have it.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -32,7 +33,7 @@
 	return ""
 }
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
 // ReadError reports a log that could not be read.
@@ -44,8 +45,9 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// Scan calls each for every event of a log whose line holds a text; an empty one is in all.
-// Lines that are none of the daemon's are passed over. The error is a ReadError.
+// Scan calls handle for every event of a log whose line contains substr; an empty substr
+// matches all lines. Lines that the daemon did not write are skipped. The error is a
+// ReadError.
 func Scan(r io.Reader, substr string, handle func(*Line)) error {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
@@ -63,16 +65,16 @@
 	return nil
 }
 
-// ReadRequest returns the lines about a request, from logs of any number of VMs, in
-// order of time. Words before a line's time, as tools that collect logs add them,
-// are passed over.
+// ReadRequest returns the lines of the request with this id, in order of time. The logs
+// may be those of any number of VMs. Text before the time field, as log collectors add
+// it, is skipped.
 func ReadRequest(r io.Reader, id string) ([]Line, error) { return readMatching(r, "request", id) }
 
-// ReadDigest returns the lines about all sendings of the same request: those that failed or were
-// refused, and what was found out about it.
+// ReadDigest returns the lines with a digest, which all attempts of the same request share:
+// those of failed and refused attempts and of changes to the suspicion of the request.
 func ReadDigest(r io.Reader, digest string) ([]Line, error) { return readMatching(r, "digest", digest) }
 
-// readMatching returns the lines with a field of that value.
+// readMatching returns the lines in which the field has the value, in order of time.
 func readMatching(r io.Reader, key, value string) ([]Line, error) {
 	var lines []Line
 	err := Scan(r, key+"="+value, func(l *Line) {
@@ -87,7 +89,7 @@
 	return lines, nil
 }
 
-// Parse reads one line; ok is false if it is none of the daemon's.
+// Parse parses one line; ok is false if the daemon did not write it.
 func Parse(text string) (l Line, ok bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -113,7 +115,7 @@
 	return l, l.Event != ""
 }
 
-// parseFields splits key=value pairs; values with spaces are in double quotes.
+// parseFields splits a line into key=value pairs. Values with spaces are in double quotes.
 func parseFields(s string) []Field {
 	var list []Field
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimSpace(s) {
@@ -128,6 +130,7 @@
 	return list
 }
 
+// cutValue returns the leading value of s, without its quotes, and the text after it.
 func cutValue(s string) (value, rest string) {
 	if !strings.HasPrefix(s, `"`) {
 		value, rest, _ = strings.Cut(s, " ")
@@ -141,29 +144,29 @@
 	return s[1:], ""
 }
 
-// eventDescriptions say in words what an event tells.
+// eventDescriptions are the explanations that Write prints after the names of events.
 var eventDescriptions = map[string]string{
 	"over_allowance": "the organisation's allowance was spent",
-	"placed":         "an endpoint was picked",
+	"placed":         "an endpoint was selected",
 	"attempt_failed": "the attempt at the endpoint failed",
-	"refused":        "the system answered for itself",
-	"answered":       "the endpoint's answer was passed on whole",
-	"streamed":       "the stream was passed on to its end",
-	"stream_broken":  "the stream was broken off towards the caller",
+	"refused":        "the VM answered with a refusal of its own",
+	"answered":       "the endpoint's response was forwarded completely",
+	"streamed":       "the stream was forwarded to its end",
+	"stream_broken":  "the stream to the caller was aborted",
 	"caller_left":    "the caller closed its connection",
-	"body_broken":    "the request's body did not arrive whole",
+	"body_broken":    "the request's body was received incompletely",
 
-	"placer_passed_over": "the VM that places for this one could not be used",
+	"placer_passed_over": "the placer of this VM could not be used",
 
-	"request_suspected": "an endpoint ended that ran it",
-	"request_convicted": "three endpoints in a row ended that ran it; it is refused from now on",
-	"request_cleared":   "an answer speaks for it, or the endpoints live",
-	"request_forgotten": "nothing was seen of it for its time",
+	"request_suspected": "an endpoint terminated while running it",
+	"request_convicted": "three endpoints in a row terminated while running it; it is refused from now on",
+	"request_cleared":   "an endpoint responded to it, or the endpoints that ran it are alive",
+	"request_forgotten": "nothing was observed of it for the retention time; its record was removed",
 }
 
-// Write prints a story with times from its first line on.
+// Write prints lines with their times relative to the first line.
 func Write(w io.Writer, lines []Line) error {
-	// Where all lines are about one sending, its id need not be repeated.
+	// If all lines have the same request id, it is not printed with each line.
 	singleRequest := !slices.ContainsFunc(lines, func(l Line) bool { return l.Get("request") != lines[0].Get("request") })
 	for i, l := range lines {
 		var b strings.Builder
