--- a/report/cause.go
+++ b/report/cause.go
@@ -2,7 +2,7 @@
 
 // Causes, as the account names them.
 const (
-	CauseVMStarts         = "VMs started anew"
+	CauseVMRestarts       = "VMs started anew"
 	CausePlacersLost      = "VMs lost the one that places for them"
 	CauseEndpointFailures = "endpoints failed or could not be reached"
 	CauseAllowance        = "organisations met their allowance"
@@ -34,7 +34,7 @@
 	case notOnTime == 0:
 		return ""
 	case s.Started > 0:
-		return CauseVMStarts
+		return CauseVMRestarts
 	case float64(failures) >= failureCauseShare*float64(s.Requests):
 		return CauseEndpointFailures
 	case s.PlacersLost > 0:
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -41,7 +41,7 @@
 	is.Equal(a.Steps[1].Requests, 2)
 	is.Equal(a.Steps[1].Refused, map[string]int{"attempts_spent": 1, "too_late": 1})
 	is.Equal(a.Steps[1].Cause, CauseEndpointFailures)
-	is.Equal(a.Steps[2].Cause, CauseVMStarts)
+	is.Equal(a.Steps[2].Cause, CauseVMRestarts)
 	is.Equal(a.Dropped, 7)
 	is.Equal(a.Endpoints[0].Name, "e1")
 	is.Equal(a.Endpoints[0].Placed, 2)
