--- a/report/cause.go
+++ b/report/cause.go
@@ -1,14 +1,14 @@
 package report
 
-// Causes, as the account names them.
+// Causes of steps with requests that were not on time, as the report prints them.
 const (
-	CauseVMRestarts       = "VMs started anew"
-	CausePlacersLost      = "VMs lost the one that places for them"
-	CauseEndpointFailures = "endpoints failed or could not be reached"
-	CauseAllowance        = "organisations met their allowance"
-	CauseOverload         = "more was asked than endpoints do"
-	CauseStoreLost        = "the store was lost"
-	CauseLateResponses    = "answers were late"
+	CauseVMRestarts       = "VMs restarted"
+	CausePlacersLost      = "VMs lost their placer"
+	CauseEndpointFailures = "endpoints failed or were unreachable"
+	CauseAllowance        = "organisations exceeded their allowance"
+	CauseOverload         = "demand exceeded the capacity of endpoints"
+	CauseStoreLost        = "the connection to the store was lost"
+	CauseLateResponses    = "responses were late"
 )
 
 // Reasons of refusals, as the daemon logs them.
@@ -18,12 +18,13 @@
 	reasonFull      = "queue_full"
 )
 
-// failureCauseShare is the share of a step's requests from which failed attempts are the likely
-// cause.
+// failureCauseShare is the ratio of failed attempts to requests in a step from which on endpoint
+// failures are the likely cause.
 const failureCauseShare = 0.1
 
-// likelyCause names what most likely kept requests of a step from being on time. What happened to
-// VMs and endpoints goes before what follows from it, such as overload.
+// likelyCause returns the most likely cause of the requests in a step that were not on time; empty
+// if all were. Events at VMs and endpoints take precedence over their consequences, such as
+// overload.
 func likelyCause(s *Step) string {
 	notOnTime := s.Requests - s.OnTime
 	failures := 0
--- a/report/predictions.go
+++ b/report/predictions.go
@@ -7,16 +7,15 @@
 	"github.com/chivefield/chivefield/explain"
 )
 
-// Predictions compares the times to first events that were seen with those that were
-// predicted when the requests were placed. Placing is as good as they are: one that is off
-// sends requests where they are late, or keeps them from where they would be on time.
+// Predictions compares the observed times to the first event with the times predicted when
+// the requests were placed. Wrong predictions impair placement: requests go to endpoints
+// where they are late, or are kept from endpoints where they would be on time.
 type Predictions struct {
-	// Median and NineTenths are quantiles of what was seen over what was predicted; 0 if
-	// nothing was compared.
+	// Median and P90 are quantiles of the ratio observed/predicted; 0 if there is no ratio.
 	Median float64 `json:"median"`
 	P90    float64 `json:"nine_tenths"`
-	// Compared is the number of streams, Impossible how many of them had a prediction of
-	// nothing or less.
+	// Compared is the number of compared streams, NonPositive the number of those whose
+	// predicted time was zero or negative. The latter have no ratio.
 	Compared    int `json:"compared"`
 	NonPositive int `json:"impossible"`
 	ratios      []float64
@@ -31,7 +30,7 @@
 	p.ratios = append(p.ratios, float64(observed)/float64(predicted))
 }
 
-// computeQuantiles works out the quantiles.
+// computeQuantiles sets the quantiles from the recorded ratios.
 func (p *Predictions) computeQuantiles() {
 	slices.Sort(p.ratios)
 	if n := len(p.ratios); n > 0 {
@@ -39,24 +38,25 @@
 	}
 }
 
-// prediction is what was expected of a request when it was placed last.
+// prediction is the prediction that was logged when a request was last placed.
 type prediction struct {
 	endpoint           string
 	firstEvent, waited time.Duration
 }
 
-// recordPrediction notes what was expected of a request.
+// recordPrediction stores the prediction of a placed request.
 func (b *builder) recordPrediction(l *explain.Line) {
 	b.predictions[l.Get("request")] = prediction{
 		endpoint: l.Get("endpoint"), firstEvent: parseMilliseconds(l.Get("predicted")), waited: parseMilliseconds(l.Get("waited")),
 	}
 }
 
-// recordFirstEvent takes in when the first event of a stream came.
+// recordFirstEvent compares the first event of a stream with its prediction.
 func (b *builder) recordFirstEvent(l *explain.Line) {
 	e, ok := b.predictions[l.Get("request")]
 	if !ok || l.Get("sent") != "1" {
-		// Of a stream that went on at another endpoint the first event says nothing.
+		// If a stream was continued at another endpoint, its first event does not belong to
+		// the last prediction.
 		return
 	}
 	observed := parseMilliseconds(l.Get("first_event")) - e.waited
--- a/report/repeats.go
+++ b/report/repeats.go
@@ -10,11 +10,11 @@
 	"github.com/chivefield/chivefield/explain"
 )
 
-// Retries are what all VMs together sent a service's endpoints once more, over the whole of the logs.
+// Retries sums the retry budget counts of a service over all VMs and the whole of the logs.
 type Retries struct {
 	Service string `json:"service"`
-	// Processes is how many processes of VMs had repeats asked of them; the rest is their sum.
-	// The last seconds of one that was killed are missing.
+	// Processes is the number of VM processes in which retries were requested. The other
+	// fields are sums over these processes. The last seconds of a killed process are missing.
 	Processes int `json:"processes"`
 	Requests  int `json:"requests"`
 	Acquired  int `json:"paid"`
@@ -24,7 +24,7 @@
 	Expired   int `json:"expired"`
 }
 
-// add adds what a process counted.
+// add adds the final counts of a process.
 func (r *Retries) add(p Retries) {
 	r.Processes++
 	r.Requests += p.Requests
@@ -35,10 +35,11 @@
 	r.Expired += p.Expired
 }
 
-// budgetKey names a VM's budget.
+// budgetKey identifies the retry budget of a service at a VM.
 type budgetKey struct{ vm, service string }
 
-// retryTotals are the counts of budgets, which grow as long as a process lives.
+// retryTotals sums the counts of retry budgets. The counts of a process only increase, so that
+// the last line of a process holds its totals.
 type retryTotals struct {
 	finished map[string]*Retries
 	latest   map[budgetKey]Retries
@@ -48,7 +49,8 @@
 	return &retryTotals{finished: make(map[string]*Retries), latest: make(map[budgetKey]Retries)}
 }
 
-// addLine takes in a line of a budget. Counts that are lower than before are those of the next process.
+// addLine records a line of a budget. If its count of requests is lower than before, the line is
+// from the next process of the VM, and the previous counts are final.
 func (s *retryTotals) addLine(l *explain.Line) {
 	key := budgetKey{l.VM, l.Get("service")}
 	now := Retries{
@@ -61,6 +63,7 @@
 	s.latest[key] = now
 }
 
+// addProcess adds the final counts of a process to those of its service.
 func (s *retryTotals) addProcess(p Retries) {
 	sum := s.finished[p.Service]
 	if sum == nil {
@@ -70,7 +73,7 @@
 	sum.add(p)
 }
 
-// totals returns the totals by service.
+// totals returns the totals of all processes, sorted by service.
 func (s *retryTotals) totals() []Retries {
 	for _, p := range s.latest {
 		s.addProcess(p)
@@ -83,7 +86,7 @@
 	return list
 }
 
-// intField reads a whole intField; 0 if the field is missing or none.
+// intField returns the value of an integer field; 0 if it is missing or not an integer.
 func intField(l *explain.Line, field string) int {
 	n, err := strconv.Atoi(l.Get(field))
 	if err != nil {
--- a/report/report.go
+++ b/report/report.go
@@ -1,7 +1,7 @@
-// Package report gives an account of an incident from the logs of all VMs: what became of
-// the requests, second by second and route by route, what endpoints did, and the worst
-// seconds with their likely cause. Lines that were dropped for the logs' budget are missing
-// from it; the account says how many there were.
+// Package report summarises an incident from the logs of all VMs: the outcomes of requests
+// per time step and per route, the failures of endpoints, and the worst time steps with their
+// likely cause. Log lines that were dropped to keep the log budget are missing from the
+// summary; it includes their number.
 package report
 
 import (
@@ -16,19 +16,20 @@
 	"github.com/chivefield/chivefield/explain"
 )
 
-// Counts are what became of requests. A request here is one attempt of a caller.
+// Counts holds the numbers of requests by outcome. Each attempt of a caller counts as one
+// request.
 type Counts struct {
 	Requests int `json:"asked"`
 	OnTime   int `json:"on_time"`
 	Late     int `json:"late"`
-	// Refused counts the system's own answers, by reason.
+	// Refused counts refusals by the VMs, by reason.
 	Refused map[string]int `json:"refused"`
-	// Broken counts streams that were broken off, Left callers that left.
+	// Broken counts aborted streams, CallerLeft callers that disconnected.
 	Broken     int `json:"broken"`
 	CallerLeft int `json:"left"`
 }
 
-// OnTimeShare is the share of the requests that were on time; 1 if none was asked.
+// OnTimeShare returns the share of the requests that were on time; 1 if there were none.
 func (c *Counts) OnTimeShare() float64 {
 	if c.Requests == 0 {
 		return 1
@@ -36,7 +37,7 @@
 	return float64(c.OnTime) / float64(c.Requests)
 }
 
-// refusalCount is the number of refusalCount of all reasons.
+// refusalCount returns the number of refusals for all reasons.
 func (c *Counts) refusalCount() int {
 	n := 0
 	for _, k := range c.Refused {
@@ -64,46 +65,48 @@
 	}
 }
 
-// Step is a span of time, by the arrival of requests.
+// Step holds the counts of one time interval. Requests count in the interval of their arrival.
 type Step struct {
 	From time.Time `json:"from"`
 	Counts
-	// Failures counts attempts at endpoints that failed, by outcome.
+	// Failures counts failed attempts at endpoints, by outcome.
 	Failures map[string]int `json:"failures"`
-	// Started counts processes that started, StoreLost and PlacersLost what VMs lost.
+	// Started counts process starts, StoreLost how often VMs lost the store, PlacersLost how
+	// often VMs lost their placer.
 	Started     int `json:"started"`
 	StoreLost   int `json:"store_lost"`
 	PlacersLost int `json:"placers_lost"`
-	// Cause is the likely cause of what was not on time; empty if all was.
+	// Cause is the likely cause of the requests that were not on time; empty if all were.
 	Cause string `json:"cause"`
 }
 
-// Route is what became of the requests of one route. Requests without a route, such as those
-// with an unknown path, stand under the empty name.
+// Route holds the counts of one route. Requests without a route, such as those with an unknown
+// path, are counted under the empty name.
 type Route struct {
 	Name string `json:"name"`
 	Counts
-	// MeanWait is the mean time until an endpoint was picked.
+	// MeanWait is the mean time until an endpoint was selected.
 	MeanWait time.Duration `json:"waited_ns"`
-	// LateByPause counts late streams whose first event was on time.
+	// LateByPause counts streams whose first event was on time and that were late because of
+	// a pause between events.
 	LateByPause int         `json:"paused_late"`
 	Predictions Predictions `json:"predictions"`
 	placed      int
 }
 
-// Endpoint is what one endpoint did.
+// Endpoint holds the counts of one endpoint.
 type Endpoint struct {
 	Name     string         `json:"name"`
 	Placed   int            `json:"placed"`
 	Failures map[string]int `json:"failures"`
-	// Ejections counts the VMs' ejections of it.
+	// Ejections counts how often VMs ejected it.
 	Ejections int `json:"ejections"`
-	// EventGap is the time between two events that was last assumed.
+	// EventGap is the time between two events that the last placement assumed.
 	EventGap    time.Duration `json:"gap_ns"`
 	Predictions Predictions   `json:"predictions"`
 }
 
-// failureCount is the number of failures of all outcomes.
+// failureCount returns the number of failures of all outcomes.
 func (e *Endpoint) failureCount() int {
 	n := 0
 	for _, k := range e.Failures {
@@ -112,21 +115,21 @@
 	return n
 }
 
-// Summary is the whole.
+// Summary is the result of Read.
 type Summary struct {
 	Steps     []Step     `json:"steps"`
 	Routes    []Route    `json:"routes"`
 	Endpoints []Endpoint `json:"endpoints"`
-	// Rollouts are the steps of services that moved to another version, in order of time.
+	// Rollouts are the steps of all rollouts, in order of time.
 	Rollouts []RolloutStep `json:"rollouts"`
-	// Retries are what was sent to a further endpoint, by service.
+	// Retries are the totals of retries, by service.
 	Retries []Retries `json:"repeats"`
-	// Dropped counts lines that are missing from the logs.
+	// Dropped counts log lines that were dropped to keep the log budget.
 	Dropped int `json:"lines_dropped"`
 }
 
-// WorstSteps returns the n steps with the smallest share on time among those with a tenth of the
-// usual number of requests or more, the worst first.
+// WorstSteps returns the n steps with the smallest share of requests on time, the worst first.
+// Steps with less than a tenth of the mean number of requests are left out.
 func (sum *Summary) WorstSteps(n int) []Step {
 	requests := 0
 	for _, s := range sum.Steps {
@@ -143,7 +146,8 @@
 	return list[:min(n, len(list))]
 }
 
-// minRequestsDivisor is how many times fewer requests than usual a step may have to be judged.
+// minRequestsDivisor divides the mean number of requests of a step; the result is the minimum
+// number of requests that a step needs to be considered by WorstSteps.
 const minRequestsDivisor = 10
 
 type outcome int
@@ -156,7 +160,7 @@
 	callerLeft
 )
 
-// requestEnd is how a request ended.
+// requestEnd is the logged end of a request.
 type requestEnd struct {
 	request string
 	arrived time.Time
@@ -164,8 +168,8 @@
 	reason  string
 }
 
-// Read works the account out of logs of any number of VMs, in any order, in steps of a
-// length. The error is an explain.ReadError.
+// Read returns the summary of the logs of any number of VMs, in any order. step is the length
+// of a time step. The error is an explain.ReadError.
 func Read(r io.Reader, step time.Duration) (*Summary, error) {
 	b := &builder{
 		step: step, steps: make(map[time.Time]*Step), routes: make(map[string]*Route),
@@ -178,14 +182,15 @@
 	return b.summary(), nil
 }
 
+// builder accumulates log lines into a Summary.
 type builder struct {
 	step      time.Duration
 	steps     map[time.Time]*Step
 	routes    map[string]*Route
 	endpoints map[string]*Endpoint
-	// routeOf are the routes of requests that have an endpoint.
+	// routeOf holds the routes of requests that were placed or refused, by request id.
 	routeOf map[string]string
-	// predictions is what was predictions of requests when they were placed.
+	// predictions holds the predictions of placed requests, by request id.
 	predictions map[string]prediction
 	requestEnds []requestEnd
 	rollouts    []RolloutStep
@@ -193,6 +198,7 @@
 	dropped     int
 }
 
+// stepAt returns the step that contains t.
 func (b *builder) stepAt(t time.Time) *Step {
 	from := t.Truncate(b.step)
 	s := b.steps[from]
@@ -221,7 +227,7 @@
 	return r
 }
 
-// addLine takes in one event.
+// addLine records one event.
 func (b *builder) addLine(l *explain.Line) {
 	if strings.HasPrefix(l.Event, rolloutEventPrefix) {
 		b.addRolloutStep(l)
@@ -286,7 +292,7 @@
 	b.requestEnds = append(b.requestEnds, requestEnd{request: l.Get("request"), arrived: arrived, outcome: o, reason: reason})
 }
 
-// parseMilliseconds reads a time as the logs write it; 0 if it is none.
+// parseMilliseconds parses a duration as written in the logs; 0 if v is not a number.
 func parseMilliseconds(v string) time.Duration {
 	ms, err := strconv.ParseFloat(v, 64)
 	if err != nil {
@@ -295,6 +301,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
+// summary computes the summary from the recorded lines.
 func (b *builder) summary() *Summary {
 	for _, e := range b.requestEnds {
 		b.stepAt(e.arrived).add(e.outcome, e.reason)
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// session is what the VMs logged in three seconds: a calm one; one in which an endpoint
-// resets requests; one in which a VM starts anew and an organisation meets its allowance.
+// session holds the log lines of three seconds. The first is without failures; in the second
+// an endpoint resets requests; in the third a VM restarts and an organisation exceeds its
+// allowance.
 const session = `
 time=2026-08-12T08:41:00.100Z level=info event=placed request=r1 route=plan endpoint=e1 waited=4 predicted=200 gap=20 vm=a
 time=2026-08-12T08:41:00.900Z level=info event=streamed request=r1 took=800 first_event=304 late=false sent=1 vm=a
@@ -37,7 +38,7 @@
 	is.Equal(len(a.Steps), 3)
 	is.Equal(a.Steps[0].OnTime, 2)
 	is.Equal(a.Steps[0].Cause, "")
-	// r4 came in the second step, though it was refused in the fourth.
+	// r4 arrived in the second step, although it was refused in the fourth.
 	is.Equal(a.Steps[1].Requests, 2)
 	is.Equal(a.Steps[1].Refused, map[string]int{"attempts_spent": 1, "too_late": 1})
 	is.Equal(a.Steps[1].Cause, CauseEndpointFailures)
@@ -68,7 +69,7 @@
 	}
 }
 
-// Without a line there is nothing to judge, and nothing fails.
+// An empty log gives an empty report without an error.
 func TestEmptyLogs(t *testing.T) {
 	is := is.New(t)
 	a, err := Read(strings.NewReader(""), time.Second)
@@ -77,8 +78,8 @@
 	is.NoErr(a.Write(&bytes.Buffer{}, 3))
 }
 
-// Predictions are compared per route and endpoint: what was seen is counted from when the
-// request was placed; a stream that went on at another endpoint is left out.
+// Predictions are compared per route and per endpoint. The observed time counts from the
+// placement of the request; streams that were continued at another endpoint are left out.
 func TestPredictionsPerRouteAndEndpoint(t *testing.T) {
 	is := is.New(t)
 	const logs = `
@@ -99,7 +100,7 @@
 	is.Equal(a.Endpoints[1].Predictions.Compared, 0)
 }
 
-// An operator who finds a version rolled back gets from the logs why, by whom and when.
+// The report shows why a version was rolled back, by which VM and when.
 func TestRolloutStepsShowCauseOfRollback(t *testing.T) {
 	is := is.New(t)
 	const logs = `
@@ -119,7 +120,7 @@
 	is.True(strings.Contains(out.String(), "rolled_back"))
 }
 
-// Repeats of all VMs are had as a sum, also where processes ended and others began to count anew.
+// Retries are summed over all VMs, also if a process ends and the next one counts from zero again.
 func TestRetriesAreSummedOverProcesses(t *testing.T) {
 	is := is.New(t)
 	const logs = `
--- a/report/rollouts.go
+++ b/report/rollouts.go
@@ -8,22 +8,23 @@
 	"github.com/chivefield/chivefield/explain"
 )
 
-// RolloutStep is one step in the move of a service to another version, as a VM took it.
+// RolloutStep is one step in the rollout of a service version, as logged by the VM that took it.
 type RolloutStep struct {
 	At      time.Time `json:"at"`
 	VM      string    `json:"vm"`
 	Service string    `json:"service"`
 	Version string    `json:"version"`
-	// Event says what was done, Detail why: the fields of the line.
+	// Event is the name of the log event without its prefix. Detail holds the other fields of
+	// the line, which give the cause.
 	Event  string `json:"event"`
 	Detail string `json:"detail"`
 }
 
-// rolloutEventPrefix begin the names of such steps.
+// rolloutEventPrefix is the common prefix of the names of rollout events.
 const rolloutEventPrefix = "rollout_"
 
-// addRolloutStep takes in a step of a roll-out. What a VM was told by others is left out: each of them
-// hears of each step.
+// addRolloutStep records a rollout step. Steps that a VM received from another VM are left out, since
+// every VM receives each step.
 func (b *builder) addRolloutStep(l *explain.Line) {
 	if l.Get("learned") == "told" || l.Get("told") == "true" {
 		return
@@ -40,7 +41,7 @@
 	})
 }
 
-// sortedRollouts are the steps in order of time.
+// sortedRollouts returns the rollout steps in order of time.
 func (b *builder) sortedRollouts() []RolloutStep {
 	slices.SortStableFunc(b.rollouts, func(x, y RolloutStep) int { return x.At.Compare(y.At) })
 	return b.rollouts
--- a/report/write.go
+++ b/report/write.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// maxPrintedEndpoints bounds the endpoints that are printed: those that failed most.
+// maxPrintedEndpoints bounds the number of printed endpoints: those with the most failures.
 const maxPrintedEndpoints = 12
 
-// Write prints the account as tables, with the n worst steps.
+// Write prints the summary as tables. worst is the number of worst steps to print.
 func (sum *Summary) Write(w io.Writer, worst int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "route\tasked\ton time\tlate\trefused\tbroken\tleft\twaited\tlate by a pause\tseen over predicted")
+	fmt.Fprintln(t, "route\tasked\ton time\tlate\trefused\tbroken\tleft\twaited\tlate by a pause\tobserved/predicted")
 	for _, r := range sum.Routes {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\n", nameOrDash(r.Name), r.cells(), r.MeanWait.Round(time.Millisecond), r.LateByPause, &r.Predictions)
 	}
@@ -24,13 +24,13 @@
 	for _, s := range sum.WorstSteps(worst) {
 		fmt.Fprintf(t, "%s\t%s\t%s\n", s.From.Format("15:04:05.0"), s.cells(), s.Cause)
 	}
-	fmt.Fprintln(t, "\nendpoint\tplaced\tfailed\tejected\tgap\tseen over predicted")
+	fmt.Fprintln(t, "\nendpoint\tplaced\tfailed\tejected\tgap\tobserved/predicted")
 	for _, e := range sum.Endpoints[:min(maxPrintedEndpoints, len(sum.Endpoints))] {
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%s\t%s\n", nameOrDash(e.Name), e.Placed, formatCounts(e.Failures), e.Ejections, e.EventGap, &e.Predictions)
 	}
 	writeRetries(t, sum.Retries)
 	if len(sum.Rollouts) > 0 {
-		fmt.Fprintln(t, "\nroll-outs\tvm\tservice\tto\tstep\twhy")
+		fmt.Fprintln(t, "\nrollouts\tvm\tservice\tto\tstep\twhy")
 	}
 	for _, r := range sum.Rollouts {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", r.At.Format("15:04:05.000"), r.VM, r.Service, r.Version, r.Event, r.Detail)
@@ -41,7 +41,7 @@
 	return t.Flush()
 }
 
-// String is the quantiles, such as "0.98, 1.52 (3 impossible)".
+// String returns the quantiles, such as "0.98, 1.52 (3 impossible)".
 func (p *Predictions) String() string {
 	if p.Compared == 0 {
 		return "-"
@@ -53,11 +53,12 @@
 	return s
 }
 
+// cells returns the counts as tab-separated cells.
 func (c *Counts) cells() string {
 	return fmt.Sprintf("%d\t%d\t%d\t%s\t%d\t%d", c.Requests, c.OnTime, c.Late, formatCounts(c.Refused), c.Broken, c.CallerLeft)
 }
 
-// formatCounts prints counts by name, such as "3 (too_late 2, no_route 1)".
+// formatCounts returns the sum of the counts and each count by name, such as "3 (too_late 2, no_route 1)".
 func formatCounts(counts map[string]int) string {
 	n, parts := 0, make([]string, 0, len(counts))
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
