--- a/cmd/chivefield-entry/main.go
+++ b/cmd/chivefield-entry/main.go
@@ -1,5 +1,5 @@
-// Command chivefield-entry runs one entry VM's daemon on the users' platform.
-// It uses cgo only because the platform's machines need programs that are linked
+// Command chivefield-entry runs the daemon of one entry VM on the users' platform.
+// It imports "C" only because the platform's machines require programs that are linked
 // against the C library.
 package main
 
@@ -26,14 +26,14 @@
 )
 
 type options struct {
-	Check bool `long:"check" description:"Only check the settings, and report every fault with its place"`
+	Check bool `long:"check" description:"Only check the settings, and report every fault with its location"`
 	Args  struct {
-		Settings string `positional-arg-name:"SETTINGS" description:"TOML file; by default the file that the platform names"`
+		Settings string `positional-arg-name:"SETTINGS" description:"TOML file; by default the file named by the platform"`
 	} `positional-args:"yes"`
 }
 
-// gcPercent trades processor time for memory: the live heap is a few MB, and
-// what matters is the peak.
+// gcPercent trades CPU time for memory: the live heap is a few MB, and the peak heap
+// size is what counts.
 const gcPercent = 60
 
 func main() {
@@ -87,7 +87,7 @@
 
 const storeDialTimeout = time.Second
 
-// hangupSignals delivers SIGHUP.
+// hangupSignals returns a channel that receives a value for each SIGHUP.
 func hangupSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/cmd/chivefield/demo.go
+++ b/cmd/chivefield/demo.go
@@ -23,8 +23,8 @@
 	"github.com/chivefield/chivefield/standin"
 )
 
-// demoCommand runs four VMs in two failure domains on built-in stand-ins, over
-// loopback connections in one process.
+// demoCommand runs four VMs in two failure domains against built-in stand-ins. All run
+// in one process and communicate over loopback connections.
 type demoCommand struct {
 	Verbose bool `long:"verbose" description:"Print every log line of the VMs"`
 }
@@ -35,7 +35,7 @@
 	demoOperatorKey = "demo-operator-key-demo"
 )
 
-// demoVM is one VM of the demo.
+// demoVM is a VM of the demo with its listener addresses.
 type demoVM struct {
 	id                        int
 	domain                    string
@@ -62,12 +62,13 @@
 	if err := d.runScenario(); err != nil {
 		return err
 	}
-	fmt.Println("\n# SIGTERM: each VM hands over its keys and ends")
+	fmt.Println("\n# SIGTERM: each VM hands over its keys and exits")
 	stop()
 	return g.Wait()
 }
 
-// startDemo runs a VM for each name of a failure domain, and the stand-ins.
+// startDemo starts the stand-ins and one VM for each entry of domains, which holds the
+// names of the VMs' failure domains.
 func startDemo(ctx context.Context, log io.Writer, domains []string) (*demo, *errgroup.Group, error) {
 	d := &demo{listeners: map[string]net.Listener{}, log: log}
 	if err := d.setUp(domains); err != nil {
@@ -85,7 +86,8 @@
 	return d, &g, nil
 }
 
-// eventFilter passes on the lines that tell the story.
+// eventFilter forwards the log lines of the events that the demo shows, or all lines if
+// all is set. It omits the first field, the time.
 type eventFilter struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -106,7 +108,8 @@
 	return len(p), nil
 }
 
-// setUp listens on free addresses and starts the stand-ins.
+// setUp opens listeners on free addresses, starts the stand-ins and assigns addresses to
+// the VMs.
 func (d *demo) setUp(domains []string) error {
 	var addrs []string
 	for range 4 + 3*len(domains) {
@@ -141,6 +144,7 @@
 	go func() { _ = s.Serve(l) }()
 }
 
+// vmSettings returns the settings file of a VM.
 func (d *demo) vmSettings(v *demoVM) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[vm]\nid = %d\nfailure_domain = %q\n", v.id, v.domain)
@@ -155,6 +159,7 @@
 	return b.String()
 }
 
+// configDocument returns the configuration document of the demo.
 func (d *demo) configDocument() string {
 	sum := sha256.Sum256([]byte(demoAPIKey))
 	var b strings.Builder
@@ -175,7 +180,7 @@
 	return b.String()
 }
 
-// runScenario plays the demo's story.
+// runScenario submits the configuration, sends the demo's requests and prints the responses.
 func (d *demo) runScenario() error {
 	fmt.Println("# Four VMs in two failure domains join; a configuration is submitted to one")
 	op := operatorFlags{Address: d.vms[0].operators, Key: demoOperatorKey}
@@ -185,13 +190,13 @@
 	for _, v := range d.vms {
 		d.waitReady(v)
 	}
-	fmt.Println("\n# A check, streamed; then its repeat in the other failure domain reads the same run")
+	fmt.Println("\n# A streamed check; its retry in the other failure domain attaches to the same run")
 	d.send(0, "check", "c1", 1, 40)
 	d.send(3, "check", "c1", 2, 40)
-	fmt.Println("\n# An invoice, and the same invoice asked for again: it runs once")
+	fmt.Println("\n# An invoice and a retry of the same invoice: it runs once")
 	d.send(1, "invoice", "i1", 1, 0)
 	d.send(2, "invoice", "i1", 2, 0)
-	fmt.Println("\n# Drafts of one VM fill both engines; a check with little time at another VM stops one")
+	fmt.Println("\n# Drafts at one VM fill both engines; a check with a short deadline at another VM preempts one")
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Go(func() { d.send(0, "draft", fmt.Sprint("d", i), 1, 400) })
@@ -215,6 +220,7 @@
 	}
 }
 
+// send sends one request and prints its result.
 func (d *demo) send(vm int, kind, id string, attempt, tokens int) {
 	path, body := "/v1/completions", fmt.Sprintf(`{"model":"m","prompt":"Is supplier %s insured?","max_tokens":%d,"stream":true}`, id, tokens)
 	if kind == "invoice" {
@@ -230,14 +236,14 @@
 	start := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		fmt.Println("  the caller of", id, "sees", err)
+		fmt.Println("  request", id, "failed:", err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	broken := ""
 	if err != nil {
-		broken = ", visibly broken"
+		broken = ", connection broken"
 	}
-	fmt.Printf("  the caller of %s at vm%d sees %d, %d bytes%s, after %v\n", id, vm+1, resp.StatusCode, len(data), broken, time.Since(start).Round(time.Millisecond))
+	fmt.Printf("  request %s at vm%d: status %d, %d bytes%s, after %v\n", id, vm+1, resp.StatusCode, len(data), broken, time.Since(start).Round(time.Millisecond))
 }
--- a/cmd/chivefield/explain.go
+++ b/cmd/chivefield/explain.go
@@ -10,16 +10,16 @@
 
 type explainCommand struct {
 	Args struct {
-		Request string   `positional-arg-name:"REQUEST" description:"the request's id, or the digest that all its sendings have" required:"yes"`
-		Logs    []string `positional-arg-name:"LOG" description:"log files of any number of VMs; standard input without any"`
+		Request string   `positional-arg-name:"REQUEST" description:"the request's id, or the digest that all its attempts share" required:"yes"`
+		Logs    []string `positional-arg-name:"LOG" description:"log files of any number of VMs; standard input if none is given"`
 	} `positional-args:"yes"`
 }
 
-// requestNotLoggedError reports a request that no log speaks of.
+// requestNotLoggedError reports that no log line contains the request.
 type requestNotLoggedError struct{ id string }
 
 func (e *requestNotLoggedError) Error() string {
-	return fmt.Sprintf("no line about request %s; look for event=log_lines_dropped at its time, and at the other VMs", e.id)
+	return fmt.Sprintf("no log line contains request %s; check for event=log_lines_dropped at the time of the request, and the logs of the other VMs", e.id)
 }
 
 // Execute implements flags.Commander.
--- a/cmd/chivefield/load.go
+++ b/cmd/chivefield/load.go
@@ -10,11 +10,11 @@
 )
 
 type loadCommand struct {
-	Scenarios []string `long:"scenario" description:"Scenario, such as atelier or karrawong-burst; all if left out"`
+	Scenarios []string `long:"scenario" description:"Scenario, such as atelier or karrawong-burst; all by default"`
 	Policies  []string `long:"policy" default:"current" default:"round-robin" default:"least-reported" description:"Policy to measure"`
 	Seed      uint64   `long:"seed" default:"1" description:"First seed"`
-	Seeds     uint64   `long:"seeds" default:"1" description:"How many seeds"`
-	JSON      bool     `long:"json" description:"One JSON object a run"`
+	Seeds     uint64   `long:"seeds" default:"1" description:"Number of seeds"`
+	JSON      bool     `long:"json" description:"Print one JSON object per run"`
 }
 
 // Execute implements flags.Commander.
@@ -29,7 +29,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	defer func() { _ = w.Flush() }()
 	if !c.JSON {
-		_, _ = fmt.Fprintln(w, "scenario\tseed\tpolicy\tgoodput of bound by tier\tlate\tnot run\tcancelled\tunknown\tprefill paid\tdiscarded\tread again\tprice\ttwice\tfirst token p95 by tier")
+		_, _ = fmt.Fprintln(w, "scenario\tseed\tpolicy\tgoodput/bound by tier\tlate\tnot run\tcancelled\tunknown\tprefill paid\tdiscarded\trecomputed\tprice\ttwice\tfirst token p95 by tier")
 	}
 	for _, sc := range c.Scenarios {
 		for seed := c.Seed; seed < c.Seed+c.Seeds; seed++ {
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// scenarioName returns the name of a scenario from its workload and variant.
 func scenarioName(workload, variant string) string {
 	if variant == "" {
 		return workload
@@ -77,12 +78,12 @@
 
 // Execute implements flags.Commander.
 func (slopesCommand) Execute([]string) error {
-	fmt.Println("| quantity | size | measured | slope | at 0 |")
+	fmt.Println("| quantity | size | measured | slope | intercept |")
 	fmt.Println("| --- | --- | --- | --- | --- |")
 	for _, s := range load.Slopes() {
 		fmt.Println(s)
 	}
 	took, size := load.CheckTime(3400, 12000)
-	fmt.Printf("\nA document of 3,400 organisations and 12,000 endpoints: %d bytes, judged and compiled in %v.\n", size, took)
+	fmt.Printf("\nA document of 3,400 organisations and 12,000 endpoints: %d bytes, checked and compiled in %v.\n", size, took)
 	return nil
 }
--- a/cmd/chivefield/logs.go
+++ b/cmd/chivefield/logs.go
@@ -5,7 +5,8 @@
 	"os"
 )
 
-// openLogs reads log files one after the other, or standard input without any.
+// openLogs returns a reader of the concatenated log files, or standard input if paths is
+// empty. closeAll closes the files.
 func openLogs(paths []string) (in io.Reader, closeAll func(), err error) {
 	if len(paths) == 0 {
 		return os.Stdin, func() {}, nil
--- a/cmd/chivefield/operate.go
+++ b/cmd/chivefield/operate.go
@@ -17,13 +17,13 @@
 	"github.com/chivefield/chivefield/tomlproto"
 )
 
-// operatorFlags reach a daemon's operator listener.
+// operatorFlags holds the address and key of a daemon's operator listener.
 type operatorFlags struct {
 	Address string `long:"address" description:"Operator address of a VM" required:"yes"`
 	Key     string `long:"key" env:"CHIVEFIELD_OPERATOR_KEY" description:"Operator key" required:"yes"`
 }
 
-// StatusError reports a refusal by a daemon.
+// StatusError reports an error response of a daemon.
 type StatusError struct {
 	Status int
 	Body   string
@@ -34,7 +34,7 @@
 
 const callTimeout = 15 * time.Second
 
-// callAndPrint prints the answer of a daemon.
+// callAndPrint calls a daemon and prints its response.
 func (o *operatorFlags) callAndPrint(method, path string, body []byte) error {
 	out, err := o.fetch(method, path, body)
 	if err != nil {
@@ -44,6 +44,8 @@
 	return err
 }
 
+// fetch calls a daemon and returns the body of its response. The error is a StatusError for
+// a status of 400 or higher.
 func (o *operatorFlags) fetch(method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -81,7 +83,7 @@
 
 type configCommand struct {
 	Submit submitCommand `command:"submit" description:"Submit a document (TOML); prints accepted, refused or unknown"`
-	Show   showCommand   `command:"show" description:"Print what is in force at a VM"`
+	Show   showCommand   `command:"show" description:"Print the configuration in force at a VM"`
 }
 
 type submitCommand struct {
@@ -125,11 +127,11 @@
 	return nil
 }
 
-// UnknownCheckError reports a first argument of check that is not known.
+// UnknownCheckError reports that the first argument of check is neither settings nor config.
 type UnknownCheckError struct{ Name string }
 
 // Error describes the failure.
-func (e *UnknownCheckError) Error() string { return "check settings or config, not " + e.Name }
+func (e *UnknownCheckError) Error() string { return "expected settings or config, got " + e.Name }
 
 func check(what string, data []byte) error {
 	switch what {
@@ -154,7 +156,7 @@
 	Platform string `long:"platform" description:"Address of the platform" required:"yes"`
 }
 
-// auditLine is one change of configuration.
+// auditLine is the JSON form of one configuration change.
 type auditLine struct {
 	Offset    uint64   `json:"offset"`
 	At        string   `json:"at"`
@@ -167,9 +169,10 @@
 	Faults    []string `json:"faults,omitempty"`
 }
 
+// auditBatch is the number of log records per read.
 const auditBatch = 256
 
-// Execute implements flags.Commander. It judges the log as every VM does.
+// Execute implements flags.Commander. It evaluates the log by the same rules as every VM.
 func (c *auditCommand) Execute([]string) error {
 	client := &logservice.Client{Base: "http://" + c.Platform, HTTP: http.DefaultClient}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/cmd/chivefield/report.go
+++ b/cmd/chivefield/report.go
@@ -9,18 +9,18 @@
 )
 
 type reportCommand struct {
-	Step  time.Duration `long:"step" default:"1s" description:"length of a step"`
-	Worst int           `long:"worst" default:"10" description:"how many of the worst steps to print"`
-	JSON  bool          `long:"json" description:"print everything as JSON"`
+	Step  time.Duration `long:"step" default:"1s" description:"length of a time step"`
+	Worst int           `long:"worst" default:"10" description:"number of worst steps to print"`
+	JSON  bool          `long:"json" description:"print the whole report as JSON"`
 	Args  struct {
-		Logs []string `positional-arg-name:"LOG" description:"log files of any number of VMs; standard input without any"`
+		Logs []string `positional-arg-name:"LOG" description:"log files of any number of VMs; standard input if none is given"`
 	} `positional-args:"yes"`
 }
 
-// stepError reports a step that is none.
+// stepError reports a step length that is not positive.
 type stepError struct{ step time.Duration }
 
-func (e *stepError) Error() string { return "--step must be over 0, not " + e.step.String() }
+func (e *stepError) Error() string { return "--step must be greater than 0, not " + e.step.String() }
 
 // Execute implements flags.Commander.
 func (c *reportCommand) Execute([]string) error {
--- a/cmd/chivefield/serve.go
+++ b/cmd/chivefield/serve.go
@@ -38,5 +38,5 @@
 	return daemon.New(daemon.Options{Settings: set, Log: log}).Run(ctx)
 }
 
-// secondSignalExitCode is the status after a second signal.
+// secondSignalExitCode is the exit code after a second signal.
 const secondSignalExitCode = 3
--- a/cmd/chivefield/standin.go
+++ b/cmd/chivefield/standin.go
@@ -16,7 +16,7 @@
 
 type standinPlatform struct {
 	Listen  string `long:"listen" required:"yes" description:"Address"`
-	Appends int    `long:"appends-per-second" default:"400" description:"Limit of the log"`
+	Appends int    `long:"appends-per-second" default:"400" description:"Append rate limit of the log"`
 }
 
 // Execute implements flags.Commander.
@@ -28,12 +28,12 @@
 type standinEngine struct {
 	Listen  string        `long:"listen" required:"yes" description:"Address"`
 	Name    string        `long:"name" default:"engine" description:"Name"`
-	Slots   int           `long:"slots" default:"8" description:"Largest batch"`
-	Prefill float64       `long:"prefill-speed" default:"8000" description:"Prompt tokens a second"`
-	Output  float64       `long:"output-speed" default:"60" description:"Output tokens a second of one request"`
-	Batch   float64       `long:"batch-cost" default:"0.03" description:"Share by which each further request slows the others"`
-	Cache   int           `long:"cache-blocks" default:"2000" description:"Prompt blocks kept"`
-	NoFence bool          `long:"ignore-fencing" description:"Run whatever is sent"`
+	Slots   int           `long:"slots" default:"8" description:"Maximum batch size"`
+	Prefill float64       `long:"prefill-speed" default:"8000" description:"Prompt tokens per second"`
+	Output  float64       `long:"output-speed" default:"60" description:"Output tokens per second of a single request"`
+	Batch   float64       `long:"batch-cost" default:"0.03" description:"Share by which each additional request slows down the others"`
+	Cache   int           `long:"cache-blocks" default:"2000" description:"Prompt blocks in the cache"`
+	NoFence bool          `long:"ignore-fencing" description:"Run requests without checking their fencing"`
 	Lag     time.Duration `long:"report-lag" default:"1s" description:"Age of the load report"`
 }
 
--- a/cmd/chivefield/traffic.go
+++ b/cmd/chivefield/traffic.go
@@ -16,17 +16,17 @@
 	"github.com/chivefield/chivefield/daemon"
 )
 
-// trafficCommand measures what the VMs of one domain send each other, over real
-// connections on loopback.
+// trafficCommand measures the traffic between the VMs of one failure domain, over real
+// loopback connections.
 type trafficCommand struct {
-	VMs    []int         `long:"vms" default:"2" default:"4" default:"6" default:"8" description:"Sizes of the domain"`
-	Rates  []int         `long:"rate" default:"0" default:"5" default:"10" default:"20" description:"Requests a second at each VM"`
+	VMs    []int         `long:"vms" default:"2" default:"4" default:"6" default:"8" description:"Number of VMs in the domain"`
+	Rates  []int         `long:"rate" default:"0" default:"5" default:"10" default:"20" description:"Requests per second at each VM"`
 	Length time.Duration `long:"for" default:"5s" description:"Length of each measurement"`
 }
 
 // Execute implements flags.Commander.
 func (c *trafficCommand) Execute([]string) error {
-	fmt.Println("| VMs of the domain | requests/s a VM | peer bytes in and out, B/s a VM | calls/s a VM | processor time, all duties and stand-ins, % of a core a VM | a plain call, median and 99%, ms |")
+	fmt.Println("| VMs in the domain | requests/s per VM | peer bytes in and out, B/s per VM | calls/s per VM | CPU time of VMs and stand-ins, % of a core per VM | latency of a plain call, median and 99%, ms |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	for _, n := range c.VMs {
 		for _, r := range c.Rates {
@@ -38,6 +38,7 @@
 	return nil
 }
 
+// measure starts n VMs, sends requests to them at the given rate and prints one table row.
 func (c *trafficCommand) measure(n, rate int) error {
 	ctx, stop := context.WithCancel(context.Background())
 	domains := strings.Split(strings.Repeat("d ", n-1)+"d", " ")
@@ -75,6 +76,7 @@
 	return nil
 }
 
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -83,7 +85,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureLatency sends plain calls at a steady rate to every VM and tells how long they took.
+// measureLatency sends plain calls at a constant rate to every VM and returns the median and
+// the 99th percentile of their latency in ms as text.
 func (d *demo) measureLatency(rate int, length time.Duration) string {
 	if rate == 0 {
 		time.Sleep(length)
@@ -122,7 +125,7 @@
 	}
 }
 
-// peerTraffic is the sum over the VMs.
+// peerTraffic holds bytes and calls between VMs, summed over all VMs.
 type peerTraffic struct{ bytes, calls float64 }
 
 func (d *demo) readPeerTraffic() (peerTraffic, error) {
