--- a/report/repeats.go
+++ b/report/repeats.go
@@ -10,7 +10,7 @@
 	"github.com/chivefield/chivefield/explain"
 )
 
-// Retries sums the retry budget counts of a service over all VMs and the whole of the logs.
+// Retries sums the retry budget counts of a service over all VMs and all of the logs.
 type Retries struct {
 	Service string `json:"service"`
 	// Processes is the number of VM processes in which retries were requested. The other
--- a/report/report.go
+++ b/report/report.go
@@ -129,7 +129,8 @@
 }
 
 // WorstSteps returns the n steps with the smallest share of requests on time, the worst first.
-// Steps with less than a tenth of the mean number of requests are left out.
+// Steps with all requests on time, or with less than a tenth of the mean number of requests,
+// are left out.
 func (sum *Summary) WorstSteps(n int) []Step {
 	requests := 0
 	for _, s := range sum.Steps {
