--- a/cmd/chivefield/explain.go
+++ b/cmd/chivefield/explain.go
@@ -10,16 +10,16 @@
 
 type explainCommand struct {
 	Args struct {
-		Request string   `positional-arg-name:"REQUEST" description:"the request's id, or the digest that all its sendings have" required:"yes"`
-		Logs    []string `positional-arg-name:"LOG" description:"log files of any number of VMs; standard input without any"`
+		Request string   `positional-arg-name:"REQUEST" description:"the request's id, or the digest that all its attempts share" required:"yes"`
+		Logs    []string `positional-arg-name:"LOG" description:"log files of any number of VMs; standard input if none is given"`
 	} `positional-args:"yes"`
 }
 
-// noStoryError reports a request that no log speaks of.
-type noStoryError struct{ id string }
+// requestNotLoggedError reports that no log line contains the request.
+type requestNotLoggedError struct{ id string }
 
-func (e *noStoryError) Error() string {
-	return fmt.Sprintf("no line about request %s; look for event=log_lines_dropped at its time, and at the other VMs", e.id)
+func (e *requestNotLoggedError) Error() string {
+	return fmt.Sprintf("no log line contains request %s; check for event=log_lines_dropped at the time of the request, and the logs of the other VMs", e.id)
 }
 
 // Execute implements flags.Commander.
@@ -29,16 +29,16 @@
 		return err
 	}
 	defer closeLogs()
-	about := explain.Request
+	readLines := explain.ReadRequest
 	if _, err := suspect.ParseDigest(c.Args.Request); err == nil {
-		about = explain.Digest
+		readLines = explain.ReadDigest
 	}
-	lines, err := about(in, c.Args.Request)
+	lines, err := readLines(in, c.Args.Request)
 	if err != nil {
 		return err
 	}
 	if len(lines) == 0 {
-		return &noStoryError{c.Args.Request}
+		return &requestNotLoggedError{c.Args.Request}
 	}
 	return explain.Write(os.Stdout, lines)
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells the story of one request from the logs of all VMs.
+// Package explain extracts the events of one request from the logs of all VMs and
+// prints them in order of time.
 package explain
 
 import (
@@ -10,19 +11,19 @@
 	"time"
 )
 
-// Line is one event of a log.
+// Line is a parsed log line.
 type Line struct {
 	At    time.Time
 	VM    string
 	Event string
-	// Fields are the rest, in the order of the line.
+	// Fields are the other fields except the level, in the order of the line.
 	Fields []Field
 }
 
-// Field is a key and its value.
+// Field is a key-value pair of a line.
 type Field struct{ Key, Value string }
 
-// Get returns a field's value; empty if the line has none.
+// Get returns the value of a field, or an empty string if the line does not have it.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -32,7 +33,7 @@
 	return ""
 }
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
 // ReadError reports a log that could not be read.
@@ -44,17 +45,18 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// Scan calls each for every event of a log whose line holds a text; an empty one is in all.
-// Lines that are none of the daemon's are passed over. The error is a ReadError.
-func Scan(r io.Reader, text string, each func(*Line)) error {
+// Scan calls handle for every event of a log whose line contains substr; an empty substr
+// matches all lines. Lines that the daemon did not write are skipped. The error is a
+// ReadError.
+func Scan(r io.Reader, substr string, handle func(*Line)) error {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
-		if !strings.Contains(sc.Text(), text) {
+		if !strings.Contains(sc.Text(), substr) {
 			continue
 		}
 		if l, ok := Parse(sc.Text()); ok {
-			each(&l)
+			handle(&l)
 		}
 	}
 	if err := sc.Err(); err != nil {
@@ -63,17 +65,17 @@
 	return nil
 }
 
-// Request returns the lines about a request, from logs of any number of VMs, in
-// order of time. Words before a line's time, as tools that collect logs add them,
-// are passed over.
-func Request(r io.Reader, id string) ([]Line, error) { return having(r, "request", id) }
+// ReadRequest returns the lines of the request with this id, in order of time. The logs
+// may be those of any number of VMs. Text before the time field, as log collectors add
+// it, is skipped.
+func ReadRequest(r io.Reader, id string) ([]Line, error) { return readMatching(r, "request", id) }
 
-// Digest returns the lines about all sendings of the same request: those that failed or were
-// refused, and what was found out about it.
-func Digest(r io.Reader, digest string) ([]Line, error) { return having(r, "digest", digest) }
+// ReadDigest returns the lines with a digest, which all attempts of the same request share:
+// those of failed and refused attempts and of changes to the suspicion of the request.
+func ReadDigest(r io.Reader, digest string) ([]Line, error) { return readMatching(r, "digest", digest) }
 
-// having returns the lines with a field of that value.
-func having(r io.Reader, key, value string) ([]Line, error) {
+// readMatching returns the lines in which the field has the value, in order of time.
+func readMatching(r io.Reader, key, value string) ([]Line, error) {
 	var lines []Line
 	err := Scan(r, key+"="+value, func(l *Line) {
 		if l.Get(key) == value {
@@ -87,13 +89,13 @@
 	return lines, nil
 }
 
-// Parse reads one line; ok is false if it is none of the daemon's.
+// Parse parses one line; ok is false if the daemon did not write it.
 func Parse(text string) (l Line, ok bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
 		return l, false
 	}
-	for _, f := range fields(text[start:]) {
+	for _, f := range parseFields(text[start:]) {
 		switch f.Key {
 		case "time":
 			at, err := time.Parse(time.RFC3339Nano, f.Value)
@@ -113,8 +115,8 @@
 	return l, l.Event != ""
 }
 
-// fields splits key=value pairs; values with spaces are in double quotes.
-func fields(s string) []Field {
+// parseFields splits a line into key=value pairs. Values with spaces are in double quotes.
+func parseFields(s string) []Field {
 	var list []Field
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimSpace(s) {
 		key, rest, ok := strings.Cut(s, "=")
@@ -128,6 +130,7 @@
 	return list
 }
 
+// cutValue returns the leading value of s, without its quotes, and the text after it.
 func cutValue(s string) (value, rest string) {
 	if !strings.HasPrefix(s, `"`) {
 		value, rest, _ = strings.Cut(s, " ")
@@ -141,30 +144,30 @@
 	return s[1:], ""
 }
 
-// meanings say in words what an event tells.
-var meanings = map[string]string{
+// eventDescriptions are the explanations that Write prints after the names of events.
+var eventDescriptions = map[string]string{
 	"over_allowance": "the organisation's allowance was spent",
-	"placed":         "an endpoint was picked",
+	"placed":         "an endpoint was selected",
 	"attempt_failed": "the attempt at the endpoint failed",
-	"refused":        "the system answered for itself",
-	"answered":       "the endpoint's answer was passed on whole",
-	"streamed":       "the stream was passed on to its end",
-	"stream_broken":  "the stream was broken off towards the caller",
+	"refused":        "the VM answered with a refusal of its own",
+	"answered":       "the endpoint's response was forwarded completely",
+	"streamed":       "the stream was forwarded to its end",
+	"stream_broken":  "the stream to the caller was aborted",
 	"caller_left":    "the caller closed its connection",
-	"body_broken":    "the request's body did not arrive whole",
+	"body_broken":    "the request's body was received incompletely",
 
-	"placer_passed_over": "the VM that places for this one could not be used",
+	"placer_passed_over": "the placer of this VM could not be used",
 
-	"request_suspected": "an endpoint ended that ran it",
-	"request_convicted": "three endpoints in a row ended that ran it; it is refused from now on",
-	"request_cleared":   "an answer speaks for it, or the endpoints live",
-	"request_forgotten": "nothing was seen of it for its time",
+	"request_suspected": "an endpoint terminated while running it",
+	"request_convicted": "three endpoints in a row terminated while running it; it is refused from now on",
+	"request_cleared":   "an endpoint responded to it, or the endpoints that ran it are alive",
+	"request_forgotten": "nothing was observed of it for the retention time; its record was removed",
 }
 
-// Write prints a story with times from its first line on.
+// Write prints lines with their times relative to the first line.
 func Write(w io.Writer, lines []Line) error {
-	// Where all lines are about one sending, its id need not be repeated.
-	one := !slices.ContainsFunc(lines, func(l Line) bool { return l.Get("request") != lines[0].Get("request") })
+	// If all lines have the same request id, it is not printed with each line.
+	singleRequest := !slices.ContainsFunc(lines, func(l Line) bool { return l.Get("request") != lines[0].Get("request") })
 	for i, l := range lines {
 		var b strings.Builder
 		fmt.Fprintf(&b, "%+9.3fs", l.At.Sub(lines[0].At).Seconds())
@@ -175,11 +178,11 @@
 			b.WriteString(" at " + l.VM)
 		}
 		b.WriteString(": " + l.Event)
-		if m := meanings[l.Event]; m != "" {
+		if m := eventDescriptions[l.Event]; m != "" {
 			b.WriteString(", " + m)
 		}
 		for _, f := range l.Fields {
-			if f.Key != "request" || !one {
+			if f.Key != "request" || !singleRequest {
 				fmt.Fprintf(&b, "\n%14s = %s", f.Key, f.Value)
 			}
 		}
--- a/report/cause.go
+++ b/report/cause.go
@@ -1,14 +1,14 @@
 package report
 
-// Causes, as the account names them.
+// Causes of steps with requests that were not on time, as the report prints them.
 const (
-	CauseVMs       = "VMs started anew"
-	CausePlacers   = "VMs lost the one that places for them"
-	CauseEndpoints = "endpoints failed or could not be reached"
-	CauseAllowance = "organisations met their allowance"
-	CauseOverload  = "more was asked than endpoints do"
-	CauseStore     = "the store was lost"
-	CauseLate      = "answers were late"
+	CauseVMRestarts       = "VMs restarted"
+	CausePlacersLost      = "VMs lost their placer"
+	CauseEndpointFailures = "endpoints failed or were unreachable"
+	CauseAllowance        = "organisations exceeded their allowance"
+	CauseOverload         = "demand exceeded the capacity of endpoints"
+	CauseStoreLost        = "the connection to the store was lost"
+	CauseLateResponses    = "responses were late"
 )
 
 // Reasons of refusals, as the daemon logs them.
@@ -18,35 +18,36 @@
 	reasonFull      = "queue_full"
 )
 
-// failuresTell is the share of a step's requests from which failed attempts are the likely
-// cause.
-const failuresTell = 0.1
+// failureCauseShare is the ratio of failed attempts to requests in a step from which on endpoint
+// failures are the likely cause.
+const failureCauseShare = 0.1
 
-// cause names what most likely kept requests of a step from being on time. What happened to
-// VMs and endpoints goes before what follows from it, such as overload.
-func cause(s *Step) string {
-	missed := s.Asked - s.OnTime
+// likelyCause returns the most likely cause of the requests in a step that were not on time; empty
+// if all were. Events at VMs and endpoints take precedence over their consequences, such as
+// overload.
+func likelyCause(s *Step) string {
+	notOnTime := s.Requests - s.OnTime
 	failures := 0
 	for _, n := range s.Failures {
 		failures += n
 	}
 	switch {
-	case missed == 0:
+	case notOnTime == 0:
 		return ""
 	case s.Started > 0:
-		return CauseVMs
-	case float64(failures) >= failuresTell*float64(s.Asked):
-		return CauseEndpoints
+		return CauseVMRestarts
+	case float64(failures) >= failureCauseShare*float64(s.Requests):
+		return CauseEndpointFailures
 	case s.PlacersLost > 0:
-		return CausePlacers
-	case 2*s.Refused[reasonAllowance] > missed:
+		return CausePlacersLost
+	case 2*s.Refused[reasonAllowance] > notOnTime:
 		return CauseAllowance
-	case 2*(s.Refused[reasonTooLate]+s.Refused[reasonFull]) > missed:
+	case 2*(s.Refused[reasonTooLate]+s.Refused[reasonFull]) > notOnTime:
 		return CauseOverload
 	case s.StoreLost > 0:
-		return CauseStore
-	case s.refusals() > s.Late:
+		return CauseStoreLost
+	case s.refusalCount() > s.Late:
 		return CauseOverload
 	}
-	return CauseLate
+	return CauseLateResponses
 }
