--- a/cmd/chivefield-entry/main.go
+++ b/cmd/chivefield-entry/main.go
@@ -76,8 +76,8 @@
 	hangup := hangups()
 	dialer := &net.Dialer{Timeout: storeDialTimeout}
 	store := &platform.Store{
-		Base: "http://" + set.Platform.Address,
-		HTTP: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DisableCompression: true}},
+		BaseURL: "http://" + set.Platform.Address,
+		HTTP:    &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DisableCompression: true}},
 	}
 	return entry.New(entry.Options{
 		Settings: set, Log: log, Codec: platform.Codec{}, Store: store,
