--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -219,7 +219,7 @@
 	}
 	h := r.Header.Get(HeaderAttempt)
 	if h == "" {
-		if d.set.Claims.UndeclaredAttempt == settings.UndeclaredFirst {
+		if d.set.Claims.UndeclaredAttempt == settings.UndeclaredFirstAttempt {
 			c.spec.Attempt = request.First
 		}
 		return nil
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -146,7 +146,7 @@
 		return
 	}
 	d.restartClaimed = false
-	if d.now() > restartClaimDeadline || d.settings.Off.Has(mechanism.RestartAllowance) {
+	if d.now() > restartClaimDeadline || d.settings.Disabled.Has(mechanism.RestartAllowance) {
 		return
 	}
 	d.shares.creditRestartAllowance()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -130,7 +130,7 @@
 	}
 	d.pool = upstream.NewPool(opts.Dial, maxIdlePerEndpoint)
 	d.bodyMemory = newMemoryBudget(int64(float64(d.settings.Limits.MemoryMb) * bodyMemoryShare * (1 << 20)))
-	d.sched = newSharedScheduler(d.settings.Vm.Name, d.settings.Vm.FailureDomain, d.settings.Off, d.now)
+	d.sched = newSharedScheduler(d.settings.Vm.Name, d.settings.Vm.FailureDomain, d.settings.Disabled, d.now)
 	d.sched.probe, d.sched.logEjection, d.sched.countInvalid = d.probe, d.logEjection, d.countInvalid
 	d.lastHandle.Store(rand.Uint64())
 	d.placing, d.remoteJobs = newPlacement(d), newRemoteJobs(d)
@@ -199,7 +199,7 @@
 	group.Go(func() error { return d.reload(workCtx) })
 	group.Go(func() error { return d.shutdown(ctx, workCtx, callersServer, stop) })
 	d.log.Info().Str("failure_domain", d.settings.Vm.FailureDomain).
-		Bool("first_start", d.settings.Vm.FirstStart).Stringer("switched_off", d.settings.Off).Msg("started")
+		Bool("first_start", d.settings.Vm.FirstStart).Stringer("switched_off", d.settings.Disabled).Msg("started")
 	err = group.Wait()
 	d.log.Info().Err(err).Msg("stopped")
 	return err
@@ -262,7 +262,7 @@
 	default:
 	}
 	remaining := initialisationWait - d.now()
-	if remaining <= 0 || d.settings.Off.Has(mechanism.StartWait) {
+	if remaining <= 0 || d.settings.Disabled.Has(mechanism.StartWait) {
 		return
 	}
 	t := time.NewTimer(remaining)
@@ -353,7 +353,7 @@
 		return nil
 	case <-seen.C:
 	}
-	end, cancel := context.WithTimeout(workCtx, d.settings.Grace-graceMargin-time.Since(since))
+	end, cancel := context.WithTimeout(workCtx, d.settings.GracePeriod-graceMargin-time.Since(since))
 	defer cancel()
 	if err := callersServer.Shutdown(end); err != nil {
 		d.log.Warn().Err(err).Int64("active", d.active.Load()).Msg("drain_bound_reached")
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -52,7 +52,7 @@
 func (p *peers) choosePlacer(current string) (address string, placer *peer) {
 	now := p.d.now()
 	self, willing := p.willingPlacers(now)
-	if p.d.settings.Off.Has(mechanism.Cells) {
+	if p.d.settings.Disabled.Has(mechanism.Cells) {
 		return self.Address, nil
 	}
 	p.mu.Lock()
--- a/entry/sharing.go
+++ b/entry/sharing.go
@@ -181,7 +181,7 @@
 }
 
 func (s *sharedAllowances) reserveFor(tier int) float64 {
-	if s.set.Off.Has(mechanism.TierReserve) {
+	if s.set.Disabled.Has(mechanism.TierReserve) {
 		return 0
 	}
 	s.mu.Lock()
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -39,7 +39,7 @@
 func (c *callerRequest) startWatchdog(dec dispatch.Decision, cancel context.CancelFunc) *stallWatchdog {
 	w := &stallWatchdog{}
 	// The endpoint limit includes this attempt.
-	if c.d.settings.Off.Has(mechanism.StallRetry) || !c.route.Retryable() || c.sendCount+1 >= c.route.MaxEndpoints {
+	if c.d.settings.Disabled.Has(mechanism.StallRetry) || !c.route.Retryable() || c.sendCount+1 >= c.route.MaxEndpoints {
 		return w
 	}
 	tried := append(slices.Clone(c.tried), dispatch.EndpointHash(dec.Endpoint.Key()))
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -42,17 +42,17 @@
 
 // configWait returns how long a read of the configuration waits for a change.
 func (d *Daemon) configWait() time.Duration {
-	return max(minConfigWait, fraction(configWaitShare, d.settings.InForce))
+	return max(minConfigWait, fraction(configWaitShare, d.settings.ConfigApplyBound))
 }
 
 // relaySilence returns how long a VM waits for a relay before it reads the registry itself.
 func (d *Daemon) relaySilence() time.Duration {
-	return min(maxRelaySilence, fraction(relaySilenceShare, d.settings.Drain))
+	return min(maxRelaySilence, fraction(relaySilenceShare, d.settings.DrainBound))
 }
 
 // endpointsInterval returns how often the reader reads the registry.
 func (d *Daemon) endpointsInterval() time.Duration {
-	return min(maxEndpointsInterval, fraction(endpointsIntervalShare, d.settings.Drain))
+	return min(maxEndpointsInterval, fraction(endpointsIntervalShare, d.settings.DrainBound))
 }
 
 // backoff computes the pause before a call to the store is retried. The pause doubles with each
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -238,15 +238,15 @@
 	is := is.New(t)
 	set := testSettings(t, true)
 	d := New(Options{Settings: set, Log: logging.New(io.Discard)})
-	set.Drain, set.InForce = 2*time.Second, 2*time.Second
+	set.DrainBound, set.ConfigApplyBound = 2*time.Second, 2*time.Second
 	is.Equal(d.endpointsInterval(), 700*time.Millisecond)
 	is.Equal(d.relaySilence(), 1200*time.Millisecond)
 	is.Equal(d.configWait(), 2*time.Second)
-	set.Drain, set.InForce = 4*time.Second, 4*time.Second
+	set.DrainBound, set.ConfigApplyBound = 4*time.Second, 4*time.Second
 	is.Equal(d.endpointsInterval(), 1400*time.Millisecond)
 	is.Equal(d.configWait(), 3*time.Second)
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 30 * time.Second} {
-		set.Drain = drain
+		set.DrainBound = drain
 		for range 100 {
 			is.True(jitter(d.relaySilence()) <= drain*4/5)
 			is.True(jitter(d.endpointsInterval()) < d.relaySilence())
@@ -261,7 +261,7 @@
 func TestRetriesAgainstALostStoreBackOff(t *testing.T) {
 	is := is.New(t)
 	d := newDaemonWithUptime(t, time.Minute)
-	d.settings.Drain = 4 * time.Second
+	d.settings.DrainBound = 4 * time.Second
 	var r backoff
 	calls, at := 0, time.Duration(0)
 	for at < 4500*time.Millisecond {
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -14,23 +14,23 @@
 
 // Defaults of an entry daemon's settings that may be left out.
 const (
-	defaultEntryMemory      = 128
-	defaultEntryDescriptors = 1024
-	defaultInForce          = 3 * time.Second
-	defaultDrain            = 3 * time.Second
-	defaultGrace            = 8 * time.Second
-	defaultExposure         = 0.1
-	defaultWindow           = 10 * time.Second
-	minGrace                = 2 * time.Second
+	defaultMemoryMB         = 128
+	defaultMaxDescriptors   = 1024
+	defaultConfigApplyBound = 3 * time.Second
+	defaultDrainBound       = 3 * time.Second
+	defaultGracePeriod      = 8 * time.Second
+	defaultExposureShare    = 0.1
+	defaultBudgetWindow     = 10 * time.Second
+	minGracePeriod          = 2 * time.Second
 )
 
 // Entry are the checked settings of an entry daemon with their units resolved.
 type Entry struct {
 	*schema.EntrySettings
-	InForce, Drain, Grace        time.Duration
-	RetryWindow, AllowanceWindow time.Duration
-	// Off are the mechanisms that are switched off.
-	Off mechanism.Off
+	ConfigApplyBound, DrainBound, GracePeriod time.Duration
+	RetryWindow, AllowanceWindow              time.Duration
+	// Disabled are the mechanisms that are switched off.
+	Disabled mechanism.Off
 	// Released are the requests that run though they ended endpoints.
 	Released []suspect.Digest
 	regions  map[string]string
@@ -56,82 +56,82 @@
 		return nil, &config.FaultsError{Faults: faults}
 	}
 	c := &checker{}
-	e := c.entry(raw)
+	e := c.checkEntry(raw)
 	if len(c.faults) > 0 {
 		return nil, &config.FaultsError{Faults: c.faults}
 	}
 	return e, nil
 }
 
-func (c *checker) entry(raw *schema.EntrySettings) *Entry {
-	section(&raw.Vm)
-	section(&raw.Listen)
-	section(&raw.Platform)
-	section(&raw.Limits)
-	section(&raw.Bounds)
-	section(&raw.Experiments)
-	section(&raw.Suspects)
-	section(&raw.Rollouts)
-	number(&raw.Bounds.ExposureShare, defaultExposure)
-	number(&raw.Limits.MemoryMb, defaultEntryMemory)
-	number(&raw.Limits.MaxDescriptors, defaultEntryDescriptors)
+func (c *checker) checkEntry(raw *schema.EntrySettings) *Entry {
+	ensureSection(&raw.Vm)
+	ensureSection(&raw.Listen)
+	ensureSection(&raw.Platform)
+	ensureSection(&raw.Limits)
+	ensureSection(&raw.Bounds)
+	ensureSection(&raw.Experiments)
+	ensureSection(&raw.Suspects)
+	ensureSection(&raw.Rollouts)
+	setDefault(&raw.Bounds.ExposureShare, defaultExposureShare)
+	setDefault(&raw.Limits.MemoryMb, defaultMemoryMB)
+	setDefault(&raw.Limits.MaxDescriptors, defaultMaxDescriptors)
 	e := &Entry{
-		EntrySettings:   raw,
-		InForce:         c.duration("bounds.config_in_force", raw.Bounds.ConfigInForce, defaultInForce),
-		Drain:           c.duration("bounds.drain", raw.Bounds.Drain, defaultDrain),
-		Grace:           c.duration("bounds.grace", raw.Bounds.Grace, defaultGrace),
-		RetryWindow:     c.duration("bounds.retry_window", raw.Bounds.RetryWindow, defaultWindow),
-		AllowanceWindow: c.duration("bounds.allowance_window", raw.Bounds.AllowanceWindow, defaultWindow),
+		EntrySettings:    raw,
+		ConfigApplyBound: c.parseDuration("bounds.config_in_force", raw.Bounds.ConfigInForce, defaultConfigApplyBound),
+		DrainBound:       c.parseDuration("bounds.drain", raw.Bounds.Drain, defaultDrainBound),
+		GracePeriod:      c.parseDuration("bounds.grace", raw.Bounds.Grace, defaultGracePeriod),
+		RetryWindow:      c.parseDuration("bounds.retry_window", raw.Bounds.RetryWindow, defaultBudgetWindow),
+		AllowanceWindow:  c.parseDuration("bounds.allowance_window", raw.Bounds.AllowanceWindow, defaultBudgetWindow),
 	}
 	e.regions = make(map[string]string, len(raw.FailureDomains))
 	for i, d := range raw.FailureDomains {
 		if d.Name == "" {
-			c.fault(fmt.Sprintf("failure_domains[%d].name", i), "is missing")
+			c.addFault(fmt.Sprintf("failure_domains[%d].name", i), "is missing")
 		}
 		e.regions[d.Name] = d.Region
 	}
 	off, err := mechanism.Parse(raw.Experiments.Off)
 	if err != nil {
-		c.fault("experiments.off", err.Error())
+		c.addFault("experiments.off", err.Error())
 	}
-	e.Off = off
+	e.Disabled = off
 	for i, text := range raw.Suspects.Released {
 		d, err := suspect.ParseDigest(text)
 		if err != nil {
-			c.fault(fmt.Sprintf("suspects.released[%d]", i), err.Error())
+			c.addFault(fmt.Sprintf("suspects.released[%d]", i), err.Error())
 			continue
 		}
 		e.Released = append(e.Released, d)
 	}
 	if raw.Vm.Name == "" {
-		c.fault("vm.name", "is missing")
+		c.addFault("vm.name", "is missing")
 	}
 	if raw.Vm.FailureDomain == "" {
-		c.fault("vm.failure_domain", "is missing")
+		c.addFault("vm.failure_domain", "is missing")
 	}
-	if e.Grace < minGrace {
-		c.fault("bounds.grace", "must be at least "+minGrace.String())
+	if e.GracePeriod < minGracePeriod {
+		c.addFault("bounds.grace", "must be at least "+minGracePeriod.String())
 	}
-	c.notNegative("bounds.retry_ratio", raw.Bounds.RetryRatio)
-	c.notNegative("bounds.retry_slack", raw.Bounds.RetrySlack)
-	c.notNegative("bounds.allowance_over", raw.Bounds.AllowanceOver)
-	c.notNegative("bounds.allowance_slack", raw.Bounds.AllowanceSlack)
-	c.notNegative("bounds.exposure_slack", raw.Bounds.ExposureSlack)
+	c.checkNotNegative("bounds.retry_ratio", raw.Bounds.RetryRatio)
+	c.checkNotNegative("bounds.retry_slack", raw.Bounds.RetrySlack)
+	c.checkNotNegative("bounds.allowance_over", raw.Bounds.AllowanceOver)
+	c.checkNotNegative("bounds.allowance_slack", raw.Bounds.AllowanceSlack)
+	c.checkNotNegative("bounds.exposure_slack", raw.Bounds.ExposureSlack)
 	if raw.Bounds.ExposureShare < 0 || raw.Bounds.ExposureShare > 1 {
-		c.fault("bounds.exposure_share", "must be from 0 to 1")
+		c.addFault("bounds.exposure_share", "must be from 0 to 1")
 	}
-	c.address("listen.callers", raw.Listen.Callers)
-	c.address("listen.ready", raw.Listen.Ready)
-	c.address("listen.peers", raw.Listen.Peers)
-	c.address("platform.address", raw.Platform.Address)
+	c.checkAddress("listen.callers", raw.Listen.Callers)
+	c.checkAddress("listen.ready", raw.Listen.Ready)
+	c.checkAddress("listen.peers", raw.Listen.Peers)
+	c.checkAddress("platform.address", raw.Platform.Address)
 	if raw.Listen.Metrics != "" {
-		c.address("listen.metrics", raw.Listen.Metrics)
+		c.checkAddress("listen.metrics", raw.Listen.Metrics)
 	}
 	return e
 }
 
-func (c *checker) notNegative(path string, v float64) {
+func (c *checker) checkNotNegative(path string, v float64) {
 	if v < 0 {
-		c.fault(path, "must not be negative")
+		c.addFault(path, "must not be negative")
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,28 +14,28 @@
 
 // Values of undeclared_attempt.
 const (
-	// UndeclaredRepeat treats a request without an attempt number as one that
+	// UndeclaredMayBeRetry treats a request without an attempt number as one that
 	// may have been sent before.
-	UndeclaredRepeat = "repeat"
-	// UndeclaredFirst trusts callers never to repeat without a number.
-	UndeclaredFirst = "first"
+	UndeclaredMayBeRetry = "repeat"
+	// UndeclaredFirstAttempt trusts callers never to repeat without a number.
+	UndeclaredFirstAttempt = "first"
 )
 
 // Defaults of settings that may be left out.
 const (
-	defaultPoll        = 100 * time.Millisecond
-	defaultTimeout     = 2 * time.Second
-	defaultBody        = 4 << 20
-	defaultHeader      = 16 << 10
-	defaultConnections = 10000
-	defaultRead        = 10 * time.Second
-	defaultIdle        = 90 * time.Second
-	defaultQueued      = 10000
-	defaultLease       = time.Second
-	defaultRecords     = 200000
-	defaultBound       = 5 * time.Minute
-	minKeyBytes        = 16
-	minLease           = 200 * time.Millisecond
+	defaultPollInterval      = 100 * time.Millisecond
+	defaultPlatformTimeout   = 2 * time.Second
+	defaultMaxBodyBytes      = 4 << 20
+	defaultMaxHeaderBytes    = 16 << 10
+	defaultMaxConnections    = 10000
+	defaultReadTimeout       = 10 * time.Second
+	defaultIdleTimeout       = 90 * time.Second
+	defaultMaxQueuedRequests = 10000
+	defaultLease             = time.Second
+	defaultMaxRecords        = 200000
+	defaultShutdownBound     = 5 * time.Minute
+	minKeyBytes              = 16
+	minLease                 = 200 * time.Millisecond
 )
 
 // Settings are checked settings with their units resolved.
@@ -75,7 +75,7 @@
 		return nil, &config.FaultsError{Faults: faults}
 	}
 	c := &checker{}
-	s := c.check(raw)
+	s := c.checkSettings(raw)
 	if len(c.faults) > 0 {
 		return nil, &config.FaultsError{Faults: c.faults}
 	}
@@ -84,134 +84,134 @@
 
 type checker struct{ faults []config.Fault }
 
-func (c *checker) fault(path, problem string) {
+func (c *checker) addFault(path, problem string) {
 	c.faults = append(c.faults, config.Fault{Path: path, Problem: problem})
 }
 
-func (c *checker) check(raw *schema.Settings) *Settings {
-	fillEmpty(raw)
+func (c *checker) checkSettings(raw *schema.Settings) *Settings {
+	applyDefaults(raw)
 	s := &Settings{
 		Settings:        raw,
-		PollInterval:    c.duration("platform.poll_interval", raw.Platform.PollInterval, defaultPoll),
-		PlatformTimeout: c.duration("platform.timeout", raw.Platform.Timeout, defaultTimeout),
-		ReadTimeout:     c.duration("limits.read_timeout", raw.Limits.ReadTimeout, defaultRead),
-		IdleTimeout:     c.duration("limits.idle_timeout", raw.Limits.IdleTimeout, defaultIdle),
-		Lease:           c.duration("claims.lease", raw.Claims.Lease, defaultLease),
-		ShutdownBound:   c.duration("shutdown.bound", raw.Shutdown.Bound, defaultBound),
-	}
-	s.ClaimTimeout = c.duration("claims.timeout", raw.Claims.Timeout, 2*s.Lease)
-	c.vm(raw)
-	c.addresses(raw)
-	c.keys(raw)
-	c.claims(s)
+		PollInterval:    c.parseDuration("platform.poll_interval", raw.Platform.PollInterval, defaultPollInterval),
+		PlatformTimeout: c.parseDuration("platform.timeout", raw.Platform.Timeout, defaultPlatformTimeout),
+		ReadTimeout:     c.parseDuration("limits.read_timeout", raw.Limits.ReadTimeout, defaultReadTimeout),
+		IdleTimeout:     c.parseDuration("limits.idle_timeout", raw.Limits.IdleTimeout, defaultIdleTimeout),
+		Lease:           c.parseDuration("claims.lease", raw.Claims.Lease, defaultLease),
+		ShutdownBound:   c.parseDuration("shutdown.bound", raw.Shutdown.Bound, defaultShutdownBound),
+	}
+	s.ClaimTimeout = c.parseDuration("claims.timeout", raw.Claims.Timeout, 2*s.Lease)
+	c.checkVMs(raw)
+	c.checkAddresses(raw)
+	c.checkKeys(raw)
+	c.checkClaims(s)
 	return s
 }
 
-// fillEmpty gives every section and number its default.
-func fillEmpty(raw *schema.Settings) {
-	section(&raw.Vm)
-	section(&raw.Listen)
-	section(&raw.Platform)
-	section(&raw.Keys)
-	section(&raw.Tls)
-	section(&raw.Limits)
-	section(&raw.Claims)
-	section(&raw.Shutdown)
-	number(&raw.Limits.MaxBodyBytes, defaultBody)
-	number(&raw.Limits.MaxHeaderBytes, defaultHeader)
-	number(&raw.Limits.MaxConnections, defaultConnections)
-	number(&raw.Limits.MaxQueuedRequests, defaultQueued)
-	number(&raw.Claims.MaxRecords, defaultRecords)
+// applyDefaults gives every section and number its default.
+func applyDefaults(raw *schema.Settings) {
+	ensureSection(&raw.Vm)
+	ensureSection(&raw.Listen)
+	ensureSection(&raw.Platform)
+	ensureSection(&raw.Keys)
+	ensureSection(&raw.Tls)
+	ensureSection(&raw.Limits)
+	ensureSection(&raw.Claims)
+	ensureSection(&raw.Shutdown)
+	setDefault(&raw.Limits.MaxBodyBytes, defaultMaxBodyBytes)
+	setDefault(&raw.Limits.MaxHeaderBytes, defaultMaxHeaderBytes)
+	setDefault(&raw.Limits.MaxConnections, defaultMaxConnections)
+	setDefault(&raw.Limits.MaxQueuedRequests, defaultMaxQueuedRequests)
+	setDefault(&raw.Claims.MaxRecords, defaultMaxRecords)
 	if raw.Claims.UndeclaredAttempt == "" {
-		raw.Claims.UndeclaredAttempt = UndeclaredRepeat
+		raw.Claims.UndeclaredAttempt = UndeclaredMayBeRetry
 	}
 }
 
-func section[T any](p **T) {
+func ensureSection[T any](p **T) {
 	if *p == nil {
 		*p = new(T)
 	}
 }
 
-func number[T uint32 | float64](p *T, def T) {
+func setDefault[T uint32 | float64](p *T, def T) {
 	if *p == 0 {
 		*p = def
 	}
 }
 
-func (c *checker) duration(path, s string, def time.Duration) time.Duration {
+func (c *checker) parseDuration(path, s string, def time.Duration) time.Duration {
 	if s == "" {
 		return def
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d <= 0 {
-		c.fault(path, `must be a positive duration with a unit, such as "250ms"`)
+		c.addFault(path, `must be a positive duration with a unit, such as "250ms"`)
 		return def
 	}
 	return d
 }
 
-func (c *checker) vm(raw *schema.Settings) {
+func (c *checker) checkVMs(raw *schema.Settings) {
 	if raw.Vm.Id == 0 {
-		c.fault("vm.id", "must be positive")
+		c.addFault("vm.id", "must be positive")
 	}
 	if raw.Vm.FailureDomain == "" {
-		c.fault("vm.failure_domain", "is missing")
+		c.addFault("vm.failure_domain", "is missing")
 	}
 	ids := map[uint32]bool{raw.Vm.Id: true}
 	for i, p := range raw.Peers {
 		path := fmt.Sprintf("peers[%d].", i)
 		if p.Id == 0 || ids[p.Id] {
-			c.fault(path+"id", "must be positive and unique among all VMs")
+			c.addFault(path+"id", "must be positive and unique among all VMs")
 		}
 		ids[p.Id] = true
 		if p.FailureDomain == "" {
-			c.fault(path+"failure_domain", "is missing")
+			c.addFault(path+"failure_domain", "is missing")
 		}
-		c.address(path+"address", p.Address)
+		c.checkAddress(path+"address", p.Address)
 	}
 }
 
-func (c *checker) addresses(raw *schema.Settings) {
-	c.address("listen.callers", raw.Listen.Callers)
-	c.address("listen.peers", raw.Listen.Peers)
-	c.address("listen.operators", raw.Listen.Operators)
-	c.address("platform.address", raw.Platform.Address)
+func (c *checker) checkAddresses(raw *schema.Settings) {
+	c.checkAddress("listen.callers", raw.Listen.Callers)
+	c.checkAddress("listen.peers", raw.Listen.Peers)
+	c.checkAddress("listen.operators", raw.Listen.Operators)
+	c.checkAddress("platform.address", raw.Platform.Address)
 	if raw.Listen.Callers == raw.Listen.Peers || raw.Listen.Callers == raw.Listen.Operators || raw.Listen.Peers == raw.Listen.Operators {
-		c.fault("listen", "callers, peers and operators must have addresses of their own")
+		c.addFault("listen", "callers, peers and operators must have addresses of their own")
 	}
 }
 
-func (c *checker) address(path, a string) {
+func (c *checker) checkAddress(path, a string) {
 	host, _, err := net.SplitHostPort(a)
 	if err != nil || net.ParseIP(host) == nil {
-		c.fault(path, `must be an IP number and port, such as "10.0.0.1:7001"`)
+		c.addFault(path, `must be an IP number and port, such as "10.0.0.1:7001"`)
 	}
 }
 
-func (c *checker) keys(raw *schema.Settings) {
+func (c *checker) checkKeys(raw *schema.Settings) {
 	if len(raw.Keys.Peer) < minKeyBytes {
-		c.fault("keys.peer", fmt.Sprintf("must have at least %d characters", minKeyBytes))
+		c.addFault("keys.peer", fmt.Sprintf("must have at least %d characters", minKeyBytes))
 	}
 	if len(raw.Keys.Operator) < minKeyBytes {
-		c.fault("keys.operator", fmt.Sprintf("must have at least %d characters", minKeyBytes))
+		c.addFault("keys.operator", fmt.Sprintf("must have at least %d characters", minKeyBytes))
 	}
 	if raw.Keys.Peer != "" && raw.Keys.Peer == raw.Keys.Operator {
-		c.fault("keys", "peer and operator keys must differ")
+		c.addFault("keys", "peer and operator keys must differ")
 	}
 	if (raw.Tls.CertificateFile == "") != (raw.Tls.KeyFile == "") {
-		c.fault("tls", "certificate_file and key_file go together")
+		c.addFault("tls", "certificate_file and key_file go together")
 	}
 }
 
-func (c *checker) claims(s *Settings) {
+func (c *checker) checkClaims(s *Settings) {
 	if s.Lease < minLease {
-		c.fault("claims.lease", "must be at least "+minLease.String())
+		c.addFault("claims.lease", "must be at least "+minLease.String())
 	}
 	if s.ClaimTimeout <= s.Lease {
-		c.fault("claims.timeout", "must be longer than claims.lease")
+		c.addFault("claims.timeout", "must be longer than claims.lease")
 	}
-	if u := s.Claims.UndeclaredAttempt; u != UndeclaredRepeat && u != UndeclaredFirst {
-		c.fault("claims.undeclared_attempt", `must be "repeat" or "first"`)
+	if u := s.Claims.UndeclaredAttempt; u != UndeclaredMayBeRetry && u != UndeclaredFirstAttempt {
+		c.addFault("claims.undeclared_attempt", `must be "repeat" or "first"`)
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/chivefield/chivefield/config"
 )
 
-const good = `
+const validSettings = `
 [vm]
 id = 1
 failure_domain = "a"
@@ -26,10 +26,10 @@
 operator = "0123456789abcdeF"
 `
 
-// TestFaults: each bad setting is refused at start, with the key's name.
-func TestFaults(t *testing.T) {
+// TestInvalidSettingsAreRejected: each bad setting is refused at start, with the key's name.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	is := is.New(t)
-	_, err := Parse([]byte(good))
+	_, err := Parse([]byte(validSettings))
 	is.NoErr(err)
 	for _, c := range []struct{ add, path string }{
 		{"[claims]\nleese = \"1s\"", "claims.leese"},
@@ -43,18 +43,18 @@
 		{"[limits]\nmax_body_bytes = -1", "document"},
 		{"[vm", "line 14, column 3"},
 	} {
-		_, err := Parse([]byte(good + c.add))
+		_, err := Parse([]byte(validSettings + c.add))
 		var f *config.FaultsError
 		is.True(errors.As(err, &f))
 		is.Equal(c.add+": "+f.Faults[0].Path, c.add+": "+c.path)
 	}
-	_, err = Parse([]byte(strings.Replace(good, "127.0.0.1:2", "127.0.0.1:1", 1)))
+	_, err = Parse([]byte(strings.Replace(validSettings, "127.0.0.1:2", "127.0.0.1:1", 1)))
 	is.True(strings.Contains(err.Error(), "addresses of their own"))
 }
 
 // An entry VM's settings name the region of each failure domain; one without a name is
 // a fault with its place.
-func TestEntryRegions(t *testing.T) {
+func TestFailureDomainRegions(t *testing.T) {
 	is := is.New(t)
 	const entry = `
 [vm]
@@ -91,7 +91,7 @@
 	}
 	set, err := ParseEntry(settings("cells"))
 	is.NoErr(err)
-	is.Equal(set.Off.String(), "turns,cells")
+	is.Equal(set.Disabled.String(), "turns,cells")
 	_, err = ParseEntry(settings("cell"))
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "experiments.off"))
