--- a/settings/entry.go
+++ b/settings/entry.go
@@ -12,7 +12,7 @@
 	"github.com/chivefield/chivefield/tomlproto"
 )
 
-// Defaults of an entry daemon's settings that may be left out.
+// Defaults and minimums of an entry daemon's settings.
 const (
 	defaultMemoryMB         = 128
 	defaultMaxDescriptors   = 1024
@@ -24,22 +24,26 @@
 	minGracePeriod          = 2 * time.Second
 )
 
-// Entry are the checked settings of an entry daemon with their units resolved.
+// Entry holds the validated settings of an entry daemon, with durations and digests parsed.
 type Entry struct {
 	*schema.EntrySettings
+	// ConfigApplyBound is the time within which a configuration change must be applied on all VMs,
+	// DrainBound that within which a leaving endpoint must stop receiving requests, and GracePeriod
+	// the time from SIGTERM to SIGKILL.
 	ConfigApplyBound, DrainBound, GracePeriod time.Duration
-	RetryWindow, AllowanceWindow              time.Duration
-	// Disabled are the mechanisms that are switched off.
+	// RetryWindow and AllowanceWindow are the windows of the retry budget and of the allowances.
+	RetryWindow, AllowanceWindow time.Duration
+	// Disabled is the set of mechanisms that are switched off.
 	Disabled mechanism.Off
-	// Released are the requests that run though they ended endpoints.
+	// Released lists the requests that are run although they have crashed endpoints.
 	Released []suspect.Digest
 	regions  map[string]string
 }
 
-// Region is the region of a failure domain; empty if the settings do not say.
+// Region returns the region of a failure domain; empty if the settings do not name one.
 func (e *Entry) Region(failureDomain string) string { return e.regions[failureDomain] }
 
-// LoadEntry reads and checks the settings file of an entry daemon.
+// LoadEntry reads, parses and validates the settings file of an entry daemon.
 func LoadEntry(path string) (*Entry, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -48,8 +52,8 @@
 	return ParseEntry(data)
 }
 
-// ParseEntry reads and checks an entry daemon's settings. The error is a
-// config.FaultsError.
+// ParseEntry parses and validates an entry daemon's settings. It returns a config.FaultsError if
+// they are invalid.
 func ParseEntry(data []byte) (*Entry, error) {
 	raw := &schema.EntrySettings{}
 	if faults := tomlproto.Decode(data, raw); len(faults) > 0 {
@@ -63,6 +67,7 @@
 	return e, nil
 }
 
+// checkEntry applies defaults to the settings of an entry daemon and records their faults.
 func (c *checker) checkEntry(raw *schema.EntrySettings) *Entry {
 	ensureSection(&raw.Vm)
 	ensureSection(&raw.Listen)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings of one daemon.
+// Package settings parses and validates the settings of a daemon.
 package settings
 
 import (
@@ -14,14 +14,13 @@
 
 // Values of undeclared_attempt.
 const (
-	// UndeclaredMayBeRetry treats a request without an attempt number as one that
-	// may have been sent before.
+	// UndeclaredMayBeRetry treats a request without an attempt number as a possible retry.
 	UndeclaredMayBeRetry = "repeat"
-	// UndeclaredFirstAttempt trusts callers never to repeat without a number.
+	// UndeclaredFirstAttempt treats it as a first attempt and trusts callers to number all retries.
 	UndeclaredFirstAttempt = "first"
 )
 
-// Defaults of settings that may be left out.
+// Defaults and minimums of settings.
 const (
 	defaultPollInterval      = 100 * time.Millisecond
 	defaultPlatformTimeout   = 2 * time.Second
@@ -38,7 +37,7 @@
 	minLease                 = 200 * time.Millisecond
 )
 
-// Settings are checked settings with their units resolved.
+// Settings holds the validated settings of a daemon, with durations parsed.
 type Settings struct {
 	*schema.Settings
 	PollInterval, PlatformTimeout time.Duration
@@ -47,19 +46,19 @@
 	ShutdownBound                 time.Duration
 }
 
-// FileError reports a settings file that cannot be read.
+// FileError reports that a settings file cannot be read.
 type FileError struct {
 	Path string
 	Err  error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *FileError) Error() string { return "settings " + e.Path + ": " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Load reads and checks a settings file.
+// Load reads, parses and validates a settings file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +67,7 @@
 	return Parse(data)
 }
 
-// Parse reads and checks settings. The error is a config.FaultsError.
+// Parse parses and validates settings. It returns a config.FaultsError if they are invalid.
 func Parse(data []byte) (*Settings, error) {
 	raw := &schema.Settings{}
 	if faults := tomlproto.Decode(data, raw); len(faults) > 0 {
@@ -82,12 +81,14 @@
 	return s, nil
 }
 
+// checker collects the faults of settings.
 type checker struct{ faults []config.Fault }
 
 func (c *checker) addFault(path, problem string) {
 	c.faults = append(c.faults, config.Fault{Path: path, Problem: problem})
 }
 
+// checkSettings applies defaults to settings and records their faults.
 func (c *checker) checkSettings(raw *schema.Settings) *Settings {
 	applyDefaults(raw)
 	s := &Settings{
@@ -107,7 +108,8 @@
 	return s
 }
 
-// applyDefaults gives every section and number its default.
+// applyDefaults creates missing sections and sets missing numbers and undeclared_attempt to their
+// defaults. Durations get theirs from parseDuration.
 func applyDefaults(raw *schema.Settings) {
 	ensureSection(&raw.Vm)
 	ensureSection(&raw.Listen)
@@ -139,6 +141,7 @@
 	}
 }
 
+// parseDuration parses the duration of a setting and returns def if it is missing or invalid.
 func (c *checker) parseDuration(path, s string, def time.Duration) time.Duration {
 	if s == "" {
 		return def
@@ -185,7 +188,7 @@
 func (c *checker) checkAddress(path, a string) {
 	host, _, err := net.SplitHostPort(a)
 	if err != nil || net.ParseIP(host) == nil {
-		c.addFault(path, `must be an IP number and port, such as "10.0.0.1:7001"`)
+		c.addFault(path, `must be an IP address and port, such as "10.0.0.1:7001"`)
 	}
 }
 
@@ -200,7 +203,7 @@
 		c.addFault("keys", "peer and operator keys must differ")
 	}
 	if (raw.Tls.CertificateFile == "") != (raw.Tls.KeyFile == "") {
-		c.addFault("tls", "certificate_file and key_file go together")
+		c.addFault("tls", "certificate_file and key_file must be set together")
 	}
 }
 
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -26,7 +26,7 @@
 operator = "0123456789abcdeF"
 `
 
-// TestInvalidSettingsAreRejected: each bad setting is refused at start, with the key's name.
+// Checks that invalid settings are rejected with the path of the faulty key.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(validSettings))
@@ -52,8 +52,8 @@
 	is.True(strings.Contains(err.Error(), "addresses of their own"))
 }
 
-// An entry VM's settings name the region of each failure domain; one without a name is
-// a fault with its place.
+// Checks that the settings of an entry daemon give the region of each failure domain, and that a
+// failure domain without a name is rejected with its path.
 func TestFailureDomainRegions(t *testing.T) {
 	is := is.New(t)
 	const entry = `
@@ -77,8 +77,8 @@
 	is.Equal(faults.Faults[0].Path, "failure_domains[0].name")
 }
 
-// An operator who switches off a mechanism under a wrong name must hear of it: the
-// suspected one would go on.
+// Guards against a misspelt mechanism being ignored: the mechanism that the operator suspects would
+// stay switched on.
 func TestUnknownMechanismIsRefused(t *testing.T) {
 	is := is.New(t)
 	settings := func(name string) []byte {
@@ -97,7 +97,8 @@
 	is.True(strings.Contains(err.Error(), "experiments.off"))
 }
 
-// Released requests are named by their digests; a wrong one is refused with its place.
+// Checks that released requests are named by their digests, and that an invalid digest is rejected
+// with its path.
 func TestReleasedRequests(t *testing.T) {
 	is := is.New(t)
 	text := func(digest string) []byte {
