--- a/schema/entry.twirp.go
+++ b/schema/entry.twirp.go
@@ -31,7 +31,7 @@
 // Relay Interface
 // ===============
 
-// Relay lets a VM have from another what that one read from the store.
+// Relay lets a VM fetch from another VM what that one has read from the store.
 type Relay interface {
 	Config(context.Context, *ConfigRequest) (*ConfigReply, error)
 
--- a/schema/generate.go
+++ b/schema/generate.go
@@ -1,6 +1,6 @@
-// Package schema holds the messages between processes, the settings of a
-// daemon and the configuration document. The .proto files are the source; the
-// generated code is committed, so that a build needs no generator.
+// Package schema defines the messages between processes, the settings of the daemons and the
+// configuration document. The code generated from the .proto files is committed, so that building
+// does not require the generators.
 package schema
 
 //go:generate ./generate.sh
--- a/schema/peer.twirp.go
+++ b/schema/peer.twirp.go
@@ -26,7 +26,8 @@
 // PeerService Interface
 // =====================
 
-// PeerService joins the VMs of a deployment. One call carries a batch each way.
+// PeerService exchanges messages between the VMs of a deployment. One call carries a batch in each
+// direction.
 type PeerService interface {
 	Exchange(context.Context, *Envelope) (*Envelope, error)
 }
