--- a/core/calls.go
+++ b/core/calls.go
@@ -14,13 +14,13 @@
 type stage int
 
 const (
-	finding  stage = iota // asking whether it ran before
-	queued                // waiting for an endpoint
-	claiming              // assigned, waiting for the claim
-	running               // dispatched
-	attached              // reading another dispatch's answer
-	fencing               // giving back another dispatch's claim
-	refusing              // making "not run" certain
+	lookingUp stage = iota // asking whether it ran before
+	queued                 // waiting for an endpoint
+	claiming               // assigned, waiting for the claim
+	running                // dispatched
+	attached               // reading another dispatch's answer
+	fencing                // giving back another dispatch's claim
+	refusing               // making "not run" certain
 )
 
 // call is one request of a caller.
@@ -29,8 +29,8 @@
 	spec    request.Spec
 	arrived time.Duration
 	stage   stage
-	// flight is the present or granted claim flight; 0 if none.
-	flight  uint64
+	// claimID is the present or granted claim claimID; 0 if none.
+	claimID uint64
 	granted bool
 	// assigned is the scheduler's decision that waits for the claim.
 	assigned sched.Assignment
@@ -46,18 +46,18 @@
 // maxRetries bounds how often a request that provably ran nowhere is sent again.
 const maxRetries = 2
 
-func (n *Node) arrive(ev Arrive) {
+func (n *Node) onArrive(ev Arrive) {
 	c := &call{handle: ev.Handle, spec: ev.Spec, arrived: n.now}
 	n.calls[ev.Handle] = c
 	if c.spec.OutputTokens > 0 {
-		c.spec.OutputTokens = n.learned.expect(c.spec.Kind, c.spec.OutputTokens, c.spec.MaxOutput)
+		c.spec.OutputTokens = n.outputEstimates.estimate(c.spec.Kind, c.spec.OutputTokens, c.spec.MaxOutput)
 	}
 	switch {
 	case n.draining:
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonShutdown, RetryAfter: drainRetryAfter})
 	case c.spec.Repeat():
-		c.stage = finding
-		n.fly(c, claim.Find)
+		c.stage = lookingUp
+		n.startClaim(c, claim.Find)
 	default:
 		n.enqueue(c)
 	}
@@ -71,22 +71,22 @@
 	n.sched.Submit(n.now, c.handle, c.spec)
 }
 
-// fly starts a claim flight for a call.
-func (n *Node) fly(c *call, intent claim.Intent) {
-	unused := c.flight
-	n.newFlight(c)
-	n.claims.Acquire(n.now, c.flight, claim.Wish{
+// startClaim starts a claim flight for a call.
+func (n *Node) startClaim(c *call, intent claim.Intent) {
+	unused := c.claimID
+	n.newClaimID(c)
+	n.claims.Acquire(n.now, c.claimID, claim.Wish{
 		Intent: intent, Replaces: unused, HomeOnly: !c.spec.TrustFirst, Key: c.spec.Key, Digest: c.spec.Digest, Attempt: c.spec.Attempt,
 		Repeat: c.spec.Repeat(), Arrived: c.arrived,
 		Endpoint: c.assigned.Endpoint, Stream: n.stream(c),
 	})
 }
 
-func (n *Node) newFlight(c *call) {
-	delete(n.flights, c.flight)
-	n.lastFlight++
-	c.flight = n.lastFlight
-	n.flights[c.flight] = c
+func (n *Node) newClaimID(c *call) {
+	delete(n.callsByClaim, c.claimID)
+	n.lastClaimID++
+	c.claimID = n.lastClaimID
+	n.callsByClaim[c.claimID] = c
 }
 
 // stream names the dispatch at the endpoint. No other dispatch has the name,
@@ -95,12 +95,12 @@
 	return fmt.Sprintf("%d-%x-%d-%d", n.cfg.Claim.Self.ID, n.cfg.Claim.Incarnation, c.handle, c.retries)
 }
 
-func (n *Node) assigned(a sched.Assignment) {
+func (n *Node) onAssigned(a sched.Assignment) {
 	c := n.calls[a.Handle]
 	c.assigned = a
 	c.granted = false
 	c.stage = claiming
-	n.fly(c, claim.Run)
+	n.startClaim(c, claim.Run)
 }
 
 func (n *Node) dispatch(c *call) {
@@ -108,14 +108,14 @@
 	n.emit(Dispatch{Handle: c.handle, Endpoint: c.assigned.Endpoint, Stream: n.stream(c), Candidates: c.assigned.Candidates})
 }
 
-// claimResult goes on with the call whose flight ended.
-func (n *Node) claimResult(r claim.Result) {
-	c := n.flights[r.Flight]
+// onClaimResult goes on with the call whose flight ended.
+func (n *Node) onClaimResult(r claim.Result) {
+	c := n.callsByClaim[r.Flight]
 	if c == nil {
 		return
 	}
 	if r.Verdict != claim.Granted {
-		n.endFlight(c)
+		n.clearClaim(c)
 		n.releaseSlot(c)
 	}
 	switch r.Verdict {
@@ -124,7 +124,7 @@
 	case claim.Absent:
 		n.enqueue(c)
 	case claim.Held:
-		n.held(c, r)
+		n.onHeld(c, r)
 	case claim.Conflict:
 		delete(n.calls, c.handle)
 		n.emit(Conflict{Handle: c.handle})
@@ -141,8 +141,8 @@
 func (n *Node) claimGranted(c *call) {
 	c.granted = true
 	if n.now >= c.spec.Deadline {
-		n.claims.NotDispatched(n.now, c.flight)
-		n.endFlight(c)
+		n.claims.NotDispatched(n.now, c.claimID)
+		n.clearClaim(c)
 		n.releaseSlot(c)
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonTooLate, RetryAfter: unknownRetryAfter})
 		return
@@ -150,9 +150,9 @@
 	n.dispatch(c)
 }
 
-func (n *Node) endFlight(c *call) {
-	delete(n.flights, c.flight)
-	c.flight = 0
+func (n *Node) clearClaim(c *call) {
+	delete(n.callsByClaim, c.claimID)
+	c.claimID = 0
 	c.granted = false
 }
 
@@ -163,8 +163,8 @@
 	}
 }
 
-// held answers from another dispatch of the same key.
-func (n *Node) held(c *call, held claim.Result) {
+// onHeld answers from another dispatch of the same key.
+func (n *Node) onHeld(c *call, held claim.Result) {
 	r := held.Record
 	if r.State == schema.RecordState_CANCELLED {
 		n.finish(c, request.Cancelled, request.ReasonRefused, 0)
@@ -175,12 +175,12 @@
 	n.emit(Attach{Handle: c.handle, Record: r})
 }
 
-// refused handles the scheduler's refusal.
-func (n *Node) refused(r sched.Refusal) {
+// onRefused handles the scheduler's refusal.
+func (n *Node) onRefused(r sched.Refusal) {
 	c := n.calls[r.Handle]
 	if c.granted {
-		n.claims.NotDispatched(n.now, c.flight)
-		n.endFlight(c)
+		n.claims.NotDispatched(n.now, c.claimID)
+		n.clearClaim(c)
 	}
 	n.refuse(c, r)
 }
@@ -194,24 +194,24 @@
 		return
 	}
 	c.stage = refusing
-	n.fly(c, claim.Refuse)
+	n.startClaim(c, claim.Refuse)
 }
 
-func (n *Node) finishNotRun(c *call, why request.Reason) {
+func (n *Node) finishNotRun(c *call, reason request.Reason) {
 	after := unknownRetryAfter
 	if c.stage == refusing {
-		why, after = c.refusal.Reason, c.refusal.RetryAfter
+		reason, after = c.refusal.Reason, c.refusal.RetryAfter
 	}
-	n.finish(c, request.NotRun, why, after)
+	n.finish(c, request.NotRun, reason, after)
 }
 
-func (n *Node) finish(c *call, o request.Outcome, why request.Reason, after time.Duration) {
+func (n *Node) finish(c *call, o request.Outcome, reason request.Reason, retryAfter time.Duration) {
 	delete(n.calls, c.handle)
-	n.emit(Finish{Handle: c.handle, Outcome: o, Reason: why, RetryAfter: after})
+	n.emit(Finish{Handle: c.handle, Outcome: o, Reason: reason, RetryAfter: retryAfter})
 }
 
-// callerGone forgets a request that was not dispatched; one that was goes on.
-func (n *Node) callerGone(handle uint64) {
+// onCallerDisconnected forgets a request that was not dispatched; one that was goes on.
+func (n *Node) onCallerDisconnected(handle uint64) {
 	c := n.calls[handle]
 	if c == nil {
 		return
@@ -225,9 +225,9 @@
 // abandon ends a call that was not dispatched and whose caller needs no answer.
 func (n *Node) abandon(c *call) {
 	n.sched.Withdraw(n.now, c.handle)
-	if c.flight != 0 {
-		n.claims.Forget(n.now, c.flight)
-		n.endFlight(c)
+	if c.claimID != 0 {
+		n.claims.Forget(n.now, c.claimID)
+		n.clearClaim(c)
 	}
 	n.releaseSlot(c)
 	delete(n.calls, c.handle)
@@ -246,12 +246,12 @@
 	n.emit(Finish{Handle: handle, Outcome: request.Cancelled, Reason: request.ReasonCaller})
 }
 
-func (n *Node) stop(c *call, why request.Reason) {
+func (n *Node) stop(c *call, reason request.Reason) {
 	if c.stopReason != "" {
 		return
 	}
-	c.stopReason = why
-	n.emit(Stop{Handle: c.handle, Reason: why})
+	c.stopReason = reason
+	n.emit(Stop{Handle: c.handle, Reason: reason})
 }
 
 // stopForHigherTier stops running work, or drops it if it is not dispatched yet.
@@ -261,14 +261,14 @@
 		n.stop(c, request.ReasonHigherTier)
 		return
 	}
-	n.claims.Forget(n.now, c.flight)
-	n.endFlight(c)
+	n.claims.Forget(n.now, c.claimID)
+	n.clearClaim(c)
 	n.releaseSlot(c)
 	n.refuse(c, sched.Refusal{Handle: handle, Reason: request.ReasonHigherTier, RetryAfter: unknownRetryAfter})
 }
 
-// stopLate stops what can no longer be in time.
-func (n *Node) stopLate() {
+// stopExpired stops what can no longer be in time.
+func (n *Node) stopExpired() {
 	for _, c := range n.sortedCalls() {
 		if c.stage == running && c.spec.Idempotent && n.now >= c.spec.Deadline {
 			n.stop(c, request.ReasonDeadline)
@@ -276,78 +276,78 @@
 	}
 }
 
-// ended handles the end of a dispatch or attachment.
-func (n *Node) ended(ev Ended) {
+// onEnded handles the end of a dispatch or attachment.
+func (n *Node) onEnded(ev Ended) {
 	c := n.calls[ev.Handle]
 	if c == nil {
 		return
 	}
 	if c.stage == attached {
-		n.endedAttachment(c, ev.End)
+		n.onAttachmentEnded(c, ev.End)
 		return
 	}
-	if ev.End == NotTaken && c.stopReason == "" {
+	if ev.End == NotAccepted && c.stopReason == "" {
 		n.retry(c)
 		return
 	}
 	if ev.End == Fenced {
-		n.startOver(c)
+		n.restartLookup(c)
 		return
 	}
 	n.sched.Tokens(n.now, c.handle, ev.Tokens)
 	n.sched.Done(n.now, c.handle)
-	flight := c.flight
-	n.endFlight(c)
+	claimID := c.claimID
+	n.clearClaim(c)
 	switch ev.End {
-	case Whole:
-		n.learned.observe(c.spec.Kind, ev.Tokens)
-		n.claims.Ended(n.now, flight, schema.RecordState_ANSWERED)
+	case Complete:
+		n.outputEstimates.observe(c.spec.Kind, ev.Tokens)
+		n.claims.Ended(n.now, claimID, schema.RecordState_ANSWERED)
 		n.finish(c, request.Answered, request.ReasonDone, 0)
-	case NotTaken:
-		n.claims.NotDispatched(n.now, flight)
+	case NotAccepted:
+		n.claims.NotDispatched(n.now, claimID)
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: c.stopReason, RetryAfter: unknownRetryAfter})
 	case Stopped:
-		n.claims.Ended(n.now, flight, schema.RecordState_CANCELLED)
+		n.claims.Ended(n.now, claimID, schema.RecordState_CANCELLED)
 		n.finish(c, request.Cancelled, c.stopReason, 0)
 	default:
-		n.claims.Ended(n.now, flight, schema.RecordState_UNKNOWN)
+		n.claims.Ended(n.now, claimID, schema.RecordState_UNKNOWN)
 		n.finish(c, request.Unknown, request.ReasonBroken, unknownRetryAfter)
 	}
 }
 
-func (n *Node) endedAttachment(c *call, end End) {
+func (n *Node) onAttachmentEnded(c *call, end End) {
 	switch end {
 	case Fenced:
-		n.fence(c)
-	case Whole:
+		n.releaseFenced(c)
+	case Complete:
 		n.finish(c, request.Answered, request.ReasonDone, 0)
 	case Stopped:
 		n.finish(c, request.Cancelled, request.ReasonCaller, 0)
-	case Missing, NotTaken:
+	case NotFound, NotAccepted:
 		n.finish(c, request.Unknown, request.ReasonAnswerGone, unknownRetryAfter)
 	default:
 		n.finish(c, request.Unknown, request.ReasonBroken, unknownRetryAfter)
 	}
 }
 
-// fence gives back the claim of a dispatch that its endpoint promises never to
+// releaseFenced gives back the claim of a dispatch that its endpoint promises never to
 // run; then the request goes its own way.
-func (n *Node) fence(c *call) {
+func (n *Node) releaseFenced(c *call) {
 	c.stage = fencing
-	n.newFlight(c)
-	n.claims.Fence(n.now, c.flight, c.record, c.domain)
+	n.newClaimID(c)
+	n.claims.Fence(n.now, c.claimID, c.record, c.domain)
 }
 
-// startOver asks anew whether the request runs, after another VM had its
+// restartLookup asks anew whether the request runs, after another VM had its
 // endpoint refuse this dispatch and gave its claim back.
-func (n *Node) startOver(c *call) {
+func (n *Node) restartLookup(c *call) {
 	n.sched.Done(n.now, c.handle)
-	n.claims.NotDispatched(n.now, c.flight)
-	n.endFlight(c)
+	n.claims.NotDispatched(n.now, c.claimID)
+	n.clearClaim(c)
 	c.spec.Attempt = request.Undeclared
 	c.retries++
-	c.stage = finding
-	n.fly(c, claim.Find)
+	c.stage = lookingUp
+	n.startClaim(c, claim.Find)
 }
 
 // retry sends a request that provably ran nowhere to another endpoint, within
@@ -357,8 +357,8 @@
 	if c.retries > maxRetries {
 		n.sched.Rest(n.now, c.assigned.Endpoint)
 		n.sched.Done(n.now, c.handle)
-		n.claims.NotDispatched(n.now, c.flight)
-		n.endFlight(c)
+		n.claims.NotDispatched(n.now, c.claimID)
+		n.clearClaim(c)
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonEngine, RetryAfter: unknownRetryAfter})
 		return
 	}
--- a/core/conf.go
+++ b/core/conf.go
@@ -13,33 +13,33 @@
 type configState struct {
 	ledger *config.Ledger
 	rules  *config.Rules
-	// sawEnd: the log was read to its end since this process started.
-	sawEnd bool
-	// offers are the VMs that said what they have; ready those that serve by it.
-	offers map[uint32]bool
-	ready  bool
-	askAt  time.Duration
-	next   int
-	// carryAt is when the document is repeated on the log.
-	carryAt time.Duration
+	// reachedLogEnd: the log was read to its end since this process started.
+	reachedLogEnd bool
+	// peerReady are the VMs that said what they have; ready those that serve by it.
+	peerReady    map[uint32]bool
+	peersCurrent bool
+	nextPollAt   time.Duration
+	nextPeer     int
+	// republishAt is when the document is repeated on the log.
+	republishAt time.Duration
 	// starts are the records of processes of this domain.
-	starts      []*schema.DomainStarted
-	startAsked  time.Duration
-	startLogged bool
-	logStart    uint64
-	startedAt   time.Duration
-	// fresh: the domain never ran before the present members.
-	fresh bool
+	starts          []*schema.DomainStarted
+	startAppendedAt time.Duration
+	startLogged     bool
+	logStart        uint64
+	startedAt       time.Duration
+	// firstRun: the domain never ran before the present members.
+	firstRun bool
 }
 
 func newConfigState(cfg Config, now time.Duration) *configState {
 	return &configState{
-		ledger: config.NewLedger(), offers: make(map[uint32]bool),
-		askAt: now, carryAt: now + cfg.CarryEvery, startAsked: now - startRetry, startedAt: now,
+		ledger: config.NewLedger(), peerReady: make(map[uint32]bool),
+		nextPollAt: now, republishAt: now + cfg.RepublishInterval, startAppendedAt: now - startRetry, startedAt: now,
 	}
 }
 
-func (s *configState) ledgerKnown() bool {
+func (s *configState) hasConfig() bool {
 	_, known := s.ledger.State()
 	return known
 }
@@ -52,11 +52,11 @@
 // current reports whether the document is proven not older than what the log
 // or the peers had when this process started.
 func (s *configState) current() bool {
-	return s.ledgerKnown() && (s.sawEnd || s.ready)
+	return s.hasConfig() && (s.reachedLogEnd || s.peersCurrent)
 }
 
-// logRead judges a batch of the log.
-func (n *Node) logRead(ev LogRead) {
+// applyLog judges a batch of the log.
+func (n *Node) applyLog(ev LogRead) {
 	s := n.conf
 	s.ledger.Begin(ev.First)
 	s.logStart = ev.First
@@ -69,26 +69,26 @@
 			continue
 		}
 		for _, v := range s.ledger.Apply(e.Offset, e.Record) {
-			n.emit(Judged{Verdict: v})
+			n.emit(ConfigJudged{Verdict: v})
 		}
-		n.noteStart(e.Record.GetDomainStarted())
+		n.collectStart(e.Record.GetDomainStarted())
 	}
 	if end >= ev.Next {
-		s.sawEnd = true
-		n.recordStart()
+		s.reachedLogEnd = true
+		n.appendStart()
 	}
-	n.putInForce()
+	n.applyConfig()
 }
 
-// putInForce compiles the document once its version has changed.
-func (n *Node) putInForce() {
+// applyConfig compiles the document once its version has changed.
+func (n *Node) applyConfig() {
 	st, known := n.conf.ledger.State()
 	if !known || st.Document == nil || n.conf.rules != nil && n.conf.rules.Version >= st.Version {
 		return
 	}
 	n.conf.rules = config.Compile(st.Version, st.Document)
 	n.sched.SetEndpoints(n.now, endpointsOf(st.Document))
-	n.emit(InForce{Rules: n.conf.rules})
+	n.emit(ConfigApplied{Rules: n.conf.rules})
 }
 
 func endpointsOf(d *schema.Document) []sched.Endpoint {
@@ -106,8 +106,8 @@
 // startRetry is how long the record of this process's start is waited for.
 const startRetry = 2 * time.Second
 
-// noteStart collects the starts of processes in this failure domain.
-func (n *Node) noteStart(d *schema.DomainStarted) {
+// collectStart collects the starts of processes in this failure domain.
+func (n *Node) collectStart(d *schema.DomainStarted) {
 	self := n.cfg.Claim.Self
 	if d == nil || d.FailureDomain != self.Domain {
 		return
@@ -118,15 +118,15 @@
 	}
 }
 
-// recordStart writes on the log that this process has run, before it may
+// appendStart writes on the log that this process has run, before it may
 // believe that no other did. One record a domain would do; one a process keeps
 // the rule simple.
-func (n *Node) recordStart() {
+func (n *Node) appendStart() {
 	s := n.conf
-	if s.startLogged || n.now < s.startAsked+startRetry {
+	if s.startLogged || n.now < s.startAppendedAt+startRetry {
 		return
 	}
-	s.startAsked = n.now
+	s.startAppendedAt = n.now
 	self := n.cfg.Claim.Self
 	n.emit(Append{Record: &schema.LogRecord{
 		AppendId: fmt.Sprintf("start-%d-%x", self.ID, n.cfg.Claim.Incarnation),
@@ -139,13 +139,13 @@
 // firstOffset is the lowest offset of a log that retention has not touched.
 const firstOffset = 0
 
-// judgePast tells the claims that the domain never ran before, if the whole log
+// checkFirstRun tells the claims that the domain never ran before, if the whole log
 // is there and names only members. A process that was heard but has not been a
 // member here may have granted claims, and its death would not be judged; so
 // the question is asked again until the answer is yes.
-func (n *Node) judgePast() {
+func (n *Node) checkFirstRun() {
 	s := n.conf
-	if s.fresh || !s.startLogged || s.logStart != firstOffset || !n.claims.Stats().Active {
+	if s.firstRun || !s.startLogged || s.logStart != firstOffset || !n.claims.Stats().Active {
 		return
 	}
 	for _, d := range s.starts {
@@ -153,32 +153,32 @@
 			return
 		}
 	}
-	s.fresh = true
+	s.firstRun = true
 	n.claims.SetFresh(n.now)
 }
 
-// pastWait bounds how long a VM holds back until it knows its domain's past.
-const pastWait = 3 * time.Second
+// historyTimeout bounds how long a VM holds back until it knows its domain's past.
+const historyTimeout = 3 * time.Second
 
-// pastPending reports whether the log will soon tell the domain's past. A VM
+// historyPending reports whether the log will soon tell the domain's past. A VM
 // that served before would answer repeats with "unknown" for want of it.
-func (n *Node) pastPending() bool {
+func (n *Node) historyPending() bool {
 	s := n.conf
-	return s.sawEnd && !s.startLogged && n.now < s.startedAt+pastWait
+	return s.reachedLogEnd && !s.startLogged && n.now < s.startedAt+historyTimeout
 }
 
-// configTick asks one peer after the other for newer configuration, and keeps
+// tickConfig asks one peer after the other for newer configuration, and keeps
 // the document on the log.
-func (n *Node) configTick() {
+func (n *Node) tickConfig() {
 	s := n.conf
-	n.judgePast()
+	n.checkFirstRun()
 	st, known := s.ledger.State()
-	if n.now >= s.askAt {
-		s.askAt = n.now + n.cfg.ConfigEvery
-		n.askForConfig(st, known)
+	if n.now >= s.nextPollAt {
+		s.nextPollAt = n.now + n.cfg.ConfigPollInterval
+		n.pollConfig(st, known)
 	}
-	if n.now >= s.carryAt {
-		s.carryAt = n.now + n.cfg.CarryEvery
+	if n.now >= s.republishAt {
+		s.republishAt = n.now + n.cfg.RepublishInterval
 		if known && st.Document != nil {
 			n.emit(Append{Record: &schema.LogRecord{
 				AppendId: fmt.Sprintf("carry-%d-%d", n.cfg.Claim.Self.ID, st.Through),
@@ -188,9 +188,9 @@
 	}
 }
 
-// askForConfig asks the next peer; before this VM is current, all of them.
-func (n *Node) askForConfig(st config.State, known bool) {
-	peers := n.sharers()
+// pollConfig asks the next peer; before this VM is current, all of them.
+func (n *Node) pollConfig(st config.State, known bool) {
+	peers := n.otherVMs()
 	if len(peers) == 0 {
 		return
 	}
@@ -199,13 +199,13 @@
 		n.broadcast(want)
 		return
 	}
-	n.conf.next = (n.conf.next + 1) % len(peers)
-	n.emit(Send{To: peers[n.conf.next], Message: want})
+	n.conf.nextPeer = (n.conf.nextPeer + 1) % len(peers)
+	n.emit(Send{To: peers[n.conf.nextPeer], Message: want})
 }
 
-// configWant answers a peer with what is in force here, with the document only
+// onConfigWant answers a peer with what is in force here, with the document only
 // if it is news to the peer.
-func (n *Node) configWant(from uint32, m *schema.ConfigWant) {
+func (n *Node) onConfigWant(from uint32, m *schema.ConfigWant) {
 	st, known := n.conf.ledger.State()
 	offer := &schema.ConfigOffer{Version: st.Version, Through: st.Through, Ready: n.conf.current()}
 	if known && st.Document != nil && (m.Nothing || st.Version > m.Through) {
@@ -214,29 +214,29 @@
 	n.emit(Send{To: from, Message: &schema.Message{Body: &schema.Message_ConfigOffer{ConfigOffer: offer}}})
 }
 
-// configOffer takes over a later state of a peer, and notes who has spoken.
-func (n *Node) configOffer(from uint32, m *schema.ConfigOffer) {
+// onConfigOffer takes over a later state of a peer, and notes who has spoken.
+func (n *Node) onConfigOffer(from uint32, m *schema.ConfigOffer) {
 	s := n.conf
 	if m.Document != nil {
 		for _, v := range s.ledger.Adopt(config.State{Version: m.Version, Document: m.Document, Through: m.Through}) {
-			n.emit(Judged{Verdict: v})
+			n.emit(ConfigJudged{Verdict: v})
 		}
-		n.putInForce()
+		n.applyConfig()
 	}
-	s.offers[from] = m.Ready
-	s.ready = s.ready || n.peersVouch()
+	s.peerReady[from] = m.Ready
+	s.peersCurrent = s.peersCurrent || n.peersConfirmCurrent()
 }
 
-// peersVouch reports whether every VM of the cell that may live has said what
+// peersConfirmCurrent reports whether every VM of the cell that may live has said what
 // it has, and one of them serves by it.
-func (n *Node) peersVouch() bool {
+func (n *Node) peersConfirmCurrent() bool {
 	ready := false
 	for _, id := range n.claims.CellPeers() {
-		said, ok := n.conf.offers[id]
+		isReady, ok := n.conf.peerReady[id]
 		if !ok && !n.claims.Away(id) {
 			return false
 		}
-		ready = ready || said
+		ready = ready || isReady
 	}
-	return ready && n.conf.ledgerKnown()
+	return ready && n.conf.hasConfig()
 }
--- a/core/estimate.go
+++ b/core/estimate.go
@@ -8,12 +8,12 @@
 // estimator learns the length of answers by request kind.
 type estimator map[string]float64
 
-// estimateRate is the weight of a new answer.
-const estimateRate = 0.1
+// ewmaWeight is the weight of a new answer.
+const ewmaWeight = 0.1
 
-// expect returns the learned length of an answer, or what was configured, but
+// estimate returns the learned length of an answer, or what was configured, but
 // no more than the caller allows; limit 0 is none.
-func (e estimator) expect(kind string, configured, limit int) int {
+func (e estimator) estimate(kind string, configured, limit int) int {
 	n := configured
 	if v, ok := e[kind]; ok {
 		n = max(1, int(v))
@@ -29,7 +29,7 @@
 	if !ok {
 		v = float64(tokens)
 	}
-	e[kind] = v + estimateRate*(float64(tokens)-v)
+	e[kind] = v + ewmaWeight*(float64(tokens)-v)
 }
 
 func sortCalls(list []*call) {
--- a/core/events.go
+++ b/core/events.go
@@ -21,9 +21,9 @@
 	Spec   request.Spec
 }
 
-// CallerGone says that nobody waits for the answer any more. A request that
+// CallerDisconnected says that nobody waits for the answer any more. A request that
 // runs goes on, so that a repeat can have the answer.
-type CallerGone struct{ Handle uint64 }
+type CallerDisconnected struct{ Handle uint64 }
 
 // Cancel is the caller's own order to stop.
 type Cancel struct{ Handle uint64 }
@@ -42,16 +42,16 @@
 
 // Ends of dispatches.
 const (
-	// Whole: the whole answer came.
-	Whole End = iota
-	// NotTaken: the endpoint provably never got the request.
-	NotTaken
+	// Complete: the whole answer came.
+	Complete End = iota
+	// NotAccepted: the endpoint provably never got the request.
+	NotAccepted
 	// Broken: it may have run, and the answer is not whole.
 	Broken
 	// Stopped: it was cancelled at the endpoint.
 	Stopped
-	// Missing: an attachment found no such stream.
-	Missing
+	// NotFound: an attachment found no such stream.
+	NotFound
 	// Fenced: the endpoint refused the dispatch, or promises the attachment,
 	// that the stream never ran and never will.
 	Fenced
@@ -78,15 +78,15 @@
 	Incarnation uint64
 }
 
-// PeerAbsent says that a cell peer's address refused a connection. Incarnation
+// PeerNotListening says that a cell peer's address refused a connection. Incarnation
 // is what Node.PeerIncarnation said before the attempt.
-type PeerAbsent struct {
+type PeerNotListening struct {
 	VM          uint32
 	Incarnation uint64
 }
 
-// PeerGone says that the platform's list dropped a VM.
-type PeerGone struct{ VM uint32 }
+// PeerRemoved says that the platform's list dropped a VM.
+type PeerRemoved struct{ VM uint32 }
 
 // LogRead is a batch read from the log, in order.
 type LogRead struct {
@@ -120,22 +120,22 @@
 // Drain starts a graceful shutdown.
 type Drain struct{}
 
-func (Tick) isEvent()            {}
-func (Arrive) isEvent()          {}
-func (CallerGone) isEvent()      {}
-func (Cancel) isEvent()          {}
-func (FirstToken) isEvent()      {}
-func (Progress) isEvent()        {}
-func (Ended) isEvent()           {}
-func (PeerMessage) isEvent()     {}
-func (PeerClosed) isEvent()      {}
-func (PeerAbsent) isEvent()      {}
-func (PeerGone) isEvent()        {}
-func (LogRead) isEvent()         {}
-func (LogFailed) isEvent()       {}
-func (EndpointLeaving) isEvent() {}
-func (CacheEvents) isEvent()     {}
-func (Drain) isEvent()           {}
+func (Tick) isEvent()               {}
+func (Arrive) isEvent()             {}
+func (CallerDisconnected) isEvent() {}
+func (Cancel) isEvent()             {}
+func (FirstToken) isEvent()         {}
+func (Progress) isEvent()           {}
+func (Ended) isEvent()              {}
+func (PeerMessage) isEvent()        {}
+func (PeerClosed) isEvent()         {}
+func (PeerNotListening) isEvent()   {}
+func (PeerRemoved) isEvent()        {}
+func (LogRead) isEvent()            {}
+func (LogFailed) isEvent()          {}
+func (EndpointLeaving) isEvent()    {}
+func (CacheEvents) isEvent()        {}
+func (Drain) isEvent()              {}
 
 // Effect is something to do. The types below are all there are.
 type Effect interface{ isEffect() }
@@ -182,11 +182,11 @@
 // Append appends a record to the log; it may be lost, and is then asked for again.
 type Append struct{ Record *schema.LogRecord }
 
-// InForce says that a document took effect here.
-type InForce struct{ Rules *config.Rules }
+// ConfigApplied says that a document took effect here.
+type ConfigApplied struct{ Rules *config.Rules }
 
-// Judged is the verdict on a record of the log.
-type Judged struct{ Verdict config.Verdict }
+// ConfigJudged is the verdict on a record of the log.
+type ConfigJudged struct{ Verdict config.Verdict }
 
 // Takeover says that a dead VM's keys are held here now.
 type Takeover struct {
@@ -194,21 +194,21 @@
 	Clean bool
 }
 
-// Expelled says that the peers took this incarnation for dead: it must end.
-type Expelled struct{}
+// DeclaredDead says that the peers took this incarnation for dead: it must end.
+type DeclaredDead struct{}
 
 // Drained says that nothing is left to do before the process ends.
 type Drained struct{}
 
-func (Dispatch) isEffect() {}
-func (Attach) isEffect()   {}
-func (Finish) isEffect()   {}
-func (Conflict) isEffect() {}
-func (Stop) isEffect()     {}
-func (Send) isEffect()     {}
-func (Append) isEffect()   {}
-func (InForce) isEffect()  {}
-func (Judged) isEffect()   {}
-func (Takeover) isEffect() {}
-func (Expelled) isEffect() {}
-func (Drained) isEffect()  {}
+func (Dispatch) isEffect()      {}
+func (Attach) isEffect()        {}
+func (Finish) isEffect()        {}
+func (Conflict) isEffect()      {}
+func (Stop) isEffect()          {}
+func (Send) isEffect()          {}
+func (Append) isEffect()        {}
+func (ConfigApplied) isEffect() {}
+func (ConfigJudged) isEffect()  {}
+func (Takeover) isEffect()      {}
+func (DeclaredDead) isEffect()  {}
+func (Drained) isEffect()       {}
--- a/core/fresh_test.go
+++ b/core/fresh_test.go
@@ -11,11 +11,11 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// TestFreshNeedsMembers: a request ran twice (found by reading). Sequence: vm1
+// TestFirstRunRequiresMembers: a request ran twice (found by reading). Sequence: vm1
 // grants claims; vm2 starts, hears vm1's heartbeat, and vm1 dies before vm2 has
 // joined. Cause: the log named only incarnations that vm2 had heard of, so vm2
 // took the domain's past for empty, though vm1's grants died with it.
-func TestFreshNeedsMembers(t *testing.T) {
+func TestFirstRunRequiresMembers(t *testing.T) {
 	is := is.New(t)
 	vms := []claim.VM{{ID: 1, Domain: "a"}, {ID: 2, Domain: "a"}}
 	const vm1, vm2 = 1 << 30, 2 << 30
@@ -24,7 +24,7 @@
 			Self: vms[1], Incarnation: vm2, VMs: vms, CellSize: 8, Lease: time.Second,
 			Retry: time.Second, Timeout: 2 * time.Second, TTL: time.Hour, MaxRecords: 10,
 		},
-		Sched: sched.Config{MaxQueued: 10}, DigestEvery: time.Hour, ConfigEvery: time.Hour, CarryEvery: time.Hour,
+		Sched: sched.Config{MaxQueued: 10}, DigestInterval: time.Hour, ConfigPollInterval: time.Hour, RepublishInterval: time.Hour,
 	}, 0)
 	started := func(vm uint32, inc uint64) *schema.LogRecord {
 		return &schema.LogRecord{Body: &schema.LogRecord_DomainStarted{DomainStarted: &schema.DomainStarted{
--- a/core/node.go
+++ b/core/node.go
@@ -15,13 +15,13 @@
 type Config struct {
 	Claim claim.Config
 	Sched sched.Config
-	// DigestEvery is the interval of digests to peers.
-	DigestEvery time.Duration
-	// ConfigEvery is the interval at which one peer is asked for newer configuration.
-	ConfigEvery time.Duration
-	// CarryEvery is the interval at which the document in force is repeated on
+	// DigestInterval is the interval of digests to peers.
+	DigestInterval time.Duration
+	// ConfigPollInterval is the interval at which one peer is asked for newer configuration.
+	ConfigPollInterval time.Duration
+	// RepublishInterval is the interval at which the document in force is repeated on
 	// the log; well under its retention.
-	CarryEvery time.Duration
+	RepublishInterval time.Duration
 }
 
 // Node is the decision core of one VM. It is not safe for concurrent use.
@@ -32,36 +32,36 @@
 	sched  *sched.Scheduler
 	conf   *configState
 	calls  map[uint64]*call
-	// flights maps claim flights to calls.
-	flights    map[uint64]*call
-	lastFlight uint64
-	learned    estimator
-	digestAt   time.Duration
-	digestSent time.Duration
-	lastDigest *schema.Digest
-	draining   bool
-	drained    bool
-	out        []Effect
+	// callsByClaim maps claim callsByClaim to calls.
+	callsByClaim    map[uint64]*call
+	lastClaimID     uint64
+	outputEstimates estimator
+	nextDigestAt    time.Duration
+	digestSentAt    time.Duration
+	lastDigest      *schema.Digest
+	draining        bool
+	drained         bool
+	effects         []Effect
 }
 
 // New returns a node that has not joined and knows no configuration.
 func New(cfg Config, now time.Duration) *Node {
 	n := &Node{
-		cfg:     cfg,
-		now:     now,
-		claims:  claim.New(cfg.Claim, now),
-		sched:   sched.New(cfg.Sched),
-		calls:   make(map[uint64]*call),
-		flights: make(map[uint64]*call),
-		learned: make(estimator),
+		cfg:             cfg,
+		now:             now,
+		claims:          claim.New(cfg.Claim, now),
+		sched:           sched.New(cfg.Sched),
+		calls:           make(map[uint64]*call),
+		callsByClaim:    make(map[uint64]*call),
+		outputEstimates: make(estimator),
 	}
 	n.conf = newConfigState(cfg, now)
-	n.sched.SetPeers(n.sharers())
+	n.sched.SetPeers(n.otherVMs())
 	return n
 }
 
-// sharers are the VMs that use the same endpoints: all others of the deployment.
-func (n *Node) sharers() []uint32 {
+// otherVMs are the VMs that use the same endpoints: all others of the deployment.
+func (n *Node) otherVMs() []uint32 {
 	var ids []uint32
 	for _, vm := range n.cfg.Claim.VMs {
 		if vm.ID != n.cfg.Claim.Self.ID {
@@ -75,9 +75,9 @@
 func (n *Node) Step(now time.Duration, ev Event) []Effect {
 	n.now = now
 	n.handle(ev)
-	n.settle()
-	out := n.out
-	n.out = nil
+	n.propagate()
+	out := n.effects
+	n.effects = nil
 	return out
 }
 
@@ -86,9 +86,9 @@
 	case Tick:
 		n.tick()
 	case Arrive:
-		n.arrive(ev)
-	case CallerGone:
-		n.callerGone(ev.Handle)
+		n.onArrive(ev)
+	case CallerDisconnected:
+		n.onCallerDisconnected(ev.Handle)
 	case Cancel:
 		n.cancel(ev.Handle)
 	case FirstToken:
@@ -96,36 +96,36 @@
 	case Progress:
 		n.sched.Tokens(n.now, ev.Handle, ev.Tokens)
 	case Ended:
-		n.ended(ev)
+		n.onEnded(ev)
 	case PeerMessage:
-		n.receive(ev)
+		n.onPeerMessage(ev)
 	case PeerClosed:
 		n.claims.PeerClosed(n.now, ev.VM, ev.Incarnation)
-	case PeerAbsent:
+	case PeerNotListening:
 		n.claims.PeerAbsent(n.now, ev.VM, ev.Incarnation)
-	case PeerGone:
+	case PeerRemoved:
 		n.claims.PeerGone(n.now, ev.VM)
 	case LogRead:
-		n.logRead(ev)
+		n.applyLog(ev)
 	case LogFailed:
-		n.conf.sawEnd = n.conf.sawEnd && n.conf.ledgerKnown()
+		n.conf.reachedLogEnd = n.conf.reachedLogEnd && n.conf.hasConfig()
 	case EndpointLeaving:
 		n.sched.Leaving(n.now, ev.Endpoint, ev.Leaving)
 	case CacheEvents:
-		n.cacheEvents(ev)
+		n.applyCacheEvents(ev)
 	case Drain:
 		n.drain()
 	}
 }
 
-func (n *Node) cacheEvents(ev CacheEvents) {
+func (n *Node) applyCacheEvents(ev CacheEvents) {
 	if ev.Gap {
 		n.sched.CacheGap(ev.Endpoint)
 	}
 	n.sched.CacheEvent(ev.Endpoint, ev.Stored, ev.Dropped)
 }
 
-func (n *Node) receive(ev PeerMessage) {
+func (n *Node) onPeerMessage(ev PeerMessage) {
 	switch b := ev.Message.Body.(type) {
 	case *schema.Message_Digest:
 		n.sched.Digest(n.now, ev.From, b.Digest)
@@ -134,9 +134,9 @@
 	case *schema.Message_YieldResult:
 		n.sched.YieldResult(n.now, ev.From, b.YieldResult)
 	case *schema.Message_ConfigOffer:
-		n.configOffer(ev.From, b.ConfigOffer)
+		n.onConfigOffer(ev.From, b.ConfigOffer)
 	case *schema.Message_ConfigWant:
-		n.configWant(ev.From, b.ConfigWant)
+		n.onConfigWant(ev.From, b.ConfigWant)
 	default:
 		n.claims.Receive(n.now, ev.From, ev.Incarnation, ev.Message)
 	}
@@ -145,52 +145,52 @@
 func (n *Node) tick() {
 	n.claims.Tick(n.now)
 	n.sched.Tick(n.now)
-	n.stopLate()
-	if n.now >= n.digestAt {
-		n.digestAt = n.now + n.cfg.DigestEvery
+	n.stopExpired()
+	if n.now >= n.nextDigestAt {
+		n.nextDigestAt = n.now + n.cfg.DigestInterval
 		n.sendDigest()
 	}
-	n.configTick()
+	n.tickConfig()
 	n.progressDrain()
 }
 
-// digestsKept is how many intervals an unchanged digest is not repeated, well
+// unchangedDigestIntervals is how many intervals an unchanged digest is not repeated, well
 // under the time for which peers believe it.
-const digestsKept = 10
+const unchangedDigestIntervals = 10
 
 // sendDigest tells peers of this VM's use of endpoints when it has changed, and
 // now and then when it has not.
 func (n *Node) sendDigest() {
 	d := n.sched.MakeDigest(n.now)
-	if proto.Equal(d, n.lastDigest) && n.now < n.digestSent+digestsKept*n.cfg.DigestEvery {
+	if proto.Equal(d, n.lastDigest) && n.now < n.digestSentAt+unchangedDigestIntervals*n.cfg.DigestInterval {
 		return
 	}
-	n.lastDigest, n.digestSent = d, n.now
+	n.lastDigest, n.digestSentAt = d, n.now
 	n.broadcast(&schema.Message{Body: &schema.Message_Digest{Digest: d}})
 }
 
 func (n *Node) broadcast(m *schema.Message) {
-	for _, id := range n.sharers() {
+	for _, id := range n.otherVMs() {
 		n.emit(Send{To: id, Message: m})
 	}
 }
 
-func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
+func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
-// settle passes decisions between the parts until none is left.
-func (n *Node) settle() {
+// propagate passes decisions between the parts until none is left.
+func (n *Node) propagate() {
 	for {
 		c := n.claims.Take()
 		s := n.sched.Take()
-		n.claimOutput(c)
-		n.schedOutput(s)
+		n.applyClaimOutput(c)
+		n.applySchedOutput(s)
 		if len(c.Results) == 0 && len(s.Assignments)+len(s.Refusals)+len(s.Stops) == 0 {
 			return
 		}
 	}
 }
 
-func (n *Node) claimOutput(o claim.Output) {
+func (n *Node) applyClaimOutput(o claim.Output) {
 	for _, m := range o.Messages {
 		n.emit(Send{To: m.To, Message: m.Message})
 	}
@@ -198,19 +198,19 @@
 		n.emit(Takeover{VM: t.VM, Clean: t.Clean})
 	}
 	for _, r := range o.Results {
-		n.claimResult(r)
+		n.onClaimResult(r)
 	}
 	if o.Fenced {
-		n.emit(Expelled{})
+		n.emit(DeclaredDead{})
 	}
 }
 
-func (n *Node) schedOutput(o sched.Output) {
+func (n *Node) applySchedOutput(o sched.Output) {
 	for _, a := range o.Assignments {
-		n.assigned(a)
+		n.onAssigned(a)
 	}
 	for _, r := range o.Refusals {
-		n.refused(r)
+		n.onRefused(r)
 	}
 	for _, h := range o.Stops {
 		n.stopForHigherTier(h)
@@ -282,7 +282,7 @@
 		return "no configuration was accepted yet"
 	case !c.Active:
 		return "not every VM of the failure domain has been reached"
-	case n.pastPending():
+	case n.historyPending():
 		return "the log has not shown yet whether the failure domain ran before"
 	}
 	return ""
--- a/core/session_test.go
+++ b/core/session_test.go
@@ -23,7 +23,7 @@
 // delivers in order; the script cuts, kills, freezes and restarts.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &session{t: t, cut: map[[2]uint32]bool{}, dispatched: map[string]*dispatchRef{}, ran: map[string]int{}}
+		s := &session{t: t, partitioned: map[[2]uint32]bool{}, dispatched: map[string]*dispatchRef{}, ran: map[string]int{}}
 		datadriven.RunTest(t, path, s.command)
 	})
 }
@@ -38,8 +38,8 @@
 	up     bool
 	frozen bool
 	inbox  []packet
-	// noLog: the log cannot be read from here.
-	noLog bool
+	// logUnavailable: the log cannot be read from here.
+	logUnavailable bool
 	// read is the next offset of the log; sent are the handles' keys.
 	read uint64
 	keys map[uint64]string
@@ -58,15 +58,15 @@
 }
 
 type session struct {
-	t       *testing.T
-	nodes   []*node
-	now     time.Duration
-	bag     []packet
-	cut     map[[2]uint32]bool
-	log     []*schema.LogRecord
-	logDown bool
-	handle  uint64
-	out     strings.Builder
+	t           *testing.T
+	nodes       []*node
+	now         time.Duration
+	inTransit   []packet
+	partitioned map[[2]uint32]bool
+	log         []*schema.LogRecord
+	logDown     bool
+	handle      uint64
+	out         strings.Builder
 	// dispatched are the runs by key; ran counts them.
 	dispatched map[string]*dispatchRef
 	ran        map[string]int
@@ -113,7 +113,7 @@
 	case "thaw":
 		n := s.node(t, d)
 		n.frozen = false
-		s.bag, n.inbox = append(s.bag, n.inbox...), nil
+		s.inTransit, n.inbox = append(s.inTransit, n.inbox...), nil
 	case "drain":
 		n := s.node(t, d)
 		s.apply(n, n.core.Step(s.now, Drain{}))
@@ -121,12 +121,12 @@
 		n := s.node(t, d)
 		s.apply(n, n.core.Step(s.now, EndpointLeaving{Endpoint: arg(t, d, "endpoint"), Leaving: true}))
 	case "cut":
-		s.setCut(strings.Fields(d.Input), true)
+		s.setPartition(strings.Fields(d.Input), true)
 	case "heal":
-		s.cut = map[[2]uint32]bool{}
+		s.partitioned = map[[2]uint32]bool{}
 	case "log":
 		for _, id := range strings.Fields(d.Input) {
-			s.nodes[id[0]-'1'].noLog = d.HasArg("down")
+			s.nodes[id[0]-'1'].logUnavailable = d.HasArg("down")
 		}
 		if d.Input == "" {
 			s.logDown = d.HasArg("down")
@@ -173,8 +173,8 @@
 			Self: vms[n.id-1], Incarnation: n.inc, VMs: vms, CellSize: 8, Lease: time.Second,
 			Retry: 50 * time.Millisecond, Timeout: 2 * time.Second, TTL: time.Hour, MaxRecords: 1000,
 		},
-		Sched:       sched.Config{MaxQueued: 100},
-		DigestEvery: 100 * time.Millisecond, ConfigEvery: 200 * time.Millisecond, CarryEvery: time.Hour,
+		Sched:          sched.Config{MaxQueued: 100},
+		DigestInterval: 100 * time.Millisecond, ConfigPollInterval: 200 * time.Millisecond, RepublishInterval: time.Hour,
 	}, s.now)
 }
 
@@ -196,12 +196,12 @@
 // deliver hands over messages in order until none is left; those for frozen
 // VMs wait for the thaw.
 func (s *session) deliver() {
-	for len(s.bag) > 0 {
-		p := s.bag[0]
-		s.bag = s.bag[1:]
+	for len(s.inTransit) > 0 {
+		p := s.inTransit[0]
+		s.inTransit = s.inTransit[1:]
 		n := s.nodes[p.to-1]
 		switch {
-		case !n.up || s.cut[[2]uint32{p.from, p.to}]:
+		case !n.up || s.partitioned[[2]uint32{p.from, p.to}]:
 		case n.frozen:
 			n.inbox = append(n.inbox, p)
 		default:
@@ -211,7 +211,7 @@
 }
 
 func (s *session) readLog(n *node) {
-	if s.logDown || n.noLog {
+	if s.logDown || n.logUnavailable {
 		s.apply(n, n.core.Step(s.now, LogFailed{}))
 		return
 	}
@@ -225,20 +225,20 @@
 
 func (s *session) kill(n *node) {
 	n.up = false
-	s.bag = slices.DeleteFunc(s.bag, func(p packet) bool { return p.to == n.id })
+	s.inTransit = slices.DeleteFunc(s.inTransit, func(p packet) bool { return p.to == n.id })
 	for _, id := range n.core.CellPeers() {
-		if !s.cut[[2]uint32{n.id, id}] {
-			s.bag = append(s.bag, packet{from: n.id, to: id, ev: PeerClosed{VM: n.id, Incarnation: n.inc}})
+		if !s.partitioned[[2]uint32{n.id, id}] {
+			s.inTransit = append(s.inTransit, packet{from: n.id, to: id, ev: PeerClosed{VM: n.id, Incarnation: n.inc}})
 		}
 	}
 }
 
-func (s *session) setCut(ids []string, cut bool) {
+func (s *session) setPartition(ids []string, cut bool) {
 	in := func(id uint32) bool { return slices.Contains(ids, fmt.Sprint(id)) }
 	for _, a := range s.nodes {
 		for _, b := range s.nodes {
 			if in(a.id) != in(b.id) {
-				s.cut[[2]uint32{a.id, b.id}] = cut
+				s.partitioned[[2]uint32{a.id, b.id}] = cut
 			}
 		}
 	}
@@ -314,7 +314,7 @@
 	if !r.node.up || r.node.inc != r.inc {
 		return
 	}
-	ends := map[string]End{"whole": Whole, "broken": Broken, "stopped": Stopped, "not-taken": NotTaken}
+	ends := map[string]End{"whole": Complete, "broken": Broken, "stopped": Stopped, "not-taken": NotAccepted}
 	s.apply(r.node, r.node.core.Step(s.now, Ended{Handle: r.handle, End: ends[how], Tokens: 100}))
 }
 
@@ -323,36 +323,36 @@
 	for _, ef := range effects {
 		switch ef := ef.(type) {
 		case Send:
-			if !s.cut[[2]uint32{n.id, ef.To}] {
+			if !s.partitioned[[2]uint32{n.id, ef.To}] {
 				m := proto.Clone(ef.Message).(*schema.Message)
-				s.bag = append(s.bag, packet{from: n.id, to: ef.To, ev: PeerMessage{From: n.id, Incarnation: n.inc, Message: m}})
+				s.inTransit = append(s.inTransit, packet{from: n.id, to: ef.To, ev: PeerMessage{From: n.id, Incarnation: n.inc, Message: m}})
 			}
 		case Append:
-			if !s.logDown && !n.noLog {
+			if !s.logDown && !n.logUnavailable {
 				s.log = append(s.log, ef.Record)
 			}
 		case Dispatch:
 			key := n.keys[ef.Handle]
 			s.ran[key]++
 			s.dispatched[key] = &dispatchRef{node: n, inc: n.inc, handle: ef.Handle}
-			s.say(n, "dispatch %s to %s: %s", key, ef.Endpoint, explain(ef.Candidates))
+			s.logf(n, "dispatch %s to %s: %s", key, ef.Endpoint, explain(ef.Candidates))
 		case Attach:
 			s.attach(n, ef)
 		case Stop:
-			s.say(n, "stop %s: %s", n.keys[ef.Handle], ef.Reason)
+			s.logf(n, "stop %s: %s", n.keys[ef.Handle], ef.Reason)
 			s.apply(n, n.core.Step(s.now, Ended{Handle: ef.Handle, End: Stopped}))
 		case Finish:
 			s.finish(n, ef)
 		case Conflict:
-			s.say(n, "conflict %s", n.keys[ef.Handle])
-		case InForce:
-			s.say(n, "in force %d", ef.Rules.Version)
+			s.logf(n, "conflict %s", n.keys[ef.Handle])
+		case ConfigApplied:
+			s.logf(n, "in force %d", ef.Rules.Version)
 		case Takeover:
-			s.say(n, "takes over from vm%d, clean %t", ef.VM, ef.Clean)
-		case Expelled:
-			s.say(n, "expelled")
+			s.logf(n, "takes over from vm%d, clean %t", ef.VM, ef.Clean)
+		case DeclaredDead:
+			s.logf(n, "expelled")
 		case Drained:
-			s.say(n, "drained")
+			s.logf(n, "drained")
 		}
 	}
 }
@@ -360,10 +360,10 @@
 // attach answers from the engine, which keeps streams whoever reads them.
 func (s *session) attach(n *node, ef Attach) {
 	key := n.keys[ef.Handle]
-	s.say(n, "attach %s to the run of vm%d at %s", key, ef.Record.Dispatcher, ef.Record.Endpoint)
-	end := Missing
+	s.logf(n, "attach %s to the run of vm%d at %s", key, ef.Record.Dispatcher, ef.Record.Endpoint)
+	end := NotFound
 	if r := s.dispatched[key]; r != nil && (r.end == "whole" || r.end == "") && ef.Record.Endpoint != "service" {
-		end = Whole
+		end = Complete
 	}
 	if r := s.dispatched[key]; r != nil && r.end == "lost" {
 		end = Fenced
@@ -373,11 +373,11 @@
 
 func (s *session) finish(n *node, ef Finish) {
 	key := n.keys[ef.Handle]
-	s.say(n, "finish %s: %s, %s, again in %v", key, ef.Outcome, ef.Reason, ef.RetryAfter)
+	s.logf(n, "finish %s: %s, %s, again in %v", key, ef.Outcome, ef.Reason, ef.RetryAfter)
 	s.seen = append(s.seen, history.Seen{Key: key, Attempt: s.attempts[ef.Handle], Outcome: ef.Outcome})
 }
 
-func (s *session) say(n *node, format string, args ...any) {
+func (s *session) logf(n *node, format string, args ...any) {
 	fmt.Fprintf(&s.out, "%v vm%d: %s\n", s.now, n.id, fmt.Sprintf(format, args...))
 }
 
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -276,7 +276,7 @@
 // pushGone tells the core that the caller left; its own context is over.
 func (d *Daemon) pushGone(handle uint64) {
 	select {
-	case d.events <- item{event: core.CallerGone{Handle: handle}}:
+	case d.events <- item{event: core.CallerDisconnected{Handle: handle}}:
 	case <-d.done:
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -157,8 +157,8 @@
 			Lease: d.set.Lease, Retry: claimRetry, Timeout: d.set.ClaimTimeout,
 			TTL: recordTTL, MaxRecords: int(d.set.Claims.MaxRecords),
 		},
-		Sched:       sched.Config{MaxQueued: int(d.set.Limits.MaxQueuedRequests)},
-		DigestEvery: digestEvery, ConfigEvery: configEvery, CarryEvery: carryEvery,
+		Sched:          sched.Config{MaxQueued: int(d.set.Limits.MaxQueuedRequests)},
+		DigestInterval: digestEvery, ConfigPollInterval: configEvery, RepublishInterval: carryEvery,
 	}
 }
 
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -25,7 +25,7 @@
 	rules := d.rulesOf(c)
 	e := endpointNamed(rules.Document, ef.Endpoint)
 	if c == nil || e == nil {
-		d.later(ctx, core.Ended{Handle: ef.Handle, End: core.NotTaken})
+		d.later(ctx, core.Ended{Handle: ef.Handle, End: core.NotAccepted})
 		return
 	}
 	d.log.Info().Str("request", c.spec.Key.String()).Uint32("tier", uint32(c.spec.Tier)).
@@ -83,9 +83,9 @@
 func (d *Daemon) endOf(ctx context.Context, c *callerCall, res endpoint.Result, model bool) core.End {
 	switch res {
 	case endpoint.Complete:
-		return core.Whole
+		return core.Complete
 	case endpoint.NotTaken:
-		return core.NotTaken
+		return core.NotAccepted
 	case endpoint.Cancelled:
 		return core.Stopped
 	case endpoint.Fenced:
@@ -115,7 +115,7 @@
 func (d *Daemon) attach(ctx context.Context, ef core.Attach) {
 	c := d.callOf(ef.Handle)
 	if c == nil {
-		d.later(ctx, core.Ended{Handle: ef.Handle, End: core.Missing})
+		d.later(ctx, core.Ended{Handle: ef.Handle, End: core.NotFound})
 		return
 	}
 	d.log.Info().Str("request", c.spec.Key.String()).Uint32("dispatcher", ef.Record.Dispatcher).
@@ -139,7 +139,7 @@
 	}
 	e := endpointNamed(d.rulesOf(c).Document, r.Endpoint)
 	if e == nil {
-		return core.Missing
+		return core.NotFound
 	}
 	c.setAnswer(a)
 	next := 0
@@ -148,7 +148,7 @@
 		next, res = d.endpoints.Resume(ctx, "http://"+e.Address, r.Stream, next, a)
 		switch res {
 		case endpoint.Complete:
-			return core.Whole
+			return core.Complete
 		case endpoint.Cancelled:
 			return core.Stopped
 		}
@@ -165,7 +165,7 @@
 		d.log.Info().Str("request", c.spec.Key.String()).Str("endpoint", e.Name).Str("stream", r.Stream).Msg("fence")
 		return core.Fenced
 	}
-	return core.Missing
+	return core.NotFound
 }
 
 // attachTries bounds how often a stream is asked for that the endpoint does not
@@ -176,21 +176,21 @@
 func (d *Daemon) fetchPlain(ctx context.Context, c *callerCall, r *schema.Record, a *answer) core.End {
 	l := d.links[r.Dispatcher]
 	if l == nil {
-		return core.Missing
+		return core.NotFound
 	}
 	q := url.Values{"organisation": {c.spec.Key.Organisation}, "id": {c.spec.Key.ID}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.peerURL(l)+"/answer?"+q.Encode(), nil)
 	if err != nil {
-		return core.Missing
+		return core.NotFound
 	}
 	resp, err := (&keyedClient{http: d.peerHTTP, key: d.set.Keys.Peer}).Do(req)
 	if err != nil {
-		return core.Missing
+		return core.NotFound
 	}
 	defer func() { _ = resp.Body.Close() }()
 	status, err := strconv.Atoi(resp.Header.Get(headerStatus))
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return core.Missing
+		return core.NotFound
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -198,7 +198,7 @@
 	}
 	a.Whole(status, resp.Header.Get("Content-Type"), body)
 	c.setAnswer(a)
-	return core.Whole
+	return core.Complete
 }
 
 // waitDone waits until the dispatch of an answer has ended here.
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -101,13 +101,13 @@
 			d.finish(ef.Handle, conflictOutcome)
 		case core.Append:
 			d.queueAppend(&appendJob{record: ef.Record})
-		case core.InForce:
+		case core.ConfigApplied:
 			d.log.Info().Uint64("version", ef.Rules.Version).Str("author", ef.Rules.Document.Author).Msg("configuration_in_force")
-		case core.Judged:
+		case core.ConfigJudged:
 			d.noteVerdict(ef.Verdict)
 		case core.Takeover:
 			d.log.Warn().Uint32("vm", ef.VM).Bool("clean", ef.Clean).Msg("takeover")
-		case core.Expelled:
+		case core.DeclaredDead:
 			d.log.Error().Msg("fenced")
 			close(d.expelled)
 		case core.Drained:
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -213,7 +213,7 @@
 	resp, err := client.Do(req)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) && d.set.Claims.TrustConnectionClose {
-			d.push(ctx, core.PeerAbsent{VM: l.peer.Id, Incarnation: before})
+			d.push(ctx, core.PeerNotListening{VM: l.peer.Id, Incarnation: before})
 		}
 		return
 	}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -81,7 +81,7 @@
 		if err == nil {
 			for _, vm := range list {
 				if vm.State == logservice.Gone && !gone[vm.ID] {
-					d.push(ctx, core.PeerGone{VM: vm.ID})
+					d.push(ctx, core.PeerRemoved{VM: vm.ID})
 				}
 				gone[vm.ID] = vm.State == logservice.Gone
 			}
--- a/load/current.go
+++ b/load/current.go
@@ -44,8 +44,8 @@
 				Self: vms[i], Incarnation: uint64(i+1) << 32, VMs: vms, CellSize: 8, Lease: time.Second,
 				Retry: 50 * time.Millisecond, Timeout: 2 * time.Second, TTL: 15 * time.Minute, MaxRecords: 200000,
 			},
-			Sched:       sched.Config{MaxQueued: 10000},
-			DigestEvery: 100 * time.Millisecond, ConfigEvery: 500 * time.Millisecond, CarryEvery: time.Hour,
+			Sched:          sched.Config{MaxQueued: 10000},
+			DigestInterval: 100 * time.Millisecond, ConfigPollInterval: 500 * time.Millisecond, RepublishInterval: time.Hour,
 		}, 0))
 		c.handles = append(c.handles, map[uint64]*arrival{})
 		c.runs = append(c.runs, map[uint64]*run{})
@@ -154,9 +154,9 @@
 	r := c.s.runs[ef.Record.Stream]
 	switch {
 	case r == nil || r.endpoint < 0 && c.down[r.vm]:
-		c.s.after(c.s.sc.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.Missing}) })
+		c.s.after(c.s.sc.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.NotFound}) })
 	case r.done:
-		c.s.after(c.s.sc.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.Whole}) })
+		c.s.after(c.s.sc.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.Complete}) })
 	default:
 		c.waiting[r.stream] = append(c.waiting[r.stream], attachment{vm: vm, handle: ef.Handle})
 	}
@@ -181,9 +181,9 @@
 
 // Done implements Policy.
 func (c *current) Done(_ time.Duration, r *run) {
-	c.step(r.vm, core.Ended{Handle: r.handle, End: core.Whole, Tokens: r.a.output})
+	c.step(r.vm, core.Ended{Handle: r.handle, End: core.Complete, Tokens: r.a.output})
 	for _, w := range c.waiting[r.stream] {
-		c.step(w.vm, core.Ended{Handle: w.handle, End: core.Whole})
+		c.step(w.vm, core.Ended{Handle: w.handle, End: core.Complete})
 	}
 	delete(c.waiting, r.stream)
 }
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -73,8 +73,8 @@
 				Self: list[i], Incarnation: uint64(i+1) << 32, VMs: list, CellSize: cell, Lease: time.Second,
 				Retry: 50 * time.Millisecond, Timeout: 2 * time.Second, TTL: 15 * time.Minute, MaxRecords: 1 << 20, NoBackup: noBackup,
 			},
-			Sched:       sched.Config{MaxQueued: 10000},
-			DigestEvery: 100 * time.Millisecond, ConfigEvery: 500 * time.Millisecond, CarryEvery: time.Hour,
+			Sched:          sched.Config{MaxQueued: 10000},
+			DigestInterval: 100 * time.Millisecond, ConfigPollInterval: 500 * time.Millisecond, RepublishInterval: time.Hour,
 		}, 0))
 	}
 	rec := &schema.LogRecord{Body: &schema.LogRecord_Document{Document: sizedDocument(5, endpoints)}}
@@ -108,7 +108,7 @@
 		h := queue[0]
 		queue = queue[1:]
 		if h.to < 0 {
-			collect(h.from, q.nodes[h.from].Step(q.now, core.Ended{Handle: q.handle, End: core.Whole, Tokens: 100}))
+			collect(h.from, q.nodes[h.from].Step(q.now, core.Ended{Handle: q.handle, End: core.Complete, Tokens: 100}))
 			continue
 		}
 		q.messages++
@@ -334,7 +334,7 @@
 				Self: claim.VM{ID: 1, Domain: "d"}, Incarnation: 9 << 40, VMs: []claim.VM{{ID: 1, Domain: "d"}, {ID: 2, Domain: "d"}}, CellSize: 2,
 				Lease: time.Second, Retry: 50 * time.Millisecond, Timeout: 2 * time.Second, TTL: 15 * time.Minute, MaxRecords: 1 << 20,
 			},
-			DigestEvery: time.Hour, ConfigEvery: time.Hour, CarryEvery: time.Hour,
+			DigestInterval: time.Hour, ConfigPollInterval: time.Hour, RepublishInterval: time.Hour,
 		}, q.now)
 		q.runAs(0, 9<<40, time.Second)
 		s.add(n, float64(q.bytes))
