--- a/core/calls.go
+++ b/core/calls.go
@@ -10,40 +10,41 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// stage is where a request is on its way.
+// stage is the processing stage of a request.
 type stage int
 
 const (
-	lookingUp stage = iota // asking whether it ran before
+	lookingUp stage = iota // looking up whether it ran before
 	queued                 // waiting for an endpoint
 	claiming               // assigned, waiting for the claim
 	running                // dispatched
-	attached               // reading another dispatch's answer
-	fencing                // giving back another dispatch's claim
-	refusing               // making "not run" certain
+	attached               // reading the response of another dispatch
+	fencing                // releasing the claim of another, fenced dispatch
+	refusing               // ensuring that "not run" stays true
 )
 
-// call is one request of a caller.
+// call represents one request of a caller.
 type call struct {
 	handle  uint64
 	spec    request.Spec
 	arrived time.Duration
 	stage   stage
-	// claimID is the present or granted claim claimID; 0 if none.
+	// claimID is the id of the pending or granted claim acquisition; 0 if none.
 	claimID uint64
 	granted bool
-	// assigned is the scheduler's decision that waits for the claim.
+	// assigned is the scheduler's assignment that waits for the claim.
 	assigned sched.Assignment
 	refusal  sched.Refusal
 	retries  int
-	// record and domain are of the dispatch that is attached to.
+	// record and domain describe the dispatch to which the call is attached.
 	record *schema.Record
 	domain string
-	// stopReason is set once a stop was ordered.
+	// stopReason is set once a Stop effect has been emitted.
 	stopReason request.Reason
 }
 
-// maxRetries bounds how often a request that provably ran nowhere is sent again.
+// maxRetries bounds how often a request that provably ran nowhere is dispatched
+// again.
 const maxRetries = 2
 
 func (n *Node) onArrive(ev Arrive) {
@@ -63,7 +64,8 @@
 	}
 }
 
-// drainRetryAfter is when a caller of a VM that shuts down may ask another one.
+// drainRetryAfter is the delay after which a caller refused by a draining VM
+// may retry at another VM.
 const drainRetryAfter = 100 * time.Millisecond
 
 func (n *Node) enqueue(c *call) {
@@ -71,7 +73,7 @@
 	n.sched.Submit(n.now, c.handle, c.spec)
 }
 
-// startClaim starts a claim flight for a call.
+// startClaim starts a claim acquisition for a call.
 func (n *Node) startClaim(c *call, intent claim.Intent) {
 	unused := c.claimID
 	n.newClaimID(c)
@@ -89,8 +91,9 @@
 	n.callsByClaim[c.claimID] = c
 }
 
-// stream names the dispatch at the endpoint. No other dispatch has the name,
-// not even a retry of the same call: fencing one must not touch the other.
+// stream returns the stream id of the call's dispatch at the endpoint. No other
+// dispatch has the same id, not even a retry of the same call: fencing one must
+// not affect the other.
 func (n *Node) stream(c *call) string {
 	return fmt.Sprintf("%d-%x-%d-%d", n.cfg.Claim.Self.ID, n.cfg.Claim.Incarnation, c.handle, c.retries)
 }
@@ -108,7 +111,7 @@
 	n.emit(Dispatch{Handle: c.handle, Endpoint: c.assigned.Endpoint, Stream: n.stream(c), Candidates: c.assigned.Candidates})
 }
 
-// onClaimResult goes on with the call whose flight ended.
+// onClaimResult continues the call whose claim acquisition ended.
 func (n *Node) onClaimResult(r claim.Result) {
 	c := n.callsByClaim[r.Flight]
 	if c == nil {
@@ -135,7 +138,8 @@
 	}
 }
 
-// unknownRetryAfter is when asking again may tell more.
+// unknownRetryAfter is the delay after which a retry may get a definite
+// outcome.
 const unknownRetryAfter = 2 * time.Second
 
 func (n *Node) claimGranted(c *call) {
@@ -156,14 +160,16 @@
 	c.granted = false
 }
 
-// releaseSlot gives the endpoint's room back if the call held it undispatched.
+// releaseSlot releases the endpoint slot of a call that was assigned but not
+// dispatched.
 func (n *Node) releaseSlot(c *call) {
 	if c.stage == claiming {
 		n.sched.Done(n.now, c.handle)
 	}
 }
 
-// onHeld answers from another dispatch of the same key.
+// onHeld handles a claim held by another dispatch of the same key: the call
+// attaches to it, or is cancelled if that dispatch was.
 func (n *Node) onHeld(c *call, held claim.Result) {
 	r := held.Record
 	if r.State == schema.RecordState_CANCELLED {
@@ -175,7 +181,7 @@
 	n.emit(Attach{Handle: c.handle, Record: r})
 }
 
-// onRefused handles the scheduler's refusal.
+// onRefused handles a refusal by the scheduler.
 func (n *Node) onRefused(r sched.Refusal) {
 	c := n.calls[r.Handle]
 	if c.granted {
@@ -185,8 +191,8 @@
 	n.refuse(c, r)
 }
 
-// refuse answers "not run". For a request that may have been sent before, that
-// has to be made certain first: no earlier attempt ran, and none will.
+// refuse answers "not run". For a request that may have been sent before, a
+// claim must first ensure that no earlier attempt ran and that none will.
 func (n *Node) refuse(c *call, r sched.Refusal) {
 	c.refusal = r
 	if !c.spec.Repeat() {
@@ -210,7 +216,8 @@
 	n.emit(Finish{Handle: c.handle, Outcome: o, Reason: reason, RetryAfter: retryAfter})
 }
 
-// onCallerDisconnected forgets a request that was not dispatched; one that was goes on.
+// onCallerDisconnected drops a request that has not been dispatched. A
+// dispatched request continues.
 func (n *Node) onCallerDisconnected(handle uint64) {
 	c := n.calls[handle]
 	if c == nil {
@@ -222,7 +229,8 @@
 	n.abandon(c)
 }
 
-// abandon ends a call that was not dispatched and whose caller needs no answer.
+// abandon removes a call that was not dispatched and whose caller needs no
+// response.
 func (n *Node) abandon(c *call) {
 	n.sched.Withdraw(n.now, c.handle)
 	if c.claimID != 0 {
@@ -254,7 +262,8 @@
 	n.emit(Stop{Handle: c.handle, Reason: reason})
 }
 
-// stopForHigherTier stops running work, or drops it if it is not dispatched yet.
+// stopForHigherTier stops a running request, or refuses it if it has not been
+// dispatched yet.
 func (n *Node) stopForHigherTier(handle uint64) {
 	c := n.calls[handle]
 	if c.stage == running {
@@ -267,7 +276,7 @@
 	n.refuse(c, sched.Refusal{Handle: handle, Reason: request.ReasonHigherTier, RetryAfter: unknownRetryAfter})
 }
 
-// stopExpired stops what can no longer be in time.
+// stopExpired stops running idempotent requests whose deadline has passed.
 func (n *Node) stopExpired() {
 	for _, c := range n.sortedCalls() {
 		if c.stage == running && c.spec.Idempotent && n.now >= c.spec.Deadline {
@@ -330,16 +339,16 @@
 	}
 }
 
-// releaseFenced gives back the claim of a dispatch that its endpoint promises never to
-// run; then the request goes its own way.
+// releaseFenced releases the claim of a dispatch whose endpoint has promised
+// never to run it. Then the request proceeds on its own.
 func (n *Node) releaseFenced(c *call) {
 	c.stage = fencing
 	n.newClaimID(c)
 	n.claims.Fence(n.now, c.claimID, c.record, c.domain)
 }
 
-// restartLookup asks anew whether the request runs, after another VM had its
-// endpoint refuse this dispatch and gave its claim back.
+// restartLookup looks up the request's claim again after another VM fenced this
+// dispatch at its endpoint and released its claim.
 func (n *Node) restartLookup(c *call) {
 	n.sched.Done(n.now, c.handle)
 	n.claims.NotDispatched(n.now, c.claimID)
@@ -350,8 +359,8 @@
 	n.startClaim(c, claim.Find)
 }
 
-// retry sends a request that provably ran nowhere to another endpoint, within
-// its budget. The new claim takes the place of the one it has.
+// retry moves a request that provably ran nowhere to another endpoint, up to
+// maxRetries times. The new claim replaces the existing one.
 func (n *Node) retry(c *call) {
 	c.retries++
 	if c.retries > maxRetries {
--- a/core/conf.go
+++ b/core/conf.go
@@ -9,26 +9,32 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// configState follows the configuration from the log and from peers.
+// configState tracks the configuration read from the log and received from
+// peers.
 type configState struct {
 	ledger *config.Ledger
 	rules  *config.Rules
-	// reachedLogEnd: the log was read to its end since this process started.
+	// reachedLogEnd is set once the log has been read to its end since this
+	// process started.
 	reachedLogEnd bool
-	// peerReady are the VMs that said what they have; ready those that serve by it.
+	// peerReady records, for each VM that sent a ConfigOffer, whether its
+	// configuration was current. peersCurrent is set once the peers have
+	// confirmed that the configuration held here is current.
 	peerReady    map[uint32]bool
 	peersCurrent bool
 	nextPollAt   time.Duration
 	nextPeer     int
-	// republishAt is when the document is repeated on the log.
+	// republishAt is the next time at which the document is appended to the log
+	// again.
 	republishAt time.Duration
-	// starts are the records of processes of this domain.
+	// starts holds the start records of the processes of this failure domain.
 	starts          []*schema.DomainStarted
 	startAppendedAt time.Duration
 	startLogged     bool
 	logStart        uint64
 	startedAt       time.Duration
-	// firstRun: the domain never ran before the present members.
+	// firstRun is set once the log shows that no process of the failure domain
+	// ran before the present members.
 	firstRun bool
 }
 
@@ -49,13 +55,13 @@
 	return st.Version
 }
 
-// current reports whether the document is proven not older than what the log
-// or the peers had when this process started.
+// current reports whether the configuration is proven to be at least as new as
+// that of the log or of the peers when this process started.
 func (s *configState) current() bool {
 	return s.hasConfig() && (s.reachedLogEnd || s.peersCurrent)
 }
 
-// applyLog judges a batch of the log.
+// applyLog applies a batch of log records to the configuration.
 func (n *Node) applyLog(ev LogRead) {
 	s := n.conf
 	s.ledger.Begin(ev.First)
@@ -80,7 +86,8 @@
 	n.applyConfig()
 }
 
-// applyConfig compiles the document once its version has changed.
+// applyConfig compiles the document and applies it if its version is newer than
+// the one applied last.
 func (n *Node) applyConfig() {
 	st, known := n.conf.ledger.State()
 	if !known || st.Document == nil || n.conf.rules != nil && n.conf.rules.Version >= st.Version {
@@ -103,10 +110,11 @@
 	return list
 }
 
-// startRetry is how long the record of this process's start is waited for.
+// startRetry is the interval after which the start record is appended again if
+// it has not been read back from the log.
 const startRetry = 2 * time.Second
 
-// collectStart collects the starts of processes in this failure domain.
+// collectStart stores the start record of a process of this failure domain.
 func (n *Node) collectStart(d *schema.DomainStarted) {
 	self := n.cfg.Claim.Self
 	if d == nil || d.FailureDomain != self.Domain {
@@ -118,8 +126,9 @@
 	}
 }
 
-// appendStart writes on the log that this process has run, before it may
-// believe that no other did. One record a domain would do; one a process keeps
+// appendStart appends a record of this process's start to the log. The process
+// must be on record before it may conclude that no other process ran. One
+// record for each failure domain would be enough; one for each process keeps
 // the rule simple.
 func (n *Node) appendStart() {
 	s := n.conf
@@ -136,13 +145,15 @@
 	}})
 }
 
-// firstOffset is the lowest offset of a log that retention has not touched.
+// firstOffset is the lowest offset of a log from which retention has removed
+// nothing.
 const firstOffset = 0
 
-// checkFirstRun tells the claims that the domain never ran before, if the whole log
-// is there and names only members. A process that was heard but has not been a
-// member here may have granted claims, and its death would not be judged; so
-// the question is asked again until the answer is yes.
+// checkFirstRun marks the failure domain as never having run before, if the log
+// is complete and names only current members. A process from which messages
+// were received but which has not been a member here may have granted claims,
+// and its death would not be classified. The check is therefore repeated until
+// it succeeds.
 func (n *Node) checkFirstRun() {
 	s := n.conf
 	if s.firstRun || !s.startLogged || s.logStart != firstOffset || !n.claims.Stats().Active {
@@ -157,18 +168,20 @@
 	n.claims.SetFresh(n.now)
 }
 
-// historyTimeout bounds how long a VM holds back until it knows its domain's past.
+// historyTimeout bounds how long a VM delays readiness until the log shows
+// whether its failure domain ran before.
 const historyTimeout = 3 * time.Second
 
-// historyPending reports whether the log will soon tell the domain's past. A VM
-// that served before would answer repeats with "unknown" for want of it.
+// historyPending reports whether the log is expected to show soon whether the
+// failure domain ran before. A VM that served earlier than that would have to
+// answer retries with "unknown".
 func (n *Node) historyPending() bool {
 	s := n.conf
 	return s.reachedLogEnd && !s.startLogged && n.now < s.startedAt+historyTimeout
 }
 
-// tickConfig asks one peer after the other for newer configuration, and keeps
-// the document on the log.
+// tickConfig polls the peers in rotation for newer configuration and
+// republishes the document on the log.
 func (n *Node) tickConfig() {
 	s := n.conf
 	n.checkFirstRun()
@@ -188,7 +201,8 @@
 	}
 }
 
-// pollConfig asks the next peer; before this VM is current, all of them.
+// pollConfig asks the next peer for newer configuration, or all peers while the
+// configuration of this VM is not proven current.
 func (n *Node) pollConfig(st config.State, known bool) {
 	peers := n.otherVMs()
 	if len(peers) == 0 {
@@ -203,8 +217,8 @@
 	n.emit(Send{To: peers[n.conf.nextPeer], Message: want})
 }
 
-// onConfigWant answers a peer with what is in force here, with the document only
-// if it is news to the peer.
+// onConfigWant replies with the current configuration of this VM. The document
+// is included only if the peer does not have it.
 func (n *Node) onConfigWant(from uint32, m *schema.ConfigWant) {
 	st, known := n.conf.ledger.State()
 	offer := &schema.ConfigOffer{Version: st.Version, Through: st.Through, Ready: n.conf.current()}
@@ -214,7 +228,8 @@
 	n.emit(Send{To: from, Message: &schema.Message{Body: &schema.Message_ConfigOffer{ConfigOffer: offer}}})
 }
 
-// onConfigOffer takes over a later state of a peer, and notes who has spoken.
+// onConfigOffer adopts the configuration of a peer if it is newer, and records
+// whether the peer's configuration is current.
 func (n *Node) onConfigOffer(from uint32, m *schema.ConfigOffer) {
 	s := n.conf
 	if m.Document != nil {
@@ -227,8 +242,9 @@
 	s.peersCurrent = s.peersCurrent || n.peersConfirmCurrent()
 }
 
-// peersConfirmCurrent reports whether every VM of the cell that may live has said what
-// it has, and one of them serves by it.
+// peersConfirmCurrent reports whether every VM of the cell that may be running
+// has sent a ConfigOffer and the configuration of at least one of them is
+// current.
 func (n *Node) peersConfirmCurrent() bool {
 	ready := false
 	for _, id := range n.claims.CellPeers() {
--- a/core/estimate.go
+++ b/core/estimate.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// estimator learns the length of answers by request kind.
+// estimator estimates the response length in tokens by request kind, as a
+// moving average.
 type estimator map[string]float64
 
-// ewmaWeight is the weight of a new answer.
+// ewmaWeight is the weight of a new response in the moving average.
 const ewmaWeight = 0.1
 
-// estimate returns the learned length of an answer, or what was configured, but
-// no more than the caller allows; limit 0 is none.
+// estimate returns the average response length of a kind, or the configured
+// length if none has been observed, but at most limit; a limit of 0 means none.
 func (e estimator) estimate(kind string, configured, limit int) int {
 	n := configured
 	if v, ok := e[kind]; ok {
--- a/core/events.go
+++ b/core/events.go
@@ -9,108 +9,112 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Event is something that happened. The types below are all there are.
+// Event is an input of Node.Step. The types below are all implementations.
 type Event interface{ isEvent() }
 
-// Tick lets time pass.
+// Tick advances time.
 type Tick struct{}
 
-// Arrive is a valid request of a caller. Handles are the harness's, never used twice.
+// Arrive is a valid request of a caller. The handle is chosen by the code that
+// drives the core and is never reused.
 type Arrive struct {
 	Handle uint64
 	Spec   request.Spec
 }
 
-// CallerDisconnected says that nobody waits for the answer any more. A request that
-// runs goes on, so that a repeat can have the answer.
+// CallerDisconnected reports that the caller no longer waits for the response.
+// A running request continues, so that a retry can get its response.
 type CallerDisconnected struct{ Handle uint64 }
 
-// Cancel is the caller's own order to stop.
+// Cancel is a caller's request to stop.
 type Cancel struct{ Handle uint64 }
 
-// FirstToken says that an endpoint read the prompt.
+// FirstToken reports that an endpoint has completed the prefill of a request.
 type FirstToken struct{ Handle uint64 }
 
-// Progress says how many tokens have come in all.
+// Progress reports the total number of output tokens received so far.
 type Progress struct {
 	Handle uint64
 	Tokens int
 }
 
-// End is how a dispatch ended.
+// End is the way in which a dispatch or attachment ended.
 type End int
 
-// Ends of dispatches.
+// Ends of dispatches and attachments.
 const (
-	// Complete: the whole answer came.
+	// Complete: the whole response was received.
 	Complete End = iota
-	// NotAccepted: the endpoint provably never got the request.
+	// NotAccepted: the endpoint provably never received the request.
 	NotAccepted
-	// Broken: it may have run, and the answer is not whole.
+	// Broken: the request may have run, and the response is incomplete.
 	Broken
-	// Stopped: it was cancelled at the endpoint.
+	// Stopped: the request was cancelled at the endpoint.
 	Stopped
-	// NotFound: an attachment found no such stream.
+	// NotFound: the endpoint has no stream of that id to attach to.
 	NotFound
-	// Fenced: the endpoint refused the dispatch, or promises the attachment,
-	// that the stream never ran and never will.
+	// Fenced: the endpoint refused the dispatch as fenced or, for an attachment,
+	// promised that the stream never ran and never will.
 	Fenced
 )
 
-// Ended says how a dispatch or an attachment ended.
+// Ended reports how a dispatch or an attachment ended.
 type Ended struct {
 	Handle uint64
 	End    End
 	Tokens int
 }
 
-// PeerMessage is a message of another VM's incarnation.
+// PeerMessage is a message from an incarnation of another VM.
 type PeerMessage struct {
 	From        uint32
 	Incarnation uint64
 	Message     *schema.Message
 }
 
-// PeerClosed says that the kernel of a cell peer's VM closed the connection of
-// that incarnation, which a live process never closes.
+// PeerClosed reports that the kernel of a cell peer's VM closed the connection
+// of that incarnation. A live process never closes it.
 type PeerClosed struct {
 	VM          uint32
 	Incarnation uint64
 }
 
-// PeerNotListening says that a cell peer's address refused a connection. Incarnation
-// is what Node.PeerIncarnation said before the attempt.
+// PeerNotListening reports that a cell peer's address refused a connection.
+// Incarnation is the value that Node.PeerIncarnation returned before the
+// connection attempt.
 type PeerNotListening struct {
 	VM          uint32
 	Incarnation uint64
 }
 
-// PeerRemoved says that the platform's list dropped a VM.
+// PeerRemoved reports that a VM was removed from the platform's list.
 type PeerRemoved struct{ VM uint32 }
 
-// LogRead is a batch read from the log, in order.
+// LogRead is a batch of records read from the log, in order.
 type LogRead struct {
-	// First is the lowest offset kept by the log; Next the one after its end.
+	// First is the lowest offset kept by the log; Next is the offset after its
+	// last record.
 	First, Next uint64
 	Records     []LogEntry
 }
 
-// LogEntry is one record of the log; Record is nil if it could not be decoded.
+// LogEntry is one record of the log. Record is nil if it could not be decoded.
 type LogEntry struct {
 	Offset uint64
 	Record *schema.LogRecord
 }
 
-// LogFailed says that the log could not be read.
+// LogFailed reports that the log could not be read.
 type LogFailed struct{}
 
-// EndpointLeaving says that an endpoint leaves, or no longer does.
+// EndpointLeaving reports that an endpoint is shutting down, or no longer is.
 type EndpointLeaving struct {
 	Endpoint string
 	Leaving  bool
 }
 
-// CacheEvents are an endpoint's prefix cache events. Gap says that some were missed.
+// CacheEvents holds the prefix cache events of an endpoint. Gap reports that
+// some events were missed.
 type CacheEvents struct {
 	Endpoint        string
 	Stored, Dropped []uint64
@@ -137,26 +141,28 @@
 func (CacheEvents) isEvent()        {}
 func (Drain) isEvent()              {}
 
-// Effect is something to do. The types below are all there are.
+// Effect is an action returned by Node.Step. The types below are all
+// implementations.
 type Effect interface{ isEffect() }
 
 // Dispatch sends a request to an endpoint, once. Ended must follow.
 type Dispatch struct {
 	Handle   uint64
 	Endpoint string
-	// Stream is the id under which the endpoint can be asked for the answer.
+	// Stream is the id under which the response can be requested from the
+	// endpoint.
 	Stream string
-	// Candidates tell why this endpoint was picked.
+	// Candidates explains why this endpoint was picked.
 	Candidates []sched.Candidate
 }
 
-// Attach fetches the answer of another dispatch. Ended must follow.
+// Attach fetches the response of another dispatch. Ended must follow.
 type Attach struct {
 	Handle uint64
 	Record *schema.Record
 }
 
-// Finish is the final answer of a request.
+// Finish reports the final outcome of a request.
 type Finish struct {
 	Handle     uint64
 	Outcome    request.Outcome
@@ -164,7 +170,7 @@
 	RetryAfter time.Duration
 }
 
-// Conflict ends a request whose id was used with another body.
+// Conflict ends a request whose id was already used with a different body.
 type Conflict struct{ Handle uint64 }
 
 // Stop cancels a dispatch at its endpoint. Ended must follow.
@@ -173,31 +179,33 @@
 	Reason request.Reason
 }
 
-// Send passes a message to a VM; it may be lost.
+// Send sends a message to a VM. Delivery is not guaranteed.
 type Send struct {
 	To      uint32
 	Message *schema.Message
 }
 
-// Append appends a record to the log; it may be lost, and is then asked for again.
+// Append appends a record to the log. It may be lost; the core then requests it
+// again.
 type Append struct{ Record *schema.LogRecord }
 
-// ConfigApplied says that a document took effect here.
+// ConfigApplied reports that a configuration took effect on this VM.
 type ConfigApplied struct{ Rules *config.Rules }
 
-// ConfigJudged is the verdict on a record of the log.
+// ConfigJudged reports the verdict on a configuration record of the log.
 type ConfigJudged struct{ Verdict config.Verdict }
 
-// Takeover says that a dead VM's keys are held here now.
+// Takeover reports that this VM now holds the keys of a dead VM.
 type Takeover struct {
 	VM    uint32
 	Clean bool
 }
 
-// DeclaredDead says that the peers took this incarnation for dead: it must end.
+// DeclaredDead reports that the peers have declared this incarnation dead. The
+// process must exit.
 type DeclaredDead struct{}
 
-// Drained says that nothing is left to do before the process ends.
+// Drained reports that nothing remains to be done before the process exits.
 type Drained struct{}
 
 func (Dispatch) isEffect()      {}
--- a/core/fresh_test.go
+++ b/core/fresh_test.go
@@ -11,10 +11,11 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// TestFirstRunRequiresMembers: a request ran twice (found by reading). Sequence: vm1
-// grants claims; vm2 starts, hears vm1's heartbeat, and vm1 dies before vm2 has
-// joined. Cause: the log named only incarnations that vm2 had heard of, so vm2
-// took the domain's past for empty, though vm1's grants died with it.
+// TestFirstRunRequiresMembers guards against running a request twice. vm1
+// grants claims; vm2 starts and receives vm1's heartbeat; vm1 dies before vm2
+// has joined. The log names only incarnations that vm2 has received messages
+// from, so vm2 treated the domain as never having run before, although vm1's
+// grants were lost with it (found by reading).
 func TestFirstRunRequiresMembers(t *testing.T) {
 	is := is.New(t)
 	vms := []claim.VM{{ID: 1, Domain: "a"}, {ID: 2, Domain: "a"}}
@@ -36,5 +37,5 @@
 	n.Step(time.Millisecond, PeerClosed{VM: 1, Incarnation: vm1})
 	n.Step(time.Second, Tick{})
 	is.True(n.Status().Claims.Active)
-	is.Equal(n.Status().Claims.Lost, 1) // repeats are doubtful
+	is.Equal(n.Status().Claims.Lost, 1) // retries have an unknown outcome
 }
--- a/core/node.go
+++ b/core/node.go
@@ -11,16 +11,18 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Config is fixed for the life of a process.
+// Config holds the settings of a Node. They are fixed for the lifetime of a
+// process.
 type Config struct {
 	Claim claim.Config
 	Sched sched.Config
-	// DigestInterval is the interval of digests to peers.
+	// DigestInterval is the interval at which digests are sent to peers.
 	DigestInterval time.Duration
-	// ConfigPollInterval is the interval at which one peer is asked for newer configuration.
+	// ConfigPollInterval is the interval at which one peer is asked for newer
+	// configuration.
 	ConfigPollInterval time.Duration
-	// RepublishInterval is the interval at which the document in force is repeated on
-	// the log; well under its retention.
+	// RepublishInterval is the interval at which the current document is
+	// appended to the log again. It must be well below the retention of the log.
 	RepublishInterval time.Duration
 }
 
@@ -32,7 +34,7 @@
 	sched  *sched.Scheduler
 	conf   *configState
 	calls  map[uint64]*call
-	// callsByClaim maps claim callsByClaim to calls.
+	// callsByClaim maps the ids of claim acquisitions to calls.
 	callsByClaim    map[uint64]*call
 	lastClaimID     uint64
 	outputEstimates estimator
@@ -44,7 +46,7 @@
 	effects         []Effect
 }
 
-// New returns a node that has not joined and knows no configuration.
+// New returns a node that has not joined its cell and has no configuration.
 func New(cfg Config, now time.Duration) *Node {
 	n := &Node{
 		cfg:             cfg,
@@ -60,7 +62,8 @@
 	return n
 }
 
-// otherVMs are the VMs that use the same endpoints: all others of the deployment.
+// otherVMs returns all other VMs of the deployment. They share the endpoints
+// with this VM.
 func (n *Node) otherVMs() []uint32 {
 	var ids []uint32
 	for _, vm := range n.cfg.Claim.VMs {
@@ -71,7 +74,7 @@
 	return ids
 }
 
-// Step handles one event and returns what to do.
+// Step handles one event and returns the effects to execute.
 func (n *Node) Step(now time.Duration, ev Event) []Effect {
 	n.now = now
 	n.handle(ev)
@@ -154,12 +157,13 @@
 	n.progressDrain()
 }
 
-// unchangedDigestIntervals is how many intervals an unchanged digest is not repeated, well
-// under the time for which peers believe it.
+// unchangedDigestIntervals is the number of intervals for which an unchanged
+// digest is not sent again. The resulting time is well below the time for which
+// peers consider a digest valid.
 const unchangedDigestIntervals = 10
 
-// sendDigest tells peers of this VM's use of endpoints when it has changed, and
-// now and then when it has not.
+// sendDigest sends this VM's endpoint usage to its peers if it has changed, and
+// periodically if it has not.
 func (n *Node) sendDigest() {
 	d := n.sched.MakeDigest(n.now)
 	if proto.Equal(d, n.lastDigest) && n.now < n.digestSentAt+unchangedDigestIntervals*n.cfg.DigestInterval {
@@ -177,7 +181,8 @@
 
 func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
-// propagate passes decisions between the parts until none is left.
+// propagate passes decisions between claims and scheduler until neither
+// produces a new one.
 func (n *Node) propagate() {
 	for {
 		c := n.claims.Take()
@@ -223,7 +228,8 @@
 	}
 }
 
-// drain refuses new requests, ends what is here and hands over the keys.
+// drain refuses new requests, lets the present ones finish and hands over this
+// VM's keys.
 func (n *Node) drain() {
 	if n.draining {
 		return
@@ -239,17 +245,19 @@
 	}
 }
 
-// PeerIncarnation returns the incarnation known of a cell peer, 0 for none.
+// PeerIncarnation returns the newest known incarnation of a cell peer, or 0 if
+// there is none.
 func (n *Node) PeerIncarnation(vm uint32) uint64 { return n.claims.Incarnation(vm) }
 
-// CellPeers returns the VMs whose connections must be watched.
+// CellPeers returns the VMs to which the caller must keep a connection and
+// report when it is closed.
 func (n *Node) CellPeers() []uint32 { return n.claims.CellPeers() }
 
-// Status is what an operator wants to see of a VM.
+// Status is the state of a VM as reported to operators.
 type Status struct {
-	// Ready: the balancer may send requests.
+	// Ready reports whether the load balancer may send requests to this VM.
 	Ready bool
-	// Why says what is missing if not.
+	// Why states why the VM is not ready; it is empty if the VM is ready.
 	Why      string
 	Version  uint64
 	Draining bool
@@ -259,7 +267,7 @@
 	Claims   claim.Stats
 }
 
-// Status returns the present state.
+// Status returns the current status.
 func (n *Node) Status() Status {
 	s := Status{
 		Draining: n.draining, Calls: len(n.calls), Queued: n.sched.Queued(), Running: n.sched.Running(),
@@ -288,7 +296,8 @@
 	return ""
 }
 
-// Rules returns what is in force, or nil while that is not proven.
+// Rules returns the current configuration, or nil while it is not proven
+// current.
 func (n *Node) Rules() *config.Rules {
 	if !n.conf.current() {
 		return nil
--- a/core/session_test.go
+++ b/core/session_test.go
@@ -19,8 +19,9 @@
 )
 
 // TestSessions replays whole sessions of several VMs. Each file in testdata
-// tells one story; its output is every decision that the VMs took. The network
-// delivers in order; the script cuts, kills, freezes and restarts.
+// holds one scenario; the expected output lists every decision of the VMs. The
+// network delivers in order; the script partitions it and kills, freezes and
+// restarts VMs.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &session{t: t, partitioned: map[[2]uint32]bool{}, dispatched: map[string]*dispatchRef{}, ran: map[string]int{}}
@@ -38,9 +39,10 @@
 	up     bool
 	frozen bool
 	inbox  []packet
-	// logUnavailable: the log cannot be read from here.
+	// logUnavailable is set while the log cannot be read from this VM.
 	logUnavailable bool
-	// read is the next offset of the log; sent are the handles' keys.
+	// read is the offset of the next log record to read; keys maps handles to
+	// request keys.
 	read uint64
 	keys map[uint64]string
 }
@@ -67,7 +69,8 @@
 	logDown     bool
 	handle      uint64
 	out         strings.Builder
-	// dispatched are the runs by key; ran counts them.
+	// dispatched holds the last dispatch of each key; ran counts the runs of
+	// each key.
 	dispatched map[string]*dispatchRef
 	ran        map[string]int
 	seen       []history.Seen
@@ -178,7 +181,8 @@
 	}, s.now)
 }
 
-// run lets time pass: the log is read, messages are delivered, ticks come.
+// run advances time: on each step every VM reads the log and ticks, and
+// messages are delivered.
 func (s *session) run(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += step {
 		for _, n := range s.live() {
@@ -193,8 +197,8 @@
 	return slices.DeleteFunc(slices.Clone(s.nodes), func(n *node) bool { return !n.up || n.frozen })
 }
 
-// deliver hands over messages in order until none is left; those for frozen
-// VMs wait for the thaw.
+// deliver delivers messages in order until none is left. Messages for a frozen
+// VM are kept until it is thawed.
 func (s *session) deliver() {
 	for len(s.inTransit) > 0 {
 		p := s.inTransit[0]
@@ -244,8 +248,9 @@
 	}
 }
 
-// appendConfig puts a document on the log: kinds check (tier 0), draft (tier 1)
-// and invoice (not idempotent), engines with the given slots, a plain service.
+// appendConfig appends a document to the log: kinds check (tier 0), draft (tier
+// 1) and invoice (not idempotent), engines with the given slots, a plain
+// service.
 func (s *session) appendConfig(d *datadriven.TestData) {
 	var base uint64
 	slots, engines := 2, 2
@@ -304,7 +309,7 @@
 	}
 }
 
-// end tells the dispatcher how its run ended at the endpoint.
+// end reports to the dispatcher how its run ended at the endpoint.
 func (s *session) end(key, how string) {
 	r := s.dispatched[key]
 	r.end = how
@@ -318,7 +323,8 @@
 	s.apply(r.node, r.node.core.Step(s.now, Ended{Handle: r.handle, End: ends[how], Tokens: 100}))
 }
 
-// apply carries out effects as a harness does, and tells each decision.
+// apply executes effects as the daemon does and writes each decision to the
+// output.
 func (s *session) apply(n *node, effects []Effect) {
 	for _, ef := range effects {
 		switch ef := ef.(type) {
@@ -357,7 +363,8 @@
 	}
 }
 
-// attach answers from the engine, which keeps streams whoever reads them.
+// attach responds for the engine, which keeps streams regardless of their
+// readers.
 func (s *session) attach(n *node, ef Attach) {
 	key := n.keys[ef.Handle]
 	s.logf(n, "attach %s to the run of vm%d at %s", key, ef.Record.Dispatcher, ef.Record.Endpoint)
