--- a/claim/asks.go
+++ b/claim/asks.go
@@ -22,14 +22,14 @@
 	Find
 )
 
-// Wish is what a flight asks for.
-type Wish struct {
+// Request is what a flight asks for.
+type Request struct {
 	Intent  Intent
 	Key     request.Key
 	Digest  uint64
 	Attempt request.Attempt
-	// Repeat: the key may have been sent before; every domain is asked.
-	Repeat bool
+	// MayBeRetry: the key may have been sent before; every domain is asked.
+	MayBeRetry bool
 	// Arrived is when the request reached this VM.
 	Arrived time.Duration
 	// HomeOnly: every attempt of the key claims in its home domain, so no other
@@ -42,75 +42,75 @@
 	Replaces uint64
 }
 
-// flight is one wish under way, over one or more asks.
-type flight struct {
+// acquisition is one wish under way, over one or more asks.
+type acquisition struct {
 	id       uint64
-	wish     Wish
+	req      Request
 	hash     uint64
 	deadline time.Duration
-	late     bool
+	expired  bool
 	calls    []uint64
-	// open counts the asks without an answer.
-	open int
-	// home is the ask whose grant is the claim, in domain; 0 before it is sent.
-	home   uint64
-	domain string
-	// owing: the holder may have the claim on record.
-	owing bool
+	// unanswered counts the asks without an answer.
+	unanswered int
+	// homeCall is the ask whose grant is the claim, in domain; 0 before it is sent.
+	homeCall uint64
+	domain   string
+	// mustRelease: the holder may have the claim on record.
+	mustRelease bool
 	// replaces is the claim that this one takes the place of.
 	replaces uint64
 }
 
-// ask is one claim message to one domain, sent again until answered.
-type ask struct {
-	call   uint64
-	flight *flight
-	domain string
-	cell   []uint32
-	intent schema.Intent
-	tries  int
-	hops   int
-	target uint32
-	sentAt time.Duration
+// domainClaim is one claim message to one domain, sent again until answered.
+type domainClaim struct {
+	call      uint64
+	flight    *acquisition
+	domain    string
+	cell      []uint32
+	intent    schema.Intent
+	sends     int
+	redirects int
+	target    uint32
+	sentAt    time.Duration
 }
 
-// maxHops bounds the redirects followed between two sendings: two VMs that
+// maxRedirects bounds the redirects followed between two sendings: two VMs that
 // know different members name each other until they have spoken.
-const maxHops = 2
+const maxRedirects = 2
 
 // Acquire starts a flight. Its end comes as a Result. The id must be new.
-func (n *Node) Acquire(now time.Duration, id uint64, w Wish) {
+func (n *Node) Acquire(now time.Duration, id uint64, w Request) {
 	n.now = now
-	f := &flight{id: id, wish: w, hash: keyHash(w.Key), deadline: now + n.cfg.Timeout}
-	if old := n.flights[w.Replaces]; old != nil {
-		f.replaces = old.home
-		delete(n.flights, w.Replaces)
+	f := &acquisition{id: id, req: w, hash: keyHash(w.Key), deadline: now + n.cfg.Timeout}
+	if old := n.acquisitions[w.Replaces]; old != nil {
+		f.replaces = old.homeCall
+		delete(n.acquisitions, w.Replaces)
 	}
-	n.flights[id] = f
+	n.acquisitions[id] = f
 	n.start(f)
-	n.runLocal()
+	n.handleLoopback()
 }
 
-func (n *Node) start(f *flight) {
+func (n *Node) start(f *acquisition) {
 	switch {
-	case f.wish.Intent == Find && f.wish.HomeOnly:
-		n.ask(f, n.homeDomain(f.hash), schema.Intent_FIND)
-	case f.wish.Intent == Find:
+	case f.req.Intent == Find && f.req.HomeOnly:
+		n.sendClaim(f, n.homeDomain(f.hash), schema.Intent_FIND)
+	case f.req.Intent == Find:
 		for _, d := range n.domains {
-			n.ask(f, d, schema.Intent_FIND)
+			n.sendClaim(f, d, schema.Intent_FIND)
 		}
-	case f.wish.Repeat || f.wish.HomeOnly:
+	case f.req.MayBeRetry || f.req.HomeOnly:
 		f.domain = n.homeDomain(f.hash)
-		n.askHome(f)
+		n.claimHome(f)
 	default:
 		f.domain = n.cfg.Self.Domain
-		n.askHome(f)
+		n.claimHome(f)
 	}
 }
 
-func (n *Node) askHome(f *flight) {
-	f.owing = f.wish.Intent == Run
-	f.home = n.ask(f, f.domain, wireIntent(f.wish.Intent))
+func (n *Node) claimHome(f *acquisition) {
+	f.mustRelease = f.req.Intent == Run
+	f.homeCall = n.sendClaim(f, f.domain, wireIntent(f.req.Intent))
 }
 
 func wireIntent(i Intent) schema.Intent {
@@ -120,14 +120,14 @@
 	return schema.Intent_RUN
 }
 
-func (n *Node) ask(f *flight, domain string, intent schema.Intent) uint64 {
+func (n *Node) sendClaim(f *acquisition, domain string, intent schema.Intent) uint64 {
 	n.lastCall++
-	a := &ask{call: n.lastCall, flight: f, domain: domain, cell: n.cellOf(domain, f.hash), intent: intent}
-	n.asks[a.call] = a
-	n.askOrder = append(n.askOrder, a.call)
+	a := &domainClaim{call: n.lastCall, flight: f, domain: domain, cell: n.cellOf(domain, f.hash), intent: intent}
+	n.domainClaims[a.call] = a
+	n.domainClaimOrder = append(n.domainClaimOrder, a.call)
 	f.calls = append(f.calls, a.call)
-	f.open++
-	n.tryAsk(a)
+	f.unanswered++
+	n.transmitClaim(a)
 	return a.call
 }
 
@@ -138,7 +138,7 @@
 		return n.ownTarget(hash)
 	}
 	ranked := rendezvous.Rank(hash, cell)
-	ranked = slices.DeleteFunc(ranked, func(id uint32) bool { return n.gone[id] })
+	ranked = slices.DeleteFunc(ranked, func(id uint32) bool { return n.removed[id] })
 	if len(ranked) == 0 {
 		return 0, false
 	}
@@ -150,7 +150,7 @@
 	if !ok || holder == n.cfg.Self.ID {
 		return holder, ok
 	}
-	if n.now < n.peer(holder).heard+n.cfg.Lease {
+	if n.now < n.peer(holder).lastReceived+n.cfg.Lease {
 		return holder, true
 	}
 	next, found := rendezvous.Top(hash, n.cell, func(id uint32) bool { return id != holder && n.isMember(id) })
@@ -160,64 +160,64 @@
 	return next, true
 }
 
-func (n *Node) tryAsk(a *ask) {
-	to, ok := n.target(a.cell, a.flight.hash, a.tries)
+func (n *Node) transmitClaim(a *domainClaim) {
+	to, ok := n.target(a.cell, a.flight.hash, a.sends)
 	a.sentAt = n.now
-	a.tries++
+	a.sends++
 	if ok {
-		n.sendAsk(a, to)
+		n.sendClaimTo(a, to)
 	}
 }
 
-func (n *Node) sendAsk(a *ask, to uint32) {
+func (n *Node) sendClaimTo(a *domainClaim, to uint32) {
 	a.target = to
-	w := &a.flight.wish
+	w := &a.flight.req
 	n.send(to, &schema.Message{Body: &schema.Message_Claim{Claim: &schema.Claim{
 		Call: a.call, Organisation: w.Key.Organisation, Id: w.Key.ID, BodyDigest: w.Digest,
-		Attempt: uint32(w.Attempt), Repeat: w.Repeat, Intent: a.intent,
+		Attempt: uint32(w.Attempt), Repeat: w.MayBeRetry, Intent: a.intent,
 		AgeMs: millis(n.now - w.Arrived), Endpoint: w.Endpoint, Stream: w.Stream, Replaces: a.flight.replaces,
 	}}})
 }
 
-// resendAsks asks again with the same call, which the holder recognises, and
+// resendClaims asks again with the same call, which the holder recognises, and
 // ends the flights whose time is over.
-func (n *Node) resendAsks() {
-	for _, f := range n.expiredFlights() {
+func (n *Node) resendClaims() {
+	for _, f := range n.expiredAcquisitions() {
 		n.timeOut(f)
 	}
-	calls := n.askOrder
-	n.askOrder = nil
+	calls := n.domainClaimOrder
+	n.domainClaimOrder = nil
 	for _, call := range calls {
-		a := n.asks[call]
+		a := n.domainClaims[call]
 		if a == nil {
 			continue
 		}
-		n.askOrder = append(n.askOrder, call)
+		n.domainClaimOrder = append(n.domainClaimOrder, call)
 		if n.now >= a.sentAt+n.cfg.Retry {
-			a.hops = 0
-			n.tryAsk(a)
+			a.redirects = 0
+			n.transmitClaim(a)
 		}
 	}
 }
 
-func (n *Node) expiredFlights() []*flight {
-	var late []*flight
-	for _, call := range n.askOrder {
-		a := n.asks[call]
-		if a == nil || n.now < a.flight.deadline || a.flight.late {
+func (n *Node) expiredAcquisitions() []*acquisition {
+	var expired []*acquisition
+	for _, call := range n.domainClaimOrder {
+		a := n.domainClaims[call]
+		if a == nil || n.now < a.flight.deadline || a.flight.expired {
 			continue
 		}
-		a.flight.late = true
-		late = append(late, a.flight)
+		a.flight.expired = true
+		expired = append(expired, a.flight)
 	}
-	return late
+	return expired
 }
 
 // timeOut ends a flight that cannot be settled. A declared first attempt that
 // was not dispatched ran nowhere; a repeat may have.
-func (n *Node) timeOut(f *flight) {
+func (n *Node) timeOut(f *acquisition) {
 	switch {
-	case f.wish.Repeat:
+	case f.req.MayBeRetry:
 		n.finish(f, Unknown, request.ReasonDomainsAway, nil)
 	default:
 		n.finish(f, NotRun, request.ReasonClaimTimeout, nil)
@@ -226,7 +226,7 @@
 
 // onClaimResult takes one answer into its flight.
 func (n *Node) onClaimResult(m *schema.ClaimResult) {
-	a := n.asks[m.Call]
+	a := n.domainClaims[m.Call]
 	if a == nil {
 		return
 	}
@@ -234,21 +234,21 @@
 		n.redirect(a, m.Redirect)
 		return
 	}
-	delete(n.asks, m.Call)
+	delete(n.domainClaims, m.Call)
 	f := a.flight
-	f.open--
-	if a.call == f.home && m.Verdict != schema.Verdict_GRANTED {
-		f.owing = false
+	f.unanswered--
+	if a.call == f.homeCall && m.Verdict != schema.Verdict_GRANTED {
+		f.mustRelease = false
 	}
-	if f.wish.Intent == Find {
-		n.found(f, a.domain, m)
+	if f.req.Intent == Find {
+		n.onFindResult(f, a.domain, m)
 		return
 	}
 	switch m.Verdict {
 	case schema.Verdict_GRANTED:
 		n.advance(f, a)
 	case schema.Verdict_HELD:
-		n.held(f, a.domain, m.Record)
+		n.onHeld(f, a.domain, m.Record)
 	case schema.Verdict_CONFLICT:
 		n.finish(f, Conflict, request.ReasonConflict, nil)
 	case schema.Verdict_ALREADY_REFUSED:
@@ -256,47 +256,47 @@
 	case schema.Verdict_DOUBTFUL:
 		n.finish(f, Unknown, request.ReasonRecordsLost, nil)
 	default:
-		n.full(f)
+		n.finishFull(f)
 	}
 }
 
 // redirect asks the named VM at once.
-func (n *Node) redirect(a *ask, to uint32) {
-	if a.target == to || !slices.Contains(a.cell, to) || a.hops >= maxHops {
+func (n *Node) redirect(a *domainClaim, to uint32) {
+	if a.target == to || !slices.Contains(a.cell, to) || a.redirects >= maxRedirects {
 		return
 	}
-	a.hops++
-	n.sendAsk(a, to)
+	a.redirects++
+	n.sendClaimTo(a, to)
 }
 
 // advance goes from the home claim to the seals, and ends with all of them.
-func (n *Node) advance(f *flight, a *ask) {
-	if a.call == f.home && f.wish.Repeat && !f.wish.HomeOnly {
+func (n *Node) advance(f *acquisition, a *domainClaim) {
+	if a.call == f.homeCall && f.req.MayBeRetry && !f.req.HomeOnly {
 		n.sealElsewhere(f)
 	}
-	if f.open > 0 {
+	if f.unanswered > 0 {
 		return
 	}
-	if f.wish.Intent == Refuse {
+	if f.req.Intent == Refuse {
 		n.finish(f, NotRun, request.ReasonRefused, nil)
 		return
 	}
-	n.out.Results = append(n.out.Results, Result{Flight: f.id, Verdict: Granted})
+	n.out.Results = append(n.out.Results, Result{ID: f.id, Verdict: Granted})
 }
 
-func (n *Node) sealElsewhere(f *flight) {
+func (n *Node) sealElsewhere(f *acquisition) {
 	for _, d := range n.domains {
 		if d != f.domain {
-			n.ask(f, d, schema.Intent_SEAL)
+			n.sendClaim(f, d, schema.Intent_SEAL)
 		}
 	}
 }
 
-// held ends a flight that found another dispatch. A seal only says that the
+// onHeld ends a flight that found another dispatch. A seal only says that the
 // home domain knows: the wish goes on as a repeat there.
-func (n *Node) held(f *flight, domain string, r *schema.Record) {
+func (n *Node) onHeld(f *acquisition, domain string, r *schema.Record) {
 	if r.State == schema.RecordState_SEALED {
-		f.wish.Repeat = true
+		f.req.MayBeRetry = true
 		n.start(f)
 		return
 	}
@@ -304,8 +304,8 @@
 	n.finish(f, Held, "", r)
 }
 
-// found takes one domain's answer to a search.
-func (n *Node) found(f *flight, domain string, m *schema.ClaimResult) {
+// onFindResult takes one domain's answer to a search.
+func (n *Node) onFindResult(f *acquisition, domain string, m *schema.ClaimResult) {
 	switch {
 	case m.Verdict == schema.Verdict_CONFLICT:
 		n.finish(f, Conflict, request.ReasonConflict, nil)
@@ -314,14 +314,14 @@
 		n.finish(f, Held, "", m.Record)
 	case m.Verdict == schema.Verdict_DOUBTFUL:
 		n.finish(f, Unknown, request.ReasonRecordsLost, nil)
-	case f.open == 0:
+	case f.unanswered == 0:
 		n.finish(f, Absent, "", nil)
 	}
 }
 
-// full ends a flight refused for want of memory: nothing was dispatched.
-func (n *Node) full(f *flight) {
-	if f.wish.Repeat {
+// finishFull ends a flight refused for want of memory: nothing was dispatched.
+func (n *Node) finishFull(f *acquisition) {
+	if f.req.MayBeRetry {
 		n.finish(f, Unknown, request.ReasonRecordsFull, nil)
 		return
 	}
@@ -329,21 +329,21 @@
 }
 
 // finish ends a flight without a grant, and gives back what it had claimed.
-func (n *Node) finish(f *flight, v Verdict, why request.Reason, r *schema.Record) {
-	n.out.Results = append(n.out.Results, Result{Flight: f.id, Verdict: v, Reason: why, Record: r, Domain: f.domain})
-	n.drop(f)
+func (n *Node) finish(f *acquisition, v Verdict, reason request.Reason, r *schema.Record) {
+	n.out.Results = append(n.out.Results, Result{ID: f.id, Verdict: v, Reason: reason, Record: r, Domain: f.domain})
+	n.discard(f)
 }
 
-func (n *Node) drop(f *flight) {
-	delete(n.flights, f.id)
+func (n *Node) discard(f *acquisition) {
+	delete(n.acquisitions, f.id)
 	for _, call := range f.calls {
-		delete(n.asks, call)
+		delete(n.domainClaims, call)
 	}
-	if f.owing {
+	if f.mustRelease {
 		n.sendUpdate(f, &schema.Update{Released: true})
 	}
 	if f.replaces != 0 {
-		old := &flight{wish: f.wish, hash: f.hash, home: f.replaces, domain: f.domain}
+		old := &acquisition{req: f.req, hash: f.hash, homeCall: f.replaces, domain: f.domain}
 		n.sendUpdate(old, &schema.Update{Released: true})
 	}
 }
--- a/claim/copies.go
+++ b/claim/copies.go
@@ -17,15 +17,15 @@
 // noFlush is when nothing is to be copied.
 const noFlush = 1<<63 - 1
 
-// flightOfCopies is a Duplicate that waits for its ack.
-type flightOfCopies struct {
+// copyBatch is a Duplicate that waits for its ack.
+type copyBatch struct {
 	seq      uint64
 	sentAt   time.Duration
-	copies   []copied
+	copies   []recordVersion
 	syncDone bool
 }
 
-type copied struct {
+type recordVersion struct {
 	key     request.Key
 	version uint32
 }
@@ -35,7 +35,7 @@
 	if h, ok := n.holder(r.hash); !ok || h != n.cfg.Self.ID {
 		return
 	}
-	if b := n.backup(r.hash); b != nil && !b.solo {
+	if b := n.backup(r.hash); b != nil && !b.bypassed {
 		b.dirty = append(b.dirty, r.key)
 		// How a claim ended is copied with the next claim, or soon.
 		if r.state == schema.RecordState_CLAIMED || r.state == schema.RecordState_SEALED || r.refusedAt != 0 {
@@ -52,20 +52,20 @@
 	p.inFlight = nil
 	p.syncSent = false
 	p.flushAt = n.now
-	if !p.member || p.solo || n.phase != active {
+	if !p.member || p.bypassed || n.phase != active {
 		return
 	}
-	for _, b := range n.order {
+	for _, b := range n.byAge {
 		r := n.records[b.key]
-		if r == nil || r.born != b.at || !n.owes(r, p) {
+		if r == nil || r.createdAt != b.at || !n.needsCopy(r, p) {
 			continue
 		}
 		p.dirty = append(p.dirty, r.key)
 	}
 }
 
-// owes reports whether the peer is the backup of a record held here and lacks it.
-func (n *Node) owes(r *record, p *peer) bool {
+// needsCopy reports whether the peer is the backup of a record held here and lacks it.
+func (n *Node) needsCopy(r *record, p *peer) bool {
 	if h, ok := n.holder(r.hash); !ok || h != n.cfg.Self.ID || n.backup(r.hash) != p {
 		return false
 	}
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, p := range n.peers {
-		if !p.member || p.solo || n.now < p.flushAt && !n.leaveAsked {
+		if !p.member || p.bypassed || n.now < p.flushAt && !n.leaveRequested {
 			continue
 		}
 		p.flushAt = noFlush
@@ -89,27 +89,27 @@
 		}
 		if len(p.dirty) == 0 && len(p.inFlight) == 0 && !p.syncSent {
 			p.syncSent = true
-			f := &flightOfCopies{syncDone: true}
+			f := &copyBatch{syncDone: true}
 			p.inFlight = append(p.inFlight, f)
-			n.transmit(p, f)
+			n.transmitBatch(p, f)
 		}
 	}
 }
 
 func (n *Node) sendCopies(p *peer, keys []request.Key) {
-	f := &flightOfCopies{}
+	f := &copyBatch{}
 	for _, key := range keys {
 		if r := n.records[key]; r != nil {
-			f.copies = append(f.copies, copied{key: key, version: r.version})
+			f.copies = append(f.copies, recordVersion{key: key, version: r.version})
 		}
 	}
 	p.inFlight = append(p.inFlight, f)
-	n.transmit(p, f)
+	n.transmitBatch(p, f)
 }
 
-// transmit sends the newest versions under a number of their own, so that a
+// transmitBatch sends the newest versions under a number of their own, so that a
 // late ack of an older sending cannot vouch for a version it did not carry.
-func (n *Node) transmit(p *peer, f *flightOfCopies) {
+func (n *Node) transmitBatch(p *peer, f *copyBatch) {
 	p.dupSeq++
 	f.seq = p.dupSeq
 	f.sentAt = n.now
@@ -117,7 +117,7 @@
 	for i := range f.copies {
 		if r := n.records[f.copies[i].key]; r != nil {
 			f.copies[i].version = r.version
-			d.Records = append(d.Records, n.export(r))
+			d.Records = append(d.Records, n.recordToWire(r))
 		}
 	}
 	if f.syncDone {
@@ -134,7 +134,7 @@
 	for _, p := range n.peers {
 		for _, f := range p.inFlight {
 			if n.now >= f.sentAt+n.cfg.Retry {
-				n.transmit(p, f)
+				n.transmitBatch(p, f)
 			}
 		}
 	}
@@ -149,17 +149,17 @@
 		n.onOrphans(p, m)
 		return
 	}
-	if p.estranged {
+	if p.standingIn {
 		n.sendOrphans(p)
 		return
 	}
 	for _, r := range m.Records {
-		n.merge(r)
+		n.mergeRecord(r)
 	}
 	if m.SyncDone {
 		p.syncRoster = m.Roster
 		p.syncEpoch = m.Epoch
-		n.mergeLost(ofKnownLives(m.Lost))
+		n.mergeLost(withoutPredecessors(m.Lost))
 	}
 	n.ackDuplicate(p, m.Seq)
 }
@@ -168,12 +168,12 @@
 	n.send(p.id, &schema.Message{Body: &schema.Message_DuplicateAck{DuplicateAck: &schema.DuplicateAck{Seq: seq}}})
 }
 
-// ofKnownLives leaves out what the sender doubts only for want of the log: each
+// withoutPredecessors leaves out what the sender doubts only for want of the log: each
 // member settles that for itself.
-func ofKnownLives(list []*schema.Lost) []*schema.Lost {
+func withoutPredecessors(list []*schema.Lost) []*schema.Lost {
 	var known []*schema.Lost
 	for _, l := range list {
-		if l.Incarnation != earlierLife {
+		if l.Incarnation != unknownPredecessor {
 			known = append(known, l)
 		}
 	}
@@ -184,8 +184,8 @@
 	if p == nil {
 		return
 	}
-	if p.estranged && m.Seq == p.orphanSeq {
-		p.estranged = false
+	if p.standingIn && m.Seq == p.orphanSeq {
+		p.standingIn = false
 		p.orphans = nil
 		return
 	}
@@ -195,13 +195,13 @@
 			if len(p.dirty) > 0 || !p.syncSent {
 				p.flushAt = min(p.flushAt, n.now)
 			}
-			n.noteCopies(p, f)
+			n.markCopied(p, f)
 			return
 		}
 	}
 }
 
-func (n *Node) noteCopies(p *peer, f *flightOfCopies) {
+func (n *Node) markCopied(p *peer, f *copyBatch) {
 	for _, c := range f.copies {
 		r := n.records[c.key]
 		if r == nil {
@@ -209,14 +209,14 @@
 		}
 		r.copiedTo, r.copiedInc, r.copiedVersion = p.id, p.inc, c.version
 		if len(r.waiters) > 0 {
-			n.settleRecord(r)
+			n.answerWaiters(r)
 		}
 	}
-	n.dropSettled()
+	n.trimWaiting()
 }
 
-// dropSettled forgets the leading keys that wait for nothing.
-func (n *Node) dropSettled() {
+// trimWaiting forgets the leading keys that wait for nothing.
+func (n *Node) trimWaiting() {
 	for len(n.waiting) > 0 {
 		r := n.records[n.waiting[0]]
 		if r != nil && len(r.waiters) > 0 {
@@ -232,7 +232,7 @@
 // sendOrphans offers a holder that came back what was granted in its place.
 func (n *Node) sendOrphans(p *peer) {
 	if len(p.orphans) == 0 {
-		p.estranged = false
+		p.standingIn = false
 		return
 	}
 	p.dupSeq++
@@ -240,7 +240,7 @@
 	d := &schema.Duplicate{Seq: p.orphanSeq, Orphans: true}
 	for _, key := range p.orphans {
 		if r := n.records[key]; r != nil {
-			d.Records = append(d.Records, n.export(r))
+			d.Records = append(d.Records, n.recordToWire(r))
 		}
 	}
 	n.send(p.id, &schema.Message{Body: &schema.Message_Duplicate{Duplicate: d}})
@@ -252,12 +252,12 @@
 // here stays.
 func (n *Node) onOrphans(p *peer, m *schema.Duplicate) {
 	for _, pb := range m.Records {
-		n.takeOrphan(pb)
+		n.mergeOrphan(pb)
 	}
 	n.ackDuplicate(p, m.Seq)
 }
 
-func (n *Node) takeOrphan(pb *schema.Record) {
+func (n *Node) mergeOrphan(pb *schema.Record) {
 	key := request.Key{Organisation: pb.Organisation, ID: pb.Id}
 	r := n.records[key]
 	if r != nil && r.granted && r.state != schema.RecordState_REFUSED {
@@ -269,7 +269,7 @@
 		pb.Version = max(pb.Version, r.version+1)
 		ws, r.waiters = r.waiters, nil
 	}
-	n.merge(pb)
+	n.mergeRecord(pb)
 	r = n.records[key]
 	n.markDirty(r)
 	for _, w := range ws {
@@ -277,10 +277,10 @@
 	}
 }
 
-// copiesDone reports whether the backups have everything held here.
-func (n *Node) copiesDone() bool {
+// allCopied reports whether the backups have everything held here.
+func (n *Node) allCopied() bool {
 	for _, p := range n.peers {
-		if p.member && !p.solo && (!p.syncSent || len(p.dirty) > 0 || len(p.inFlight) > 0) {
+		if p.member && !p.bypassed && (!p.syncSent || len(p.dirty) > 0 || len(p.inFlight) > 0) {
 			return false
 		}
 	}
--- a/claim/gone_test.go
+++ b/claim/gone_test.go
@@ -9,11 +9,11 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// TestGoneComesBack: a VM that was replaced never joined its cell again (found
+// TestRemovedPeerRejoins: a VM that was replaced never joined its cell again (found
 // by reading). Sequence: the platform's list drops vm2, a new process starts at
 // its address. Cause: a VM once dropped was sent no heartbeat any more, so the
 // new process waited for one for ever.
-func TestGoneComesBack(t *testing.T) {
+func TestRemovedPeerRejoins(t *testing.T) {
 	is := is.New(t)
 	vms := []VM{{ID: 1, Domain: "a"}, {ID: 2, Domain: "a"}}
 	n := New(Config{
@@ -24,7 +24,7 @@
 		return &schema.Message{Body: &schema.Message_Heartbeat{Heartbeat: &schema.Heartbeat{Seq: inc + 1}}}
 	}
 	n.Receive(0, 2, 2<<30, beat(2<<30))
-	n.PeerGone(time.Second, 2)
+	n.PeerRemoved(time.Second, 2)
 	n.Take()
 	n.Receive(2*time.Second, 2, 3<<30, beat(3<<30))
 	n.Tick(3 * time.Second)
--- a/claim/holder.go
+++ b/claim/holder.go
@@ -22,7 +22,7 @@
 	stream         string
 	refusedAttempt uint32
 	refusedAt      time.Duration
-	born           time.Duration
+	createdAt      time.Duration
 	version        uint32
 
 	// The backup that has a copy, and of which version.
@@ -39,26 +39,26 @@
 
 // waiter is a claim whose answer waits for the copy.
 type waiter struct {
-	from   uint32
-	call   uint64
-	intent schema.Intent
-	repeat bool
+	from       uint32
+	call       uint64
+	intent     schema.Intent
+	mayBeRetry bool
 	// arrived is when the request reached its dispatcher, at the latest.
 	arrived time.Duration
 }
 
-func (n *Node) waiterOf(from uint32, m *schema.Claim) waiter {
+func (n *Node) newWaiter(from uint32, m *schema.Claim) waiter {
 	arrived := n.now - fromMillis(m.AgeMs) - time.Millisecond
-	return waiter{from: from, call: m.Call, intent: m.Intent, repeat: m.Repeat, arrived: arrived}
+	return waiter{from: from, call: m.Call, intent: m.Intent, mayBeRetry: m.Repeat, arrived: arrived}
 }
 
-// birth orders records by age, so that expiry needs no scan.
-type birth struct {
+// ageEntry orders records by age, so that expiry needs no scan.
+type ageEntry struct {
 	key request.Key
 	at  time.Duration
 }
 
-func (r *record) changed() { r.version++ }
+func (r *record) bumpVersion() { r.version++ }
 
 func (r *record) sameClaim(from uint32, inc, call uint64) bool {
 	return r.dispatcher == from && r.dispatcherInc == inc && r.call == call
@@ -76,20 +76,20 @@
 		n.claimAsHolder(from, inc, key, hash, m)
 		return
 	}
-	if n.standsInFor(holder, hash) {
+	if n.isStandInFor(holder, hash) {
 		n.claimAsStandIn(n.peer(holder), from, inc, key, hash, m)
 		return
 	}
 	n.reply(from, &schema.ClaimResult{Call: m.Call, Verdict: schema.Verdict_REDIRECT, Redirect: holder})
 }
 
-// standsInFor reports whether the holder was silent for a lease and this VM is
+// isStandInFor reports whether the holder was silent for a lease and this VM is
 // its backup for the key, with everything copied up to then. The holder then grants nothing with a copy, because
 // this VM acks none, and alone it grants only declared first attempts; so do
 // stand-ins, and a first attempt reaches one of the two.
-func (n *Node) standsInFor(holder uint32, hash uint64) bool {
+func (n *Node) isStandInFor(holder uint32, hash uint64) bool {
 	p := n.peer(holder)
-	if n.phase != active || !p.estranged || !n.hasAllOf(p) {
+	if n.phase != active || !p.standingIn || !n.hasAllGrantsOf(p) {
 		return false
 	}
 	next, _ := rendezvous.Top(hash, n.cell, func(id uint32) bool {
@@ -100,7 +100,7 @@
 
 func (n *Node) claimAsStandIn(p *peer, from uint32, inc uint64, key request.Key, hash uint64, m *schema.Claim) {
 	r := n.records[key]
-	w := n.waiterOf(from, m)
+	w := n.newWaiter(from, m)
 	first := !m.Repeat && m.Intent == schema.Intent_RUN
 	switch {
 	case !first && (r == nil || r.state == schema.RecordState_REFUSED):
@@ -108,7 +108,7 @@
 		n.answerClaim(nil, w, schema.Verdict_DOUBTFUL)
 	case !first:
 		n.answerExisting(r, from, m)
-	case r == nil && n.doubtful(false, w.arrived):
+	case r == nil && n.mayHaveBeenGranted(false, w.arrived):
 		n.answerClaim(nil, w, schema.Verdict_DOUBTFUL)
 	case r == nil || r.state == schema.RecordState_REFUSED && r.refusedAttempt == 0:
 		if len(n.records) >= n.cfg.MaxRecords {
@@ -128,7 +128,7 @@
 
 func (n *Node) claimAsHolder(from uint32, inc uint64, key request.Key, hash uint64, m *schema.Claim) {
 	b := n.backup(hash)
-	alone := b != nil && b.solo
+	alone := b != nil && b.bypassed
 	r := n.records[key]
 	if r == nil {
 		n.claimAbsent(from, inc, key, hash, m, alone)
@@ -138,22 +138,22 @@
 		n.answerExisting(r, from, m)
 		return
 	}
-	w := n.waiterOf(from, m)
+	w := n.newWaiter(from, m)
 	switch {
 	case r.digest != 0 && m.BodyDigest != 0 && r.digest != m.BodyDigest:
 		n.answerClaim(r, w, schema.Verdict_CONFLICT)
 	case r.sameClaim(from, inc, m.Call) && (m.Intent != schema.Intent_RUN || r.state == schema.RecordState_CLAIMED):
-		n.wait(r, w)
+		n.answerWhenCopied(r, w)
 	case r.state == schema.RecordState_CLAIMED && m.Replaces != 0 && r.sameClaim(from, inc, m.Replaces):
-		n.wait(n.claimRecord(r, key, hash, from, inc, m), w)
+		n.answerWhenCopied(n.claimRecord(r, key, hash, from, inc, m), w)
 	case r.state == schema.RecordState_SEALED && m.Intent == schema.Intent_SEAL:
-		n.wait(r, w)
+		n.answerWhenCopied(r, w)
 	case r.state == schema.RecordState_REFUSED && supersedes(m, r, n.now):
 		if alone && m.Repeat {
 			n.answerClaim(r, w, schema.Verdict_DOUBTFUL)
 			return
 		}
-		n.wait(n.claimRecord(r, key, hash, from, inc, m), w)
+		n.answerWhenCopied(n.claimRecord(r, key, hash, from, inc, m), w)
 	default:
 		n.answerExisting(r, from, m)
 	}
@@ -161,16 +161,16 @@
 
 // claimAbsent answers a claim for a key without a record.
 func (n *Node) claimAbsent(from uint32, inc uint64, key request.Key, hash uint64, m *schema.Claim, alone bool) {
-	w := n.waiterOf(from, m)
+	w := n.newWaiter(from, m)
 	switch {
-	case m.Repeat && alone, n.doubtful(m.Repeat, w.arrived):
+	case m.Repeat && alone, n.mayHaveBeenGranted(m.Repeat, w.arrived):
 		n.answerClaim(nil, w, schema.Verdict_DOUBTFUL)
 	case m.Intent == schema.Intent_FIND:
 		n.answerClaim(nil, w, schema.Verdict_ABSENT)
 	case len(n.records) >= n.cfg.MaxRecords:
 		n.answerClaim(nil, w, schema.Verdict_FULL)
 	default:
-		n.wait(n.claimRecord(nil, key, hash, from, inc, m), w)
+		n.answerWhenCopied(n.claimRecord(nil, key, hash, from, inc, m), w)
 	}
 }
 
@@ -189,7 +189,7 @@
 // claimRecord writes a claim into a new or released record.
 func (n *Node) claimRecord(r *record, key request.Key, hash uint64, from uint32, inc uint64, m *schema.Claim) *record {
 	if r == nil {
-		r = &record{key: key, hash: hash, born: n.now}
+		r = &record{key: key, hash: hash, createdAt: n.now}
 		n.insert(r)
 	}
 	r.digest = m.BodyDigest
@@ -205,20 +205,20 @@
 		r.state = schema.RecordState_CLAIMED
 	}
 	r.granted = false
-	r.changed()
+	r.bumpVersion()
 	n.markDirty(r)
 	return r
 }
 
 func (n *Node) insert(r *record) {
 	n.records[r.key] = r
-	n.order = append(n.order, birth{key: r.key, at: r.born})
+	n.byAge = append(n.byAge, ageEntry{key: r.key, at: r.createdAt})
 }
 
-// wait answers a claim now if its copy exists, otherwise once it does.
-func (n *Node) wait(r *record, w waiter) {
-	if n.counted(r) {
-		n.settle(r, w)
+// answerWhenCopied answers a claim now if its copy exists, otherwise once it does.
+func (n *Node) answerWhenCopied(r *record, w waiter) {
+	if n.isCommitted(r) {
+		n.answerCommitted(r, w)
 		return
 	}
 	if slices.ContainsFunc(r.waiters, func(o waiter) bool { return o.from == w.from && o.call == w.call }) {
@@ -231,24 +231,24 @@
 	}
 }
 
-// counted reports whether the present version of a record may be relied on.
-func (n *Node) counted(r *record) bool {
+// isCommitted reports whether the present version of a record may be relied on.
+func (n *Node) isCommitted(r *record) bool {
 	b := n.backup(r.hash)
-	if b == nil || b.solo {
+	if b == nil || b.bypassed {
 		return true
 	}
 	return r.copiedTo == b.id && r.copiedInc == b.inc && r.copiedVersion == r.version
 }
 
-// settle answers a claim whose record counts. A holder that meanwhile lost its
+// answerCommitted answers a claim whose record counts. A holder that meanwhile lost its
 // backup, or touch with it, grants no repeat: the backup may have granted the
 // key in its place.
-func (n *Node) settle(r *record, w waiter) {
+func (n *Node) answerCommitted(r *record, w waiter) {
 	b := n.backup(r.hash)
-	alone := b != nil && b.solo
-	if !r.granted && (w.repeat && alone || n.doubtful(w.repeat, w.arrived)) {
+	alone := b != nil && b.bypassed
+	if !r.granted && (w.mayBeRetry && alone || n.mayHaveBeenGranted(w.mayBeRetry, w.arrived)) {
 		if r.call == w.call && r.dispatcher == w.from {
-			n.withdraw(r)
+			n.undoClaim(r)
 		}
 		n.answerClaim(r, w, schema.Verdict_DOUBTFUL)
 		return
@@ -257,16 +257,16 @@
 	n.answerClaim(r, w, schema.Verdict_GRANTED)
 }
 
-// withdraw undoes a claim that was not granted.
-func (n *Node) withdraw(r *record) {
+// undoClaim undoes a claim that was not granted.
+func (n *Node) undoClaim(r *record) {
 	r.state = schema.RecordState_REFUSED
 	r.refusedAttempt, r.refusedAt = 0, 0
-	r.changed()
+	r.bumpVersion()
 	n.markDirty(r)
 }
 
-// settleWaiting answers every claim whose record counts by now.
-func (n *Node) settleWaiting() {
+// answerWaiting answers every claim whose record counts by now.
+func (n *Node) answerWaiting() {
 	keys := n.waiting
 	n.waiting = nil
 	for _, key := range keys {
@@ -274,7 +274,7 @@
 		if r == nil {
 			continue
 		}
-		n.settleRecord(r)
+		n.answerWaiters(r)
 		r.queued = len(r.waiters) > 0
 		if r.queued {
 			n.waiting = append(n.waiting, key)
@@ -282,19 +282,19 @@
 	}
 }
 
-func (n *Node) settleRecord(r *record) {
+func (n *Node) answerWaiters(r *record) {
 	if h, ok := n.holder(r.hash); !ok || h != n.cfg.Self.ID {
 		// The new holder answers when the claim is asked again.
 		r.waiters = nil
 		return
 	}
-	if !n.counted(r) {
+	if !n.isCommitted(r) {
 		return
 	}
 	ws := r.waiters
 	r.waiters = nil
 	for _, w := range ws {
-		n.settle(r, w)
+		n.answerCommitted(r, w)
 	}
 }
 
@@ -316,7 +316,7 @@
 func (n *Node) answerClaim(r *record, w waiter, v schema.Verdict) {
 	res := &schema.ClaimResult{Call: w.call, Verdict: v}
 	if r != nil {
-		res.Record = n.export(r)
+		res.Record = n.recordToWire(r)
 	}
 	n.reply(w.from, res)
 }
@@ -331,7 +331,7 @@
 	key := request.Key{Organisation: m.Organisation, ID: m.Id}
 	hash := keyHash(key)
 	holder, ok := n.holder(hash)
-	if !ok || (holder != n.cfg.Self.ID && !n.standsInFor(holder, hash)) {
+	if !ok || (holder != n.cfg.Self.ID && !n.isStandInFor(holder, hash)) {
 		return
 	}
 	dispatcher, dispatcherInc := from, inc
@@ -355,28 +355,28 @@
 	default:
 		r.state = m.State
 	}
-	r.changed()
+	r.bumpVersion()
 	n.markDirty(r)
 }
 
-// expire forgets records no request can ask for any more. Nothing is forgotten
+// expireRecords forgets records no request can ask for any more. Nothing is forgotten
 // earlier: at the bound of memory new claims are refused instead.
-func (n *Node) expire() {
-	for len(n.order) > 0 && n.now-n.order[0].at >= n.cfg.TTL {
-		b := n.order[0]
-		n.order = n.order[1:]
-		if r := n.records[b.key]; r != nil && r.born == b.at {
+func (n *Node) expireRecords() {
+	for len(n.byAge) > 0 && n.now-n.byAge[0].at >= n.cfg.TTL {
+		b := n.byAge[0]
+		n.byAge = n.byAge[1:]
+		if r := n.records[b.key]; r != nil && r.createdAt == b.at {
 			delete(n.records, b.key)
 		}
 	}
 }
 
-func (n *Node) export(r *record) *schema.Record {
+func (n *Node) recordToWire(r *record) *schema.Record {
 	pb := &schema.Record{
 		Organisation: r.key.Organisation, Id: r.key.ID, BodyDigest: r.digest,
 		State: r.state, Dispatcher: r.dispatcher, DispatcherIncarnation: r.dispatcherInc,
 		Call: r.call, Endpoint: r.endpoint, Stream: r.stream,
-		RefusedAttempt: r.refusedAttempt, AgeMs: millis(n.now - r.born), Version: r.version,
+		RefusedAttempt: r.refusedAttempt, AgeMs: millis(n.now - r.createdAt), Version: r.version,
 	}
 	if r.refusedAt != 0 {
 		pb.RefusedAgeMs = millis(n.now-r.refusedAt) + 1
@@ -384,15 +384,15 @@
 	return pb
 }
 
-// merge takes over a copy of a record unless a newer one is here.
-func (n *Node) merge(pb *schema.Record) {
+// mergeRecord takes over a copy of a record unless a newer one is here.
+func (n *Node) mergeRecord(pb *schema.Record) {
 	key := request.Key{Organisation: pb.Organisation, ID: pb.Id}
 	r := n.records[key]
 	if r != nil && r.version >= pb.Version {
 		return
 	}
 	if r == nil {
-		r = &record{key: key, hash: keyHash(key), born: n.now - fromMillis(pb.AgeMs)}
+		r = &record{key: key, hash: keyHash(key), createdAt: n.now - fromMillis(pb.AgeMs)}
 		n.insert(r)
 	}
 	r.digest, r.state, r.version = pb.BodyDigest, pb.State, pb.Version
--- a/claim/join.go
+++ b/claim/join.go
@@ -42,7 +42,7 @@
 // everyPeer reports whether each peer is away for certain or meets ok.
 func (n *Node) everyPeer(ok func(*peer) bool) bool {
 	for _, p := range n.peers {
-		if !p.absent && !p.dead && !p.left && !ok(p) {
+		if !p.notListening && !p.dead && !p.left && !ok(p) {
 			return false
 		}
 	}
@@ -50,12 +50,12 @@
 }
 
 func (n *Node) reached(p *peer) bool {
-	return p.inc != 0 && p.beatAck > n.cfg.Incarnation && n.now < p.heard+n.cfg.Lease
+	return p.inc != 0 && p.heartbeatAcked > n.cfg.Incarnation && n.now < p.lastReceived+n.cfg.Lease
 }
 
 func (n *Node) sendJoins() {
 	for _, p := range n.peers {
-		if p.joinAcked || p.absent || p.dead || p.left || n.now < p.joinAt {
+		if p.joinAcked || p.notListening || p.dead || p.left || n.now < p.joinAt {
 			continue
 		}
 		p.joinAt = n.now + n.cfg.Retry
@@ -67,37 +67,37 @@
 // past, nobody knows what earlier incarnations of the cell granted.
 func (n *Node) activate() {
 	n.phase = active
-	n.doubtUnseen()
-	if !n.vouched && !n.fresh {
-		n.addLost(n.cfg.Self.ID, earlierLife, n.now, n.now+n.cfg.TTL)
+	n.addUnreachedLost()
+	if !n.hasHistory && !n.firstRun {
+		n.addLost(n.cfg.Self.ID, unknownPredecessor, n.now, n.now+n.cfg.TTL)
 	}
 	n.rosterChanged()
 }
 
-// doubtUnseen counts as lost the members that others told of and that this VM
+// addUnreachedLost counts as lost the members that others told of and that this VM
 // never met: nobody here can say that their grants were handed on.
-func (n *Node) doubtUnseen() {
-	for _, m := range n.toldOf {
+func (n *Node) addUnreachedLost() {
+	for _, m := range n.reportedMembers {
 		p := n.peer(m.Vm)
 		if p == nil || p.member && p.inc == m.Incarnation {
 			continue
 		}
 		n.addLost(m.Vm, m.Incarnation, n.now, n.now+n.cfg.TTL)
 	}
-	n.toldOf = nil
+	n.reportedMembers = nil
 }
 
-// earlierLife stands for any incarnation of the cell before the present ones.
-const earlierLife = 0
+// unknownPredecessor stands for any incarnation of the cell before the present ones.
+const unknownPredecessor = 0
 
-// SetFresh tells that the platform's log shows no earlier life of the failure
+// SetFirstRun tells that the platform's log shows no earlier life of the failure
 // domain, so that a key without a record was never granted.
-func (n *Node) SetFresh(now time.Duration) {
+func (n *Node) SetFirstRun(now time.Duration) {
 	n.now = now
-	n.fresh = true
+	n.firstRun = true
 	kept := n.lost[:0]
 	for _, l := range n.lost {
-		if l.inc != earlierLife {
+		if l.inc != unknownPredecessor {
 			kept = append(kept, l)
 		}
 	}
@@ -115,7 +115,7 @@
 	p.member = true
 	if isNew {
 		p.ackedAt = n.now
-		p.solo = false
+		p.bypassed = false
 	}
 	if n.phase == active {
 		ack.Records = n.recordsFor(p.id)
@@ -142,13 +142,13 @@
 // know of deaths that are not known here, and so be the holder of any of them.
 func (n *Node) recordsFor(id uint32) []*schema.Record {
 	var list []*schema.Record
-	for _, b := range n.order {
+	for _, b := range n.byAge {
 		r := n.records[b.key]
-		if r == nil || r.born != b.at {
+		if r == nil || r.createdAt != b.at {
 			continue
 		}
 		if rendezvous.Weight(r.hash, id) > rendezvous.Weight(r.hash, n.cfg.Self.ID) {
-			list = append(list, n.export(r))
+			list = append(list, n.recordToWire(r))
 		}
 	}
 	return list
@@ -160,14 +160,14 @@
 	}
 	p.joinAcked = true
 	for _, r := range m.Records {
-		n.merge(r)
+		n.mergeRecord(r)
 	}
 	n.mergeLost(m.Lost)
-	n.toldOf = append(n.toldOf, m.Members...)
+	n.reportedMembers = append(n.reportedMembers, m.Members...)
 	if m.Active {
 		p.member = true
 		p.ackedAt = n.now
-		n.vouched = true
+		n.hasHistory = true
 	}
 	n.progressJoin()
 }
@@ -176,7 +176,7 @@
 func (n *Node) Leave(now time.Duration) {
 	n.now = now
 	if n.phase == active {
-		n.leaveAsked = true
+		n.leaveRequested = true
 		n.progressLeave()
 		return
 	}
@@ -189,7 +189,7 @@
 		return false
 	}
 	for _, p := range n.peers {
-		if p.member && !p.goodbyeAcked && !p.solo {
+		if p.member && !p.goodbyeAcked && !p.bypassed {
 			return false
 		}
 	}
@@ -199,10 +199,10 @@
 // progressLeave stops granting once the backups have everything, and tells the
 // members until they ack.
 func (n *Node) progressLeave() {
-	if n.leaveAsked && n.phase == active && n.copiesDone() {
+	if n.leaveRequested && n.phase == active && n.allCopied() {
 		n.phase = leaving
 	}
-	if n.phase != leaving || !n.leaveAsked {
+	if n.phase != leaving || !n.leaveRequested {
 		return
 	}
 	for _, p := range n.peers {
@@ -225,8 +225,8 @@
 	if !p.member {
 		return
 	}
-	p.beatEpoch = m.Epoch
-	clean := n.hasAllOf(p)
+	p.heartbeatEpoch = m.Epoch
+	clean := n.hasAllGrantsOf(p)
 	if !clean {
 		n.addLost(p.id, p.inc, n.now, n.now+n.cfg.TTL)
 	}
--- a/claim/node.go
+++ b/claim/node.go
@@ -65,7 +65,7 @@
 
 // Result ends a flight.
 type Result struct {
-	Flight  uint64
+	ID      uint64
 	Verdict Verdict
 	Reason  request.Reason
 	Record  *schema.Record
@@ -93,65 +93,65 @@
 // Node is one VM's part in the claims of all requests. It is not safe for
 // concurrent use.
 type Node struct {
-	cfg   Config
-	now   time.Duration
-	out   Output
-	local []*schema.Message
+	cfg      Config
+	now      time.Duration
+	out      Output
+	loopback []*schema.Message
 
 	domains []string
 	cells   map[string][][]uint32
-	gone    map[uint32]bool
+	removed map[uint32]bool
 
 	// Membership of the own cell.
-	cell   []uint32
-	peers  []*peer
-	phase  phase
-	fenced bool
-	fresh  bool
-	// vouched: an active member told what the cell has granted.
-	vouched bool
-	// toldOf are the members that others named while this VM joined.
-	toldOf     []*schema.Member
-	leaveAsked bool
-	lost       []lostIncarnation
-	beatAt     time.Duration
+	cell     []uint32
+	peers    []*peer
+	phase    phase
+	fenced   bool
+	firstRun bool
+	// hasHistory: an active member told what the cell has granted.
+	hasHistory bool
+	// reportedMembers are the members that others named while this VM joined.
+	reportedMembers []*schema.Member
+	leaveRequested  bool
+	lost            []lostIncarnation
+	nextHeartbeatAt time.Duration
 
 	// Records held or backed up.
 	records map[request.Key]*record
-	order   []birth
+	byAge   []ageEntry
 	// waiting are the keys whose claims wait for a copy, in order.
 	waiting []request.Key
 
 	// Calls of this VM.
-	lastCall uint64
-	asks     map[uint64]*ask
-	askOrder []uint64
-	updates  map[uint64]*update
-	updOrder []uint64
-	flights  map[uint64]*flight
+	lastCall         uint64
+	domainClaims     map[uint64]*domainClaim
+	domainClaimOrder []uint64
+	updates          map[uint64]*update
+	updateOrder      []uint64
+	acquisitions     map[uint64]*acquisition
 }
 
 // New returns a node that has not joined its cell.
 func New(cfg Config, now time.Duration) *Node {
 	n := &Node{
-		cfg:     cfg,
-		now:     now,
-		cells:   make(map[string][][]uint32),
-		gone:    make(map[uint32]bool),
-		records: make(map[request.Key]*record),
-		asks:    make(map[uint64]*ask),
-		updates: make(map[uint64]*update),
-		flights: make(map[uint64]*flight),
-		beatAt:  now,
+		cfg:             cfg,
+		now:             now,
+		cells:           make(map[string][][]uint32),
+		removed:         make(map[uint32]bool),
+		records:         make(map[request.Key]*record),
+		domainClaims:    make(map[uint64]*domainClaim),
+		updates:         make(map[uint64]*update),
+		acquisitions:    make(map[uint64]*acquisition),
+		nextHeartbeatAt: now,
 		// Numbers of an earlier incarnation must match nothing of this one.
 		lastCall: cfg.Incarnation,
 	}
-	n.layOutCells()
+	n.assignCells()
 	for _, id := range n.cell {
 		if id != cfg.Self.ID {
 			n.peers = append(n.peers, &peer{
 				id: id, ackedAt: now - cfg.Lease,
-				beatSeq: cfg.Incarnation, beatAck: cfg.Incarnation, dupSeq: cfg.Incarnation,
+				heartbeatSeq: cfg.Incarnation, heartbeatAcked: cfg.Incarnation, dupSeq: cfg.Incarnation,
 			})
 		}
 	}
@@ -159,9 +159,9 @@
 	return n
 }
 
-// layOutCells splits each domain's VMs, ordered by id, into cells of nearly
+// assignCells splits each domain's VMs, ordered by id, into cells of nearly
 // equal size. Every VM computes the same cells from the same list.
-func (n *Node) layOutCells() {
+func (n *Node) assignCells() {
 	byDomain := make(map[string][]uint32)
 	for _, vm := range n.cfg.VMs {
 		byDomain[vm.Domain] = append(byDomain[vm.Domain], vm.ID)
@@ -169,7 +169,7 @@
 	for domain, ids := range byDomain {
 		slices.Sort(ids)
 		n.domains = append(n.domains, domain)
-		n.cells[domain] = split(ids, max(2, n.cfg.CellSize))
+		n.cells[domain] = splitCells(ids, max(2, n.cfg.CellSize))
 	}
 	slices.Sort(n.domains)
 	for _, c := range n.cells[n.cfg.Self.Domain] {
@@ -179,7 +179,7 @@
 	}
 }
 
-func split(ids []uint32, size int) [][]uint32 {
+func splitCells(ids []uint32, size int) [][]uint32 {
 	count := max(1, (len(ids)+size-1)/size)
 	cells := make([][]uint32, 0, count)
 	for i := range count {
@@ -211,7 +211,7 @@
 
 // Take returns what was decided since the last call.
 func (n *Node) Take() Output {
-	n.runLocal()
+	n.handleLoopback()
 	n.flushDuplicates()
 	out := n.out
 	n.out = Output{}
@@ -221,17 +221,17 @@
 // send queues a message; one for this VM itself is handled without the network.
 func (n *Node) send(to uint32, m *schema.Message) {
 	if to == n.cfg.Self.ID {
-		n.local = append(n.local, m)
+		n.loopback = append(n.loopback, m)
 		return
 	}
 	n.out.Messages = append(n.out.Messages, Outgoing{To: to, Message: m})
 }
 
-func (n *Node) runLocal() {
-	for len(n.local) > 0 {
-		m := n.local[0]
-		n.local = n.local[1:]
-		n.dispatch(n.cfg.Self.ID, n.cfg.Incarnation, m)
+func (n *Node) handleLoopback() {
+	for len(n.loopback) > 0 {
+		m := n.loopback[0]
+		n.loopback = n.loopback[1:]
+		n.handleMessage(n.cfg.Self.ID, n.cfg.Incarnation, m)
 	}
 }
 
@@ -246,12 +246,12 @@
 		return
 	}
 	// Whoever speaks is not gone: the list lags, or a new process took the address.
-	delete(n.gone, from)
-	n.dispatch(from, incarnation, m)
-	n.runLocal()
+	delete(n.removed, from)
+	n.handleMessage(from, incarnation, m)
+	n.handleLoopback()
 }
 
-func (n *Node) dispatch(from uint32, inc uint64, m *schema.Message) {
+func (n *Node) handleMessage(from uint32, inc uint64, m *schema.Message) {
 	switch b := m.Body.(type) {
 	case *schema.Message_Heartbeat:
 		n.onHeartbeat(n.peer(from), b.Heartbeat)
@@ -286,15 +286,15 @@
 // in Retry.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
-	n.beat()
+	n.sendHeartbeats()
 	n.progressJoin()
-	n.watchBackups()
+	n.checkLeases()
 	n.progressLeave()
 	n.resendDuplicates()
-	n.resendAsks()
+	n.resendClaims()
 	n.resendUpdates()
-	n.expire()
-	n.runLocal()
+	n.expireRecords()
+	n.handleLoopback()
 }
 
 // Stats are figures for logs and metrics.
@@ -313,7 +313,7 @@
 	for _, p := range n.peers {
 		if p.member {
 			s.Members++
-			if n.wouldBeClean(p) {
+			if n.deathWouldBeClean(p) {
 				s.Backed++
 			}
 		}
--- a/claim/roster.go
+++ b/claim/roster.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// beatsPerLease is how many heartbeats go out in one lease at least.
-	beatsPerLease = 4
-	// maxBeatInterval keeps a long lease from delaying what heartbeats carry.
-	maxBeatInterval = 250 * time.Millisecond
+	// heartbeatsPerLease is how many heartbeats go out in one lease at least.
+	heartbeatsPerLease = 4
+	// maxHeartbeatInterval keeps a long lease from delaying what heartbeats carry.
+	maxHeartbeatInterval = 250 * time.Millisecond
 )
 
-// clockMargin is the part of a lease by which two clocks may drift in it.
-const clockMargin = 10
+// clockDriftDivisor is the part of a lease by which two clocks may drift in it.
+const clockDriftDivisor = 10
 
 // peer is another VM of the own cell, as this VM knows it.
 type peer struct {
@@ -30,55 +30,55 @@
 	member bool
 	// dead: inc is proven dead.
 	dead bool
-	// absent: nothing listened at its address when this VM joined.
-	absent bool
+	// notListening: nothing listened at its address when this VM joined.
+	notListening bool
 	// left: inc said goodbye; it grants nothing and still has requests to end.
 	left bool
 	// joinAcked: it handed over what this VM needs to join.
 	joinAcked bool
 	// joinAt is when the next Join or Goodbye may be sent.
 	joinAt time.Duration
-	// heard is when the last message of inc came.
-	heard time.Duration
+	// lastReceived is when the last message of inc came.
+	lastReceived time.Duration
 
 	// This VM as holder, the peer as backup.
 
-	beatSeq uint64        // last heartbeat sent
-	beatAck uint64        // highest heartbeat it acked
-	ackedAt time.Duration // when that ack came
-	beats   []sentAck     // heartbeats sent and not acked yet
-	// heardUntil is how long the peer heard this VM for certain: until then it
+	heartbeatSeq      uint64        // last heartbeat sent
+	heartbeatAcked    uint64        // highest heartbeat it acked
+	ackedAt           time.Duration // when that ack came
+	unackedHeartbeats []sentSeq     // heartbeats sent and not acked yet
+	// noStandInBefore is how long the peer heard this VM for certain: until then it
 	// granted nothing in this VM's place.
-	heardUntil time.Duration
-	solo       bool   // its silence outlasted the lease: grant without it
-	epoch      uint64 // grows with each solo period
-	dupSeq     uint64
-	dirty      []request.Key
-	inFlight   []*flightOfCopies
-	syncSent   bool
+	noStandInBefore time.Duration
+	bypassed        bool   // its silence outlasted the lease: grant without it
+	epoch           uint64 // grows with each solo period
+	dupSeq          uint64
+	dirty           []request.Key
+	inFlight        []*copyBatch
+	syncSent        bool
 	// flushAt is when the queued copies go out.
 	flushAt time.Duration
 
 	// The peer as holder, this VM as backup.
 
-	acks       []sentAck
-	cleanUntil time.Duration // it granted nothing alone before this
-	syncRoster uint64        // roster of its last complete sync
-	syncEpoch  uint64
-	beatEpoch  uint64 // epoch of its last heartbeat
+	acks           []sentSeq
+	notAloneBefore time.Duration // it granted nothing alone before this
+	syncRoster     uint64        // roster of its last complete sync
+	syncEpoch      uint64
+	heartbeatEpoch uint64 // epoch of its last heartbeat
 
-	// estranged: this VM grants first attempts of its keys and acks nothing of
+	// standingIn: this VM grants first attempts of its keys and acks nothing of
 	// it, until it has taken over the orphans.
-	estranged bool
-	orphans   []request.Key
-	orphanSeq uint64
+	standingIn bool
+	orphans    []request.Key
+	orphanSeq  uint64
 
 	// goodbyeAcked: it knows that this VM leaves.
 	goodbyeAcked bool
 }
 
-// sentAck is the number of a heartbeat or its ack, and when it was sent.
-type sentAck struct {
+// sentSeq is the number of a heartbeat or its ack, and when it was sent.
+type sentSeq struct {
 	seq uint64
 	at  time.Duration
 }
@@ -99,13 +99,13 @@
 		return false
 	}
 	if inc > p.inc {
-		n.bury(p, true)
+		n.markDead(p, true)
 		// Sequence numbers go on, so that a late ack of the old incarnation
 		// matches nothing sent to the new one.
-		*p = peer{id: p.id, inc: inc, ackedAt: n.now - n.cfg.Lease, beatSeq: p.beatSeq, beatAck: p.beatSeq, dupSeq: p.dupSeq}
+		*p = peer{id: p.id, inc: inc, ackedAt: n.now - n.cfg.Lease, heartbeatSeq: p.heartbeatSeq, heartbeatAcked: p.heartbeatSeq, dupSeq: p.dupSeq}
 	}
-	p.absent = false
-	p.heard = n.now
+	p.notListening = false
+	p.lastReceived = n.now
 	return true
 }
 
@@ -117,26 +117,26 @@
 		if p.inc < inc {
 			n.admit(p, inc)
 		}
-		n.bury(p, true)
+		n.markDead(p, true)
 		n.progressJoin()
 	}
-	n.runLocal()
+	n.handleLoopback()
 }
 
-// PeerAbsent reports that nothing listens at the peer's address. inc is the
+// PeerNotListening reports that nothing listens at the peer's address. inc is the
 // incarnation known, by Incarnation, before the address was tried; 0 for none.
 // A process listens as long as it lives, so that incarnation has ended; a newer
 // one may have been heard since, and is not meant.
-func (n *Node) PeerAbsent(now time.Duration, vm uint32, inc uint64) {
+func (n *Node) PeerNotListening(now time.Duration, vm uint32, inc uint64) {
 	n.now = now
 	p := n.peer(vm)
 	if p == nil || p.inc != inc {
 		return
 	}
-	p.absent = inc == 0
-	n.bury(p, true)
+	p.notListening = inc == 0
+	n.markDead(p, true)
 	n.progressJoin()
-	n.runLocal()
+	n.handleLoopback()
 }
 
 // Incarnation returns the newest incarnation heard of a peer, 0 for none.
@@ -147,30 +147,30 @@
 	return 0
 }
 
-// PeerGone reports that the platform's list has dropped the VM. The list lags
+// PeerRemoved reports that the platform's list has dropped the VM. The list lags
 // and may be wrong, so such a death is never clean.
-func (n *Node) PeerGone(now time.Duration, vm uint32) {
+func (n *Node) PeerRemoved(now time.Duration, vm uint32) {
 	n.now = now
-	n.gone[vm] = true
+	n.removed[vm] = true
 	if p := n.peer(vm); p != nil {
-		p.absent = p.inc == 0
-		n.bury(p, false)
+		p.notListening = p.inc == 0
+		n.markDead(p, false)
 		n.progressJoin()
 	}
-	n.runLocal()
+	n.handleLoopback()
 }
 
-// bury notes the death of a peer's incarnation and judges whether every claim
+// markDead notes the death of a peer's incarnation and judges whether every claim
 // it granted is known here: as holder with this VM's copy, and as stand-in for
 // this VM, which it is only after it has not heard this VM for a lease.
 //
 // ended says that the process has certainly ended by now.
-func (n *Node) bury(p *peer, ended bool) {
+func (n *Node) markDead(p *peer, hasEnded bool) {
 	if p.dead || p.inc == 0 {
 		return
 	}
 	if p.member {
-		clean := ended && n.wouldBeClean(p)
+		clean := hasEnded && n.deathWouldBeClean(p)
 		if !clean {
 			n.addLost(p.id, p.inc, n.now, n.now+n.cfg.TTL)
 		}
@@ -178,21 +178,21 @@
 	}
 	p.dead = true
 	p.member = false
-	p.estranged = false
+	p.standingIn = false
 	n.rosterChanged()
 }
 
-// wouldBeClean reports whether a proof of the peer's death now would find every
+// deathWouldBeClean reports whether a proof of the peer's death now would find every
 // claim it granted known here.
-func (n *Node) wouldBeClean(p *peer) bool {
-	return n.hasAllOf(p) && n.now < p.cleanUntil && n.now < p.heardUntil
+func (n *Node) deathWouldBeClean(p *peer) bool {
+	return n.hasAllGrantsOf(p) && n.now < p.notAloneBefore && n.now < p.noStandInBefore
 }
 
-// hasAllOf reports whether this VM, as backup, has a copy of everything the
+// hasAllGrantsOf reports whether this VM, as backup, has a copy of everything the
 // peer granted with it: the last complete copy was made under the members that
 // both know, and the peer granted nothing alone since.
-func (n *Node) hasAllOf(p *peer) bool {
-	return p.syncRoster == n.rosterHash() && p.syncEpoch == p.beatEpoch
+func (n *Node) hasAllGrantsOf(p *peer) bool {
+	return p.syncRoster == n.rosterHash() && p.syncEpoch == p.heartbeatEpoch
 }
 
 func (n *Node) addLost(vm uint32, inc uint64, diedBy, until time.Duration) {
@@ -207,11 +207,11 @@
 	n.lost = append(n.lost, lostIncarnation{vm: vm, inc: inc, diedBy: diedBy, until: until})
 }
 
-// doubtful reports whether a key without a record may have been granted by an
+// mayHaveBeenGranted reports whether a key without a record may have been granted by an
 // incarnation whose records are lost. A declared first attempt that arrived
 // after its death cannot: nothing with that key had been sent. One that
 // arrived before may have been overtaken by its own repeat.
-func (n *Node) doubtful(repeat bool, arrived time.Duration) bool {
+func (n *Node) mayHaveBeenGranted(repeat bool, arrived time.Duration) bool {
 	for _, l := range n.lost {
 		if n.now < l.until && (repeat || arrived <= l.diedBy) {
 			return true
@@ -294,32 +294,32 @@
 	for _, p := range n.peers {
 		n.startSync(p)
 	}
-	n.settleWaiting()
+	n.answerWaiting()
 }
 
-// beat sends heartbeats that are due.
-func (n *Node) beat() {
-	if n.now < n.beatAt {
+// sendHeartbeats sends heartbeats that are due.
+func (n *Node) sendHeartbeats() {
+	if n.now < n.nextHeartbeatAt {
 		return
 	}
-	n.beatAt = n.now + min(n.cfg.Lease/beatsPerLease, maxBeatInterval)
+	n.nextHeartbeatAt = n.now + min(n.cfg.Lease/heartbeatsPerLease, maxHeartbeatInterval)
 	for _, p := range n.peers {
-		if n.gone[p.id] {
+		if n.removed[p.id] {
 			continue
 		}
-		p.beatSeq++
-		p.beats = append(p.beats, sentAck{seq: p.beatSeq, at: n.now})
-		if len(p.beats) > maxSentAcks {
-			p.beats = p.beats[1:]
+		p.heartbeatSeq++
+		p.unackedHeartbeats = append(p.unackedHeartbeats, sentSeq{seq: p.heartbeatSeq, at: n.now})
+		if len(p.unackedHeartbeats) > maxSentAcks {
+			p.unackedHeartbeats = p.unackedHeartbeats[1:]
 		}
 		n.send(p.id, &schema.Message{Body: &schema.Message_Heartbeat{Heartbeat: &schema.Heartbeat{
-			Seq: p.beatSeq, Acked: p.beatAck, Epoch: p.epoch,
+			Seq: p.heartbeatSeq, Acked: p.heartbeatAcked, Epoch: p.epoch,
 		}}})
 	}
 }
 
-// leaseOfOthers is a lease on another VM's clock, at the least.
-func (n *Node) leaseOfOthers() time.Duration { return n.cfg.Lease - n.cfg.Lease/clockMargin }
+// peerLease is a lease on another VM's clock, at the least.
+func (n *Node) peerLease() time.Duration { return n.cfg.Lease - n.cfg.Lease/clockDriftDivisor }
 
 // maxSentAcks bounds the acks remembered for a peer that confirms none.
 const maxSentAcks = 64
@@ -330,18 +330,18 @@
 	if p == nil {
 		return
 	}
-	p.beatEpoch = m.Epoch
-	if p.estranged {
+	p.heartbeatEpoch = m.Epoch
+	if p.standingIn {
 		n.sendOrphans(p)
 		return
 	}
 	// What the peer confirms as acked bounds from below when its lease ends:
 	// it heard that ack after it was sent.
 	for len(p.acks) > 0 && p.acks[0].seq <= m.Acked {
-		p.cleanUntil = max(p.cleanUntil, p.acks[0].at+n.cfg.Lease)
+		p.notAloneBefore = max(p.notAloneBefore, p.acks[0].at+n.cfg.Lease)
 		p.acks = p.acks[1:]
 	}
-	p.acks = append(p.acks, sentAck{seq: m.Seq, at: n.now})
+	p.acks = append(p.acks, sentSeq{seq: m.Seq, at: n.now})
 	if len(p.acks) > maxSentAcks {
 		p.acks = p.acks[1:]
 	}
@@ -349,30 +349,30 @@
 }
 
 func (n *Node) onHeartbeatAck(p *peer, m *schema.HeartbeatAck) {
-	if p == nil || m.Seq <= p.beatAck || m.Seq > p.beatSeq {
+	if p == nil || m.Seq <= p.heartbeatAcked || m.Seq > p.heartbeatSeq {
 		return
 	}
-	p.beatAck = m.Seq
-	for len(p.beats) > 0 && p.beats[0].seq <= m.Seq {
-		p.heardUntil = p.beats[0].at + n.leaseOfOthers()
-		p.beats = p.beats[1:]
+	p.heartbeatAcked = m.Seq
+	for len(p.unackedHeartbeats) > 0 && p.unackedHeartbeats[0].seq <= m.Seq {
+		p.noStandInBefore = p.unackedHeartbeats[0].at + n.peerLease()
+		p.unackedHeartbeats = p.unackedHeartbeats[1:]
 	}
-	n.backupHeard(p)
+	n.renewBackupLease(p)
 	n.progressJoin()
 }
 
-// backupHeard renews the lease that the peer, as backup, gives this holder.
-func (n *Node) backupHeard(p *peer) {
+// renewBackupLease renews the lease that the peer, as backup, gives this holder.
+func (n *Node) renewBackupLease(p *peer) {
 	p.ackedAt = n.now
-	if p.solo {
-		p.solo = false
+	if p.bypassed {
+		p.bypassed = false
 		n.startSync(p)
 	}
 }
 
-// watchBackups ends the wait for backups that were silent for a lease, and
+// checkLeases ends the wait for backups that were silent for a lease, and
 // stands in for holders that were.
-func (n *Node) watchBackups() {
+func (n *Node) checkLeases() {
 	if n.phase < active {
 		return
 	}
@@ -380,15 +380,15 @@
 		if !p.member {
 			continue
 		}
-		if !p.solo && n.now >= p.ackedAt+n.cfg.Lease {
-			p.solo = true
+		if !p.bypassed && n.now >= p.ackedAt+n.cfg.Lease {
+			p.bypassed = true
 			p.epoch++
 			p.inFlight = nil
 			p.dirty = nil
-			n.settleWaiting()
+			n.answerWaiting()
 		}
-		if !p.estranged && n.now >= p.heard+n.cfg.Lease {
-			p.estranged = true
+		if !p.standingIn && n.now >= p.lastReceived+n.cfg.Lease {
+			p.standingIn = true
 		}
 	}
 }
@@ -415,8 +415,8 @@
 	return p != nil && p.member && p.inc == inc
 }
 
-// Away reports whether a peer is known not to run.
-func (n *Node) Away(vm uint32) bool {
+// IsDown reports whether a peer is known not to run.
+func (n *Node) IsDown(vm uint32) bool {
 	p := n.peer(vm)
-	return p == nil || p.absent || p.dead || p.left
+	return p == nil || p.notListening || p.dead || p.left
 }
--- a/claim/search_test.go
+++ b/claim/search_test.go
@@ -56,7 +56,7 @@
 	ranAt    []uint32 // attempts that ran
 }
 
-type flightRef struct {
+type acquisitionRef struct {
 	key     int
 	attempt uint32
 	vm      uint32
@@ -64,36 +64,36 @@
 	fenced  bool
 }
 
-// sending is a dispatch on its way to the endpoint, which may have been told
+// pendingDispatch is a dispatch on its way to the endpoint, which may have been told
 // never to run it.
-type sending struct {
-	flight uint64
-	stream string
+type pendingDispatch struct {
+	acquisition uint64
+	stream      string
 }
 
 // world is a deployment under search. Everything it does is one of rapid's draws.
 type world struct {
-	vms     []VM
-	state   map[uint32]*vmState
-	now     time.Duration
-	nextInc uint64
-	nextID  uint64
-	bag     []packet
-	cut     map[[2]uint32]bool
-	keys    []*keyState
-	flights map[uint64]flightRef
-	granted []uint64
-	onWay   []sending
-	// met are the streams that the endpoint has run or refuses for good.
-	met   map[string]bool
-	naive func(*Node)
+	vms               []VM
+	state             map[uint32]*vmState
+	now               time.Duration
+	nextInc           uint64
+	nextID            uint64
+	inTransit         []packet
+	partitioned       map[[2]uint32]bool
+	keys              []*keyState
+	acquisitions      map[uint64]acquisitionRef
+	granted           []uint64
+	pendingDispatches []pendingDispatch
+	// settledStreams are the streams that the endpoint has run or refuses for good.
+	settledStreams map[string]bool
+	naive          func(*Node)
 	// ignoresFencing: the endpoint promises never to run a stream and runs it.
 	ignoresFencing bool
 	stats          map[Verdict]int
 }
 
 func newWorld(layout []string) *world {
-	w := &world{state: map[uint32]*vmState{}, cut: map[[2]uint32]bool{}, flights: map[uint64]flightRef{}, met: map[string]bool{}, stats: map[Verdict]int{}}
+	w := &world{state: map[uint32]*vmState{}, partitioned: map[[2]uint32]bool{}, acquisitions: map[uint64]acquisitionRef{}, settledStreams: map[string]bool{}, stats: map[Verdict]int{}}
 	for i, d := range layout {
 		w.vms = append(w.vms, VM{ID: uint32(i + 1), Domain: d})
 	}
@@ -119,16 +119,16 @@
 		TTL: time.Hour, MaxRecords: 1000,
 	}, w.now)
 	if w.now == 0 {
-		s.node.SetFresh(w.now)
+		s.node.SetFirstRun(w.now)
 	}
 	for _, id := range s.node.CellPeers() {
-		if !w.state[id].up && !w.isCut(id, vm.ID) {
-			s.node.PeerAbsent(w.now, id, 0)
+		if !w.state[id].up && !w.isPartitioned(id, vm.ID) {
+			s.node.PeerNotListening(w.now, id, 0)
 		}
 	}
 }
 
-func (w *world) isCut(a, b uint32) bool { return w.cut[[2]uint32{a, b}] }
+func (w *world) isPartitioned(a, b uint32) bool { return w.partitioned[[2]uint32{a, b}] }
 
 // collect takes a node's output: messages go on their way, grants run at once.
 func (w *world) collect(t *rapid.T, id uint32) {
@@ -138,8 +138,8 @@
 	}
 	out := s.node.Take()
 	for _, m := range out.Messages {
-		if !w.isCut(id, m.To) {
-			w.bag = append(w.bag, packet{from: id, to: m.To, inc: s.inc, m: proto.Clone(m.Message).(*schema.Message)})
+		if !w.isPartitioned(id, m.To) {
+			w.inTransit = append(w.inTransit, packet{from: id, to: m.To, inc: s.inc, m: proto.Clone(m.Message).(*schema.Message)})
 		}
 	}
 	for _, r := range out.Results {
@@ -152,17 +152,17 @@
 
 func (w *world) result(t *rapid.T, r Result) {
 	w.stats[r.Verdict]++
-	ref := w.flights[r.Flight]
+	ref := w.acquisitions[r.ID]
 	k := w.keys[ref.key]
 	switch r.Verdict {
 	case Granted:
 		if rapid.IntRange(0, 7).Draw(t, "give back") == 0 {
-			w.state[ref.vm].node.NotDispatched(w.now, r.Flight)
+			w.state[ref.vm].node.NotDispatched(w.now, r.ID)
 			return
 		}
-		w.onWay = append(w.onWay, sending{flight: r.Flight, stream: fmt.Sprint("s", r.Flight)})
+		w.pendingDispatches = append(w.pendingDispatches, pendingDispatch{acquisition: r.ID, stream: fmt.Sprint("s", r.ID)})
 		if rapid.Bool().Draw(t, "slow way") {
-			w.arrive(len(w.onWay) - 1)
+			w.arrive(len(w.pendingDispatches) - 1)
 		}
 	case Held:
 		w.fence(t, r)
@@ -192,31 +192,31 @@
 
 // arrive lets a dispatch reach the endpoint, which runs it unless it is fenced.
 func (w *world) arrive(i int) {
-	d := w.onWay[i]
-	w.onWay = slices.Delete(w.onWay, i, i+1)
-	if w.met[d.stream] {
+	d := w.pendingDispatches[i]
+	w.pendingDispatches = slices.Delete(w.pendingDispatches, i, i+1)
+	if w.settledStreams[d.stream] {
 		return
 	}
-	w.met[d.stream] = true
-	ref := w.flights[d.flight]
+	w.settledStreams[d.stream] = true
+	ref := w.acquisitions[d.acquisition]
 	k := w.keys[ref.key]
 	k.ran = append(k.ran, fmt.Sprintf("vm%d attempt %d at %v", ref.vm, ref.attempt, w.now))
 	k.ranAt = append(k.ranAt, ref.attempt)
-	w.granted = append(w.granted, d.flight)
+	w.granted = append(w.granted, d.acquisition)
 }
 
 // fence has the endpoint promise never to run a stream it has not met, and
 // gives its claim back. A VM does so at whatever time it finds the claim.
 func (w *world) fence(t *rapid.T, r Result) {
-	ref := w.flights[r.Flight]
-	if r.Record.State != schema.RecordState_CLAIMED || w.met[r.Record.Stream] || !rapid.Bool().Draw(t, "fence") {
+	ref := w.acquisitions[r.ID]
+	if r.Record.State != schema.RecordState_CLAIMED || w.settledStreams[r.Record.Stream] || !rapid.Bool().Draw(t, "fence") {
 		return
 	}
-	w.met[r.Record.Stream] = !w.ignoresFencing
+	w.settledStreams[r.Record.Stream] = !w.ignoresFencing
 	w.nextID++
 	ref.fenced = true
-	w.flights[w.nextID] = ref
-	w.state[ref.vm].node.Fence(w.now, w.nextID, r.Record, r.Domain)
+	w.acquisitions[w.nextID] = ref
+	w.state[ref.vm].node.ReleaseFenced(w.now, w.nextID, r.Record, r.Domain)
 }
 
 func (w *world) kill(id uint32) {
@@ -225,24 +225,24 @@
 		return
 	}
 	s.up = false
-	w.bag = slices.DeleteFunc(w.bag, func(p packet) bool { return p.to == id && !p.closed })
+	w.inTransit = slices.DeleteFunc(w.inTransit, func(p packet) bool { return p.to == id && !p.closed })
 	for _, peer := range s.node.CellPeers() {
-		if !w.isCut(id, peer) {
-			w.bag = append(w.bag, packet{from: id, to: peer, inc: s.inc, closed: true})
+		if !w.isPartitioned(id, peer) {
+			w.inTransit = append(w.inTransit, packet{from: id, to: peer, inc: s.inc, closed: true})
 		}
 	}
 }
 
 func (w *world) deliver(t *rapid.T, i int, keep bool) {
-	p := w.bag[i]
+	p := w.inTransit[i]
 	s := w.state[p.to]
 	if s.frozen {
 		return
 	}
 	if !keep || p.closed {
-		w.bag = append(w.bag[:i:i], w.bag[i+1:]...)
+		w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 	}
-	if !s.up || w.isCut(p.from, p.to) {
+	if !s.up || w.isPartitioned(p.from, p.to) {
 		return
 	}
 	if p.closed {
@@ -267,7 +267,7 @@
 // settle lets the network work for a while without faults of its own.
 func (w *world) settle(t *rapid.T, rounds int) {
 	for range rounds {
-		for n := len(w.bag); n > 0 && len(w.bag) > 0; n-- {
+		for n := len(w.inTransit); n > 0 && len(w.inTransit) > 0; n-- {
 			w.deliver(t, 0, false)
 		}
 		w.tick(t, 50*time.Millisecond)
@@ -286,10 +286,10 @@
 	}
 	w.nextID++
 	// An undeclared attempt gets a number of its own for the checker.
-	w.flights[w.nextID] = flightRef{key: key, attempt: k.attempts, vm: id, inc: w.state[id].inc}
-	w.state[id].node.Acquire(w.now, w.nextID, Wish{
+	w.acquisitions[w.nextID] = acquisitionRef{key: key, attempt: k.attempts, vm: id, inc: w.state[id].inc}
+	w.state[id].node.Acquire(w.now, w.nextID, Request{
 		Intent: intent, Key: request.Key{Organisation: "org", ID: fmt.Sprint("k", key)}, Digest: 1,
-		Attempt: request.Attempt(attempt), Repeat: repeat, Arrived: w.now, Endpoint: "e", Stream: fmt.Sprint("s", w.nextID),
+		Attempt: request.Attempt(attempt), MayBeRetry: repeat, Arrived: w.now, Endpoint: "e", Stream: fmt.Sprint("s", w.nextID),
 	})
 	w.collect(t, id)
 }
@@ -311,16 +311,16 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"request": request, "request too": request, "request also": request,
 		"deliver": func(t *rapid.T) {
-			if len(w.bag) > 0 {
-				w.deliver(t, rapid.IntRange(0, len(w.bag)-1).Draw(t, "packet"), rapid.IntRange(0, 5).Draw(t, "twice") == 0)
+			if len(w.inTransit) > 0 {
+				w.deliver(t, rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "packet"), rapid.IntRange(0, 5).Draw(t, "twice") == 0)
 			}
 		},
 		"network":    func(t *rapid.T) { w.settle(t, rapid.IntRange(1, 8).Draw(t, "rounds")) },
 		"long quiet": func(t *rapid.T) { w.settle(t, 30) },
 		"lose": func(t *rapid.T) {
-			if len(w.bag) > 0 {
-				i := rapid.IntRange(0, len(w.bag)-1).Draw(t, "packet")
-				w.bag = append(w.bag[:i:i], w.bag[i+1:]...)
+			if len(w.inTransit) > 0 {
+				i := rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "packet")
+				w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 			}
 		},
 		"pause": func(t *rapid.T) { w.tick(t, time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms"))*time.Millisecond) },
@@ -346,40 +346,40 @@
 		"gone": func(t *rapid.T) {
 			gone, at := pickVM(t), pickVM(t)
 			if s := w.state[at]; gone != at && s.up && !s.frozen && !w.state[gone].up {
-				s.node.PeerGone(w.now, gone)
+				s.node.PeerRemoved(w.now, gone)
 				w.collect(t, at)
 			}
 		},
 		"refused": func(t *rapid.T) {
 			away, at := pickVM(t), pickVM(t)
-			if s := w.state[at]; s.up && !s.frozen && !w.state[away].up && !w.isCut(away, at) {
-				s.node.PeerAbsent(w.now, away, s.node.Incarnation(away))
+			if s := w.state[at]; s.up && !s.frozen && !w.state[away].up && !w.isPartitioned(away, at) {
+				s.node.PeerNotListening(w.now, away, s.node.Incarnation(away))
 				w.collect(t, at)
 			}
 		},
 		"cut": func(t *rapid.T) {
 			a, b := pickVM(t), pickVM(t)
-			w.cut[[2]uint32{a, b}] = true
+			w.partitioned[[2]uint32{a, b}] = true
 			if rapid.Bool().Draw(t, "both ways") {
-				w.cut[[2]uint32{b, a}] = true
+				w.partitioned[[2]uint32{b, a}] = true
 			}
 		},
 		"arrive": func(t *rapid.T) {
-			if len(w.onWay) > 0 {
-				w.arrive(rapid.IntRange(0, len(w.onWay)-1).Draw(t, "dispatch"))
+			if len(w.pendingDispatches) > 0 {
+				w.arrive(rapid.IntRange(0, len(w.pendingDispatches)-1).Draw(t, "dispatch"))
 				w.check(t)
 			}
 		},
-		"heal": func(t *rapid.T) { clear(w.cut) },
+		"heal": func(t *rapid.T) { clear(w.partitioned) },
 		"end": func(t *rapid.T) {
 			if len(w.granted) == 0 {
 				return
 			}
 			id := w.granted[0]
 			w.granted = w.granted[1:]
-			ref := w.flights[id]
+			ref := w.acquisitions[id]
 			if s := w.state[ref.vm]; s.up && !s.frozen && s.inc == ref.inc {
-				s.node.Ended(w.now, id, schema.RecordState_ANSWERED)
+				s.node.RecordEnd(w.now, id, schema.RecordState_ANSWERED)
 				w.collect(t, ref.vm)
 			}
 		},
@@ -422,14 +422,14 @@
 		"every death is clean":  {"pair", func(n *Node) { n.lost = nil }},
 		"silence is death": {"pair", func(n *Node) {
 			for _, p := range n.peers {
-				if p.member && n.now >= p.heard+n.cfg.Lease {
+				if p.member && n.now >= p.lastReceived+n.cfg.Lease {
 					p.member = false
 				}
 			}
 		}},
 		"a silent backup is no backup": {"pair", func(n *Node) {
 			for _, p := range n.peers {
-				p.member = p.member && !p.solo
+				p.member = p.member && !p.bypassed
 			}
 		}},
 		"joins at once": {"three", func(n *Node) {
--- a/claim/updates.go
+++ b/claim/updates.go
@@ -9,56 +9,56 @@
 
 // update is a message about the end of a claim, sent until acked.
 type update struct {
-	msg    *schema.Update
-	cell   []uint32
-	hash   uint64
-	tries  int
-	sentAt time.Duration
-	until  time.Duration
-	// flight waits for the ack; 0 for none.
-	flight uint64
+	msg       *schema.Update
+	cell      []uint32
+	hash      uint64
+	sends     int
+	sentAt    time.Duration
+	expiresAt time.Duration
+	// acquisition waits for the ack; 0 for none.
+	acquisition uint64
 }
 
-// Forget ends a flight that nobody waits for. The request was not dispatched
+// Abandon ends a flight that nobody waits for. The request was not dispatched
 // and will not be.
-func (n *Node) Forget(now time.Duration, id uint64) {
+func (n *Node) Abandon(now time.Duration, id uint64) {
 	n.now = now
-	if f := n.flights[id]; f != nil {
-		n.drop(f)
+	if f := n.acquisitions[id]; f != nil {
+		n.discard(f)
 	}
-	n.runLocal()
+	n.handleLoopback()
 }
 
 // NotDispatched gives back a granted claim that was never sent to an endpoint.
-func (n *Node) NotDispatched(now time.Duration, id uint64) { n.Forget(now, id) }
+func (n *Node) NotDispatched(now time.Duration, id uint64) { n.Abandon(now, id) }
 
-// Ended notes how a dispatched request ended.
-func (n *Node) Ended(now time.Duration, id uint64, state schema.RecordState) {
+// RecordEnd notes how a dispatched request ended.
+func (n *Node) RecordEnd(now time.Duration, id uint64, state schema.RecordState) {
 	n.now = now
-	if f := n.flights[id]; f != nil {
+	if f := n.acquisitions[id]; f != nil {
 		n.sendUpdate(f, &schema.Update{State: state})
-		delete(n.flights, id)
+		delete(n.acquisitions, id)
 	}
-	n.runLocal()
+	n.handleLoopback()
 }
 
-func (n *Node) sendUpdate(f *flight, m *schema.Update) *update {
+func (n *Node) sendUpdate(f *acquisition, m *schema.Update) *update {
 	n.lastCall++
 	m.Call = n.lastCall
-	m.Organisation, m.Id = f.wish.Key.Organisation, f.wish.Key.ID
-	m.ClaimCall = f.home
+	m.Organisation, m.Id = f.req.Key.Organisation, f.req.Key.ID
+	m.ClaimCall = f.homeCall
 	cell := n.cellOf(f.domain, f.hash)
-	u := &update{msg: m, cell: cell, hash: f.hash, until: n.now + n.cfg.TTL}
+	u := &update{msg: m, cell: cell, hash: f.hash, expiresAt: n.now + n.cfg.TTL}
 	n.updates[m.Call] = u
-	n.updOrder = append(n.updOrder, m.Call)
-	n.trySend(u)
+	n.updateOrder = append(n.updateOrder, m.Call)
+	n.transmitUpdate(u)
 	return u
 }
 
-func (n *Node) trySend(u *update) {
+func (n *Node) transmitUpdate(u *update) {
 	u.sentAt = n.now
-	to, ok := n.target(u.cell, u.hash, u.tries)
-	u.tries++
+	to, ok := n.target(u.cell, u.hash, u.sends)
+	u.sends++
 	if ok {
 		n.send(to, &schema.Message{Body: &schema.Message_Update{Update: u.msg}})
 	}
@@ -66,28 +66,28 @@
 
 // resendUpdates repeats updates, ever more slowly, until acked.
 func (n *Node) resendUpdates() {
-	calls := n.updOrder
-	n.updOrder = nil
+	calls := n.updateOrder
+	n.updateOrder = nil
 	for _, call := range calls {
 		u := n.updates[call]
 		if u == nil {
 			continue
 		}
-		if n.now >= u.until {
+		if n.now >= u.expiresAt {
 			delete(n.updates, call)
-			n.giveUpUpdate(u)
+			n.failUpdate(u)
 			continue
 		}
-		n.updOrder = append(n.updOrder, call)
-		if n.now >= u.sentAt+n.cfg.Retry*time.Duration(min(u.tries, maxBackoff)) {
-			n.trySend(u)
+		n.updateOrder = append(n.updateOrder, call)
+		if n.now >= u.sentAt+n.cfg.Retry*time.Duration(min(u.sends, maxBackoff)) {
+			n.transmitUpdate(u)
 		}
 	}
 }
 
-func (n *Node) giveUpUpdate(u *update) {
-	if u.flight != 0 {
-		n.out.Results = append(n.out.Results, Result{Flight: u.flight, Verdict: Unknown, Reason: request.ReasonDomainsAway})
+func (n *Node) failUpdate(u *update) {
+	if u.acquisition != 0 {
+		n.out.Results = append(n.out.Results, Result{ID: u.acquisition, Verdict: Unknown, Reason: request.ReasonDomainsAway})
 	}
 }
 
@@ -100,22 +100,22 @@
 		return
 	}
 	delete(n.updates, m.Call)
-	if u.flight != 0 {
-		n.out.Results = append(n.out.Results, Result{Flight: u.flight, Verdict: Absent})
+	if u.acquisition != 0 {
+		n.out.Results = append(n.out.Results, Result{ID: u.acquisition, Verdict: Absent})
 	}
 }
 
-// Fence gives back the claim of a record in a domain, whoever made it, after its
+// ReleaseFenced gives back the claim of a record in a domain, whoever made it, after its
 // endpoint promised never to run its stream. A claim covers one stream at one
 // endpoint, so it can no longer run anything. The flight ends as Absent.
-func (n *Node) Fence(now time.Duration, id uint64, r *schema.Record, domain string) {
+func (n *Node) ReleaseFenced(now time.Duration, id uint64, r *schema.Record, domain string) {
 	n.now = now
 	key := request.Key{Organisation: r.Organisation, ID: r.Id}
-	f := &flight{wish: Wish{Key: key}, hash: keyHash(key), home: r.Call, domain: domain}
+	f := &acquisition{req: Request{Key: key}, hash: keyHash(key), homeCall: r.Call, domain: domain}
 	u := n.sendUpdate(f, &schema.Update{
 		Released: true, Fenced: true, Dispatcher: r.Dispatcher, DispatcherIncarnation: r.DispatcherIncarnation,
 	})
-	u.flight = id
-	u.until = now + n.cfg.Timeout
-	n.runLocal()
+	u.acquisition = id
+	u.expiresAt = now + n.cfg.Timeout
+	n.handleLoopback()
 }
--- a/core/calls.go
+++ b/core/calls.go
@@ -77,9 +77,9 @@
 func (n *Node) startClaim(c *call, intent claim.Intent) {
 	unused := c.claimID
 	n.newClaimID(c)
-	n.claims.Acquire(n.now, c.claimID, claim.Wish{
+	n.claims.Acquire(n.now, c.claimID, claim.Request{
 		Intent: intent, Replaces: unused, HomeOnly: !c.spec.TrustFirst, Key: c.spec.Key, Digest: c.spec.Digest, Attempt: c.spec.Attempt,
-		Repeat: c.spec.Repeat(), Arrived: c.arrived,
+		MayBeRetry: c.spec.Repeat(), Arrived: c.arrived,
 		Endpoint: c.assigned.Endpoint, Stream: n.stream(c),
 	})
 }
@@ -113,7 +113,7 @@
 
 // onClaimResult continues the call whose claim acquisition ended.
 func (n *Node) onClaimResult(r claim.Result) {
-	c := n.callsByClaim[r.Flight]
+	c := n.callsByClaim[r.ID]
 	if c == nil {
 		return
 	}
@@ -234,7 +234,7 @@
 func (n *Node) abandon(c *call) {
 	n.sched.Withdraw(n.now, c.handle)
 	if c.claimID != 0 {
-		n.claims.Forget(n.now, c.claimID)
+		n.claims.Abandon(n.now, c.claimID)
 		n.clearClaim(c)
 	}
 	n.releaseSlot(c)
@@ -270,7 +270,7 @@
 		n.stop(c, request.ReasonHigherTier)
 		return
 	}
-	n.claims.Forget(n.now, c.claimID)
+	n.claims.Abandon(n.now, c.claimID)
 	n.clearClaim(c)
 	n.releaseSlot(c)
 	n.refuse(c, sched.Refusal{Handle: handle, Reason: request.ReasonHigherTier, RetryAfter: unknownRetryAfter})
@@ -310,16 +310,16 @@
 	switch ev.End {
 	case Complete:
 		n.outputEstimates.observe(c.spec.Kind, ev.Tokens)
-		n.claims.Ended(n.now, claimID, schema.RecordState_ANSWERED)
+		n.claims.RecordEnd(n.now, claimID, schema.RecordState_ANSWERED)
 		n.finish(c, request.Answered, request.ReasonDone, 0)
 	case NotAccepted:
 		n.claims.NotDispatched(n.now, claimID)
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: c.stopReason, RetryAfter: unknownRetryAfter})
 	case Stopped:
-		n.claims.Ended(n.now, claimID, schema.RecordState_CANCELLED)
+		n.claims.RecordEnd(n.now, claimID, schema.RecordState_CANCELLED)
 		n.finish(c, request.Cancelled, c.stopReason, 0)
 	default:
-		n.claims.Ended(n.now, claimID, schema.RecordState_UNKNOWN)
+		n.claims.RecordEnd(n.now, claimID, schema.RecordState_UNKNOWN)
 		n.finish(c, request.Unknown, request.ReasonBroken, unknownRetryAfter)
 	}
 }
@@ -344,7 +344,7 @@
 func (n *Node) releaseFenced(c *call) {
 	c.stage = fencing
 	n.newClaimID(c)
-	n.claims.Fence(n.now, c.claimID, c.record, c.domain)
+	n.claims.ReleaseFenced(n.now, c.claimID, c.record, c.domain)
 }
 
 // restartLookup looks up the request's claim again after another VM fenced this
--- a/core/conf.go
+++ b/core/conf.go
@@ -165,7 +165,7 @@
 		}
 	}
 	s.firstRun = true
-	n.claims.SetFresh(n.now)
+	n.claims.SetFirstRun(n.now)
 }
 
 // historyTimeout bounds how long a VM delays readiness until the log shows
@@ -249,7 +249,7 @@
 	ready := false
 	for _, id := range n.claims.CellPeers() {
 		isReady, ok := n.conf.peerReady[id]
-		if !ok && !n.claims.Away(id) {
+		if !ok && !n.claims.IsDown(id) {
 			return false
 		}
 		ready = ready || isReady
--- a/core/node.go
+++ b/core/node.go
@@ -105,9 +105,9 @@
 	case PeerClosed:
 		n.claims.PeerClosed(n.now, ev.VM, ev.Incarnation)
 	case PeerNotListening:
-		n.claims.PeerAbsent(n.now, ev.VM, ev.Incarnation)
+		n.claims.PeerNotListening(n.now, ev.VM, ev.Incarnation)
 	case PeerRemoved:
-		n.claims.PeerGone(n.now, ev.VM)
+		n.claims.PeerRemoved(n.now, ev.VM)
 	case LogRead:
 		n.applyLog(ev)
 	case LogFailed:
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -294,13 +294,13 @@
 			Self: claim.VM{ID: 1, Domain: "d"}, Incarnation: 1, VMs: []claim.VM{{ID: 1, Domain: "d"}}, CellSize: 8,
 			Lease: time.Second, Retry: time.Second, Timeout: time.Second, TTL: time.Hour, MaxRecords: 1 << 20,
 		}, 0)
-		c.SetFresh(0)
+		c.SetFirstRun(0)
 		for i := range uint64(n) {
-			c.Acquire(0, i+1, claim.Wish{
+			c.Acquire(0, i+1, claim.Request{
 				Key: request.Key{Organisation: "organisation-00001", ID: fmt.Sprintf("%032x", i)}, Digest: 1,
 				Attempt: request.First, Endpoint: "engine-00001", Stream: fmt.Sprintf("1-18ed83f4f08f65ad-%d-0", i),
 			})
-			c.Ended(0, i+1, schema.RecordState_ANSWERED)
+			c.RecordEnd(0, i+1, schema.RecordState_ANSWERED)
 			c.Take()
 		}
 		memory.add(n, heap0()-before)
