--- a/claim/asks.go
+++ b/claim/asks.go
@@ -64,7 +64,7 @@
 // domainClaim is one claim message to one domain, sent again until answered.
 type domainClaim struct {
 	call      uint64
-	flight    *acquisition
+	acq       *acquisition
 	domain    string
 	cell      []uint32
 	intent    schema.Intent
@@ -79,38 +79,38 @@
 const maxRedirects = 2
 
 // Acquire starts a flight. Its end comes as a Result. The id must be new.
-func (n *Node) Acquire(now time.Duration, id uint64, w Request) {
+func (n *Node) Acquire(now time.Duration, id uint64, req Request) {
 	n.now = now
-	f := &acquisition{id: id, req: w, hash: keyHash(w.Key), deadline: now + n.cfg.Timeout}
-	if old := n.acquisitions[w.Replaces]; old != nil {
-		f.replaces = old.homeCall
-		delete(n.acquisitions, w.Replaces)
+	acq := &acquisition{id: id, req: req, hash: keyHash(req.Key), deadline: now + n.cfg.Timeout}
+	if old := n.acquisitions[req.Replaces]; old != nil {
+		acq.replaces = old.homeCall
+		delete(n.acquisitions, req.Replaces)
 	}
-	n.acquisitions[id] = f
-	n.start(f)
+	n.acquisitions[id] = acq
+	n.start(acq)
 	n.handleLoopback()
 }
 
-func (n *Node) start(f *acquisition) {
+func (n *Node) start(acq *acquisition) {
 	switch {
-	case f.req.Intent == Find && f.req.HomeOnly:
-		n.sendClaim(f, n.homeDomain(f.hash), schema.Intent_FIND)
-	case f.req.Intent == Find:
+	case acq.req.Intent == Find && acq.req.HomeOnly:
+		n.sendClaim(acq, n.homeDomain(acq.hash), schema.Intent_FIND)
+	case acq.req.Intent == Find:
 		for _, d := range n.domains {
-			n.sendClaim(f, d, schema.Intent_FIND)
+			n.sendClaim(acq, d, schema.Intent_FIND)
 		}
-	case f.req.MayBeRetry || f.req.HomeOnly:
-		f.domain = n.homeDomain(f.hash)
-		n.claimHome(f)
+	case acq.req.MayBeRetry || acq.req.HomeOnly:
+		acq.domain = n.homeDomain(acq.hash)
+		n.claimHome(acq)
 	default:
-		f.domain = n.cfg.Self.Domain
-		n.claimHome(f)
+		acq.domain = n.cfg.Self.Domain
+		n.claimHome(acq)
 	}
 }
 
-func (n *Node) claimHome(f *acquisition) {
-	f.mustRelease = f.req.Intent == Run
-	f.homeCall = n.sendClaim(f, f.domain, wireIntent(f.req.Intent))
+func (n *Node) claimHome(acq *acquisition) {
+	acq.mustRelease = acq.req.Intent == Run
+	acq.homeCall = n.sendClaim(acq, acq.domain, wireIntent(acq.req.Intent))
 }
 
 func wireIntent(i Intent) schema.Intent {
@@ -120,20 +120,20 @@
 	return schema.Intent_RUN
 }
 
-func (n *Node) sendClaim(f *acquisition, domain string, intent schema.Intent) uint64 {
+func (n *Node) sendClaim(acq *acquisition, domain string, intent schema.Intent) uint64 {
 	n.lastCall++
-	a := &domainClaim{call: n.lastCall, flight: f, domain: domain, cell: n.cellOf(domain, f.hash), intent: intent}
-	n.domainClaims[a.call] = a
-	n.domainClaimOrder = append(n.domainClaimOrder, a.call)
-	f.calls = append(f.calls, a.call)
-	f.unanswered++
-	n.transmitClaim(a)
-	return a.call
+	c := &domainClaim{call: n.lastCall, acq: acq, domain: domain, cell: n.cellOf(domain, acq.hash), intent: intent}
+	n.domainClaims[c.call] = c
+	n.domainClaimOrder = append(n.domainClaimOrder, c.call)
+	acq.calls = append(acq.calls, c.call)
+	acq.unanswered++
+	n.transmitClaim(c)
+	return c.call
 }
 
 // target picks whom to ask: in the own cell the holder, or its stand-in when it
 // is silent; elsewhere the VMs in rank order, which redirect.
-func (n *Node) target(cell []uint32, hash uint64, tries int) (uint32, bool) {
+func (n *Node) target(cell []uint32, hash uint64, sends int) (uint32, bool) {
 	if slices.Contains(cell, n.cfg.Self.ID) {
 		return n.ownTarget(hash)
 	}
@@ -142,7 +142,7 @@
 	if len(ranked) == 0 {
 		return 0, false
 	}
-	return ranked[tries%len(ranked)], true
+	return ranked[sends%len(ranked)], true
 }
 
 func (n *Node) ownTarget(hash uint64) (uint32, bool) {
@@ -160,42 +160,42 @@
 	return next, true
 }
 
-func (n *Node) transmitClaim(a *domainClaim) {
-	to, ok := n.target(a.cell, a.flight.hash, a.sends)
-	a.sentAt = n.now
-	a.sends++
+func (n *Node) transmitClaim(c *domainClaim) {
+	to, ok := n.target(c.cell, c.acq.hash, c.sends)
+	c.sentAt = n.now
+	c.sends++
 	if ok {
-		n.sendClaimTo(a, to)
+		n.sendClaimTo(c, to)
 	}
 }
 
-func (n *Node) sendClaimTo(a *domainClaim, to uint32) {
-	a.target = to
-	w := &a.flight.req
+func (n *Node) sendClaimTo(c *domainClaim, to uint32) {
+	c.target = to
+	req := &c.acq.req
 	n.send(to, &schema.Message{Body: &schema.Message_Claim{Claim: &schema.Claim{
-		Call: a.call, Organisation: w.Key.Organisation, Id: w.Key.ID, BodyDigest: w.Digest,
-		Attempt: uint32(w.Attempt), Repeat: w.MayBeRetry, Intent: a.intent,
-		AgeMs: millis(n.now - w.Arrived), Endpoint: w.Endpoint, Stream: w.Stream, Replaces: a.flight.replaces,
+		Call: c.call, Organisation: req.Key.Organisation, Id: req.Key.ID, BodyDigest: req.Digest,
+		Attempt: uint32(req.Attempt), Repeat: req.MayBeRetry, Intent: c.intent,
+		AgeMs: millis(n.now - req.Arrived), Endpoint: req.Endpoint, Stream: req.Stream, Replaces: c.acq.replaces,
 	}}})
 }
 
 // resendClaims asks again with the same call, which the holder recognises, and
 // ends the flights whose time is over.
 func (n *Node) resendClaims() {
-	for _, f := range n.expiredAcquisitions() {
-		n.timeOut(f)
+	for _, acq := range n.expiredAcquisitions() {
+		n.timeOut(acq)
 	}
 	calls := n.domainClaimOrder
 	n.domainClaimOrder = nil
 	for _, call := range calls {
-		a := n.domainClaims[call]
-		if a == nil {
+		c := n.domainClaims[call]
+		if c == nil {
 			continue
 		}
 		n.domainClaimOrder = append(n.domainClaimOrder, call)
-		if n.now >= a.sentAt+n.cfg.Retry {
-			a.redirects = 0
-			n.transmitClaim(a)
+		if n.now >= c.sentAt+n.cfg.Retry {
+			c.redirects = 0
+			n.transmitClaim(c)
 		}
 	}
 }
@@ -203,147 +203,147 @@
 func (n *Node) expiredAcquisitions() []*acquisition {
 	var expired []*acquisition
 	for _, call := range n.domainClaimOrder {
-		a := n.domainClaims[call]
-		if a == nil || n.now < a.flight.deadline || a.flight.expired {
+		c := n.domainClaims[call]
+		if c == nil || n.now < c.acq.deadline || c.acq.expired {
 			continue
 		}
-		a.flight.expired = true
-		expired = append(expired, a.flight)
+		c.acq.expired = true
+		expired = append(expired, c.acq)
 	}
 	return expired
 }
 
 // timeOut ends a flight that cannot be settled. A declared first attempt that
 // was not dispatched ran nowhere; a repeat may have.
-func (n *Node) timeOut(f *acquisition) {
+func (n *Node) timeOut(acq *acquisition) {
 	switch {
-	case f.req.MayBeRetry:
-		n.finish(f, Unknown, request.ReasonDomainsAway, nil)
+	case acq.req.MayBeRetry:
+		n.finish(acq, Unknown, request.ReasonDomainsAway, nil)
 	default:
-		n.finish(f, NotRun, request.ReasonClaimTimeout, nil)
+		n.finish(acq, NotRun, request.ReasonClaimTimeout, nil)
 	}
 }
 
 // onClaimResult takes one answer into its flight.
 func (n *Node) onClaimResult(m *schema.ClaimResult) {
-	a := n.domainClaims[m.Call]
-	if a == nil {
+	c := n.domainClaims[m.Call]
+	if c == nil {
 		return
 	}
 	if m.Verdict == schema.Verdict_REDIRECT {
-		n.redirect(a, m.Redirect)
+		n.redirect(c, m.Redirect)
 		return
 	}
 	delete(n.domainClaims, m.Call)
-	f := a.flight
-	f.unanswered--
-	if a.call == f.homeCall && m.Verdict != schema.Verdict_GRANTED {
-		f.mustRelease = false
+	acq := c.acq
+	acq.unanswered--
+	if c.call == acq.homeCall && m.Verdict != schema.Verdict_GRANTED {
+		acq.mustRelease = false
 	}
-	if f.req.Intent == Find {
-		n.onFindResult(f, a.domain, m)
+	if acq.req.Intent == Find {
+		n.onFindResult(acq, c.domain, m)
 		return
 	}
 	switch m.Verdict {
 	case schema.Verdict_GRANTED:
-		n.advance(f, a)
+		n.advance(acq, c)
 	case schema.Verdict_HELD:
-		n.onHeld(f, a.domain, m.Record)
+		n.onHeld(acq, c.domain, m.Record)
 	case schema.Verdict_CONFLICT:
-		n.finish(f, Conflict, request.ReasonConflict, nil)
+		n.finish(acq, Conflict, request.ReasonConflict, nil)
 	case schema.Verdict_ALREADY_REFUSED:
-		n.finish(f, NotRun, request.ReasonRefused, nil)
+		n.finish(acq, NotRun, request.ReasonRefused, nil)
 	case schema.Verdict_DOUBTFUL:
-		n.finish(f, Unknown, request.ReasonRecordsLost, nil)
+		n.finish(acq, Unknown, request.ReasonRecordsLost, nil)
 	default:
-		n.finishFull(f)
+		n.finishFull(acq)
 	}
 }
 
 // redirect asks the named VM at once.
-func (n *Node) redirect(a *domainClaim, to uint32) {
-	if a.target == to || !slices.Contains(a.cell, to) || a.redirects >= maxRedirects {
+func (n *Node) redirect(c *domainClaim, to uint32) {
+	if c.target == to || !slices.Contains(c.cell, to) || c.redirects >= maxRedirects {
 		return
 	}
-	a.redirects++
-	n.sendClaimTo(a, to)
+	c.redirects++
+	n.sendClaimTo(c, to)
 }
 
 // advance goes from the home claim to the seals, and ends with all of them.
-func (n *Node) advance(f *acquisition, a *domainClaim) {
-	if a.call == f.homeCall && f.req.MayBeRetry && !f.req.HomeOnly {
-		n.sealElsewhere(f)
+func (n *Node) advance(acq *acquisition, c *domainClaim) {
+	if c.call == acq.homeCall && acq.req.MayBeRetry && !acq.req.HomeOnly {
+		n.sealElsewhere(acq)
 	}
-	if f.unanswered > 0 {
+	if acq.unanswered > 0 {
 		return
 	}
-	if f.req.Intent == Refuse {
-		n.finish(f, NotRun, request.ReasonRefused, nil)
+	if acq.req.Intent == Refuse {
+		n.finish(acq, NotRun, request.ReasonRefused, nil)
 		return
 	}
-	n.out.Results = append(n.out.Results, Result{ID: f.id, Verdict: Granted})
+	n.out.Results = append(n.out.Results, Result{ID: acq.id, Verdict: Granted})
 }
 
-func (n *Node) sealElsewhere(f *acquisition) {
+func (n *Node) sealElsewhere(acq *acquisition) {
 	for _, d := range n.domains {
-		if d != f.domain {
-			n.sendClaim(f, d, schema.Intent_SEAL)
+		if d != acq.domain {
+			n.sendClaim(acq, d, schema.Intent_SEAL)
 		}
 	}
 }
 
 // onHeld ends a flight that found another dispatch. A seal only says that the
 // home domain knows: the wish goes on as a repeat there.
-func (n *Node) onHeld(f *acquisition, domain string, r *schema.Record) {
+func (n *Node) onHeld(acq *acquisition, domain string, r *schema.Record) {
 	if r.State == schema.RecordState_SEALED {
-		f.req.MayBeRetry = true
-		n.start(f)
+		acq.req.MayBeRetry = true
+		n.start(acq)
 		return
 	}
-	f.domain = domain
-	n.finish(f, Held, "", r)
+	acq.domain = domain
+	n.finish(acq, Held, "", r)
 }
 
 // onFindResult takes one domain's answer to a search.
-func (n *Node) onFindResult(f *acquisition, domain string, m *schema.ClaimResult) {
+func (n *Node) onFindResult(acq *acquisition, domain string, m *schema.ClaimResult) {
 	switch {
 	case m.Verdict == schema.Verdict_CONFLICT:
-		n.finish(f, Conflict, request.ReasonConflict, nil)
+		n.finish(acq, Conflict, request.ReasonConflict, nil)
 	case m.Verdict == schema.Verdict_HELD && m.Record.State != schema.RecordState_SEALED:
-		f.domain = domain
-		n.finish(f, Held, "", m.Record)
+		acq.domain = domain
+		n.finish(acq, Held, "", m.Record)
 	case m.Verdict == schema.Verdict_DOUBTFUL:
-		n.finish(f, Unknown, request.ReasonRecordsLost, nil)
-	case f.unanswered == 0:
-		n.finish(f, Absent, "", nil)
+		n.finish(acq, Unknown, request.ReasonRecordsLost, nil)
+	case acq.unanswered == 0:
+		n.finish(acq, Absent, "", nil)
 	}
 }
 
 // finishFull ends a flight refused for want of memory: nothing was dispatched.
-func (n *Node) finishFull(f *acquisition) {
-	if f.req.MayBeRetry {
-		n.finish(f, Unknown, request.ReasonRecordsFull, nil)
+func (n *Node) finishFull(acq *acquisition) {
+	if acq.req.MayBeRetry {
+		n.finish(acq, Unknown, request.ReasonRecordsFull, nil)
 		return
 	}
-	n.finish(f, NotRun, request.ReasonRecordsFull, nil)
+	n.finish(acq, NotRun, request.ReasonRecordsFull, nil)
 }
 
 // finish ends a flight without a grant, and gives back what it had claimed.
-func (n *Node) finish(f *acquisition, v Verdict, reason request.Reason, r *schema.Record) {
-	n.out.Results = append(n.out.Results, Result{ID: f.id, Verdict: v, Reason: reason, Record: r, Domain: f.domain})
-	n.discard(f)
+func (n *Node) finish(acq *acquisition, v Verdict, reason request.Reason, r *schema.Record) {
+	n.out.Results = append(n.out.Results, Result{ID: acq.id, Verdict: v, Reason: reason, Record: r, Domain: acq.domain})
+	n.discard(acq)
 }
 
-func (n *Node) discard(f *acquisition) {
-	delete(n.acquisitions, f.id)
-	for _, call := range f.calls {
+func (n *Node) discard(acq *acquisition) {
+	delete(n.acquisitions, acq.id)
+	for _, call := range acq.calls {
 		delete(n.domainClaims, call)
 	}
-	if f.mustRelease {
-		n.sendUpdate(f, &schema.Update{Released: true})
+	if acq.mustRelease {
+		n.sendUpdate(acq, &schema.Update{Released: true})
 	}
-	if f.replaces != 0 {
-		old := &acquisition{req: f.req, hash: f.hash, homeCall: f.replaces, domain: f.domain}
+	if acq.replaces != 0 {
+		old := &acquisition{req: acq.req, hash: acq.hash, homeCall: acq.replaces, domain: acq.domain}
 		n.sendUpdate(old, &schema.Update{Released: true})
 	}
 }
--- a/claim/gone_test.go
+++ b/claim/gone_test.go
@@ -20,19 +20,19 @@
 		Self: vms[0], Incarnation: 1 << 30, VMs: vms, CellSize: 8, Lease: time.Second,
 		Retry: time.Second, Timeout: 2 * time.Second, TTL: time.Hour, MaxRecords: 10,
 	}, 0)
-	beat := func(inc uint64) *schema.Message {
+	heartbeat := func(inc uint64) *schema.Message {
 		return &schema.Message{Body: &schema.Message_Heartbeat{Heartbeat: &schema.Heartbeat{Seq: inc + 1}}}
 	}
-	n.Receive(0, 2, 2<<30, beat(2<<30))
+	n.Receive(0, 2, 2<<30, heartbeat(2<<30))
 	n.PeerRemoved(time.Second, 2)
 	n.Take()
-	n.Receive(2*time.Second, 2, 3<<30, beat(3<<30))
+	n.Receive(2*time.Second, 2, 3<<30, heartbeat(3<<30))
 	n.Tick(3 * time.Second)
-	beats := 0
+	heartbeats := 0
 	for _, m := range n.Take().Messages {
 		if m.Message.GetHeartbeat() != nil && m.To == 2 {
-			beats++
+			heartbeats++
 		}
 	}
-	is.Equal(beats, 1) // the new process is greeted
+	is.Equal(heartbeats, 1) // the new process is greeted
 }
--- a/claim/roster.go
+++ b/claim/roster.go
@@ -211,9 +211,9 @@
 // incarnation whose records are lost. A declared first attempt that arrived
 // after its death cannot: nothing with that key had been sent. One that
 // arrived before may have been overtaken by its own repeat.
-func (n *Node) mayHaveBeenGranted(repeat bool, arrived time.Duration) bool {
+func (n *Node) mayHaveBeenGranted(mayBeRetry bool, arrived time.Duration) bool {
 	for _, l := range n.lost {
-		if n.now < l.until && (repeat || arrived <= l.diedBy) {
+		if n.now < l.until && (mayBeRetry || arrived <= l.diedBy) {
 			return true
 		}
 	}
--- a/claim/search_test.go
+++ b/claim/search_test.go
@@ -86,7 +86,7 @@
 	pendingDispatches []pendingDispatch
 	// settledStreams are the streams that the endpoint has run or refuses for good.
 	settledStreams map[string]bool
-	naive          func(*Node)
+	weaken         func(*Node)
 	// ignoresFencing: the endpoint promises never to run a stream and runs it.
 	ignoresFencing bool
 	stats          map[Verdict]int
@@ -133,8 +133,8 @@
 // collect takes a node's output: messages go on their way, grants run at once.
 func (w *world) collect(t *rapid.T, id uint32) {
 	s := w.state[id]
-	if w.naive != nil {
-		w.naive(s.node)
+	if w.weaken != nil {
+		w.weaken(s.node)
 	}
 	out := s.node.Take()
 	for _, m := range out.Messages {
@@ -441,7 +441,7 @@
 	}
 	for name, c := range controls {
 		t.Run(name, func(t *testing.T) {
-			if !findsFault(t, func(t *rapid.T) { search(t, layouts[c.layout], func(w *world) { w.naive = c.naive }) }) {
+			if !findsFault(t, func(t *rapid.T) { search(t, layouts[c.layout], func(w *world) { w.weaken = c.naive }) }) {
 				t.Fatal("the search passed a protocol without its guard")
 			}
 		})
--- a/claim/updates.go
+++ b/claim/updates.go
@@ -42,13 +42,13 @@
 	n.handleLoopback()
 }
 
-func (n *Node) sendUpdate(f *acquisition, m *schema.Update) *update {
+func (n *Node) sendUpdate(acq *acquisition, m *schema.Update) *update {
 	n.lastCall++
 	m.Call = n.lastCall
-	m.Organisation, m.Id = f.req.Key.Organisation, f.req.Key.ID
-	m.ClaimCall = f.homeCall
-	cell := n.cellOf(f.domain, f.hash)
-	u := &update{msg: m, cell: cell, hash: f.hash, expiresAt: n.now + n.cfg.TTL}
+	m.Organisation, m.Id = acq.req.Key.Organisation, acq.req.Key.ID
+	m.ClaimCall = acq.homeCall
+	cell := n.cellOf(acq.domain, acq.hash)
+	u := &update{msg: m, cell: cell, hash: acq.hash, expiresAt: n.now + n.cfg.TTL}
 	n.updates[m.Call] = u
 	n.updateOrder = append(n.updateOrder, m.Call)
 	n.transmitUpdate(u)
@@ -111,8 +111,8 @@
 func (n *Node) ReleaseFenced(now time.Duration, id uint64, r *schema.Record, domain string) {
 	n.now = now
 	key := request.Key{Organisation: r.Organisation, ID: r.Id}
-	f := &acquisition{req: Request{Key: key}, hash: keyHash(key), homeCall: r.Call, domain: domain}
-	u := n.sendUpdate(f, &schema.Update{
+	acq := &acquisition{req: Request{Key: key}, hash: keyHash(key), homeCall: r.Call, domain: domain}
+	u := n.sendUpdate(acq, &schema.Update{
 		Released: true, Fenced: true, Dispatcher: r.Dispatcher, DispatcherIncarnation: r.DispatcherIncarnation,
 	})
 	u.acquisition = id
