--- a/claim/asks.go
+++ b/claim/asks.go
@@ -9,40 +9,43 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Intent is what a flight wants of a key.
+// Intent is the purpose of an acquisition.
 type Intent int
 
-// Intents of flights.
+// Intents of acquisitions.
 const (
 	// Run: dispatch the request.
 	Run Intent = iota
 	// Refuse: answer "not run", which must stay true for this attempt.
 	Refuse
-	// Find: learn whether another dispatch has the key.
+	// Find: look up whether another dispatch has the key.
 	Find
 )
 
-// Request is what a flight asks for.
+// Request holds the parameters of an acquisition.
 type Request struct {
 	Intent  Intent
 	Key     request.Key
 	Digest  uint64
 	Attempt request.Attempt
-	// MayBeRetry: the key may have been sent before; every domain is asked.
+	// MayBeRetry reports whether the key may have been sent before. If so, every
+	// domain is asked.
 	MayBeRetry bool
-	// Arrived is when the request reached this VM.
+	// Arrived is the time at which the request reached this VM.
 	Arrived time.Duration
-	// HomeOnly: every attempt of the key claims in its home domain, so no other
-	// domain has to be asked. It must be the same for all attempts of a key.
+	// HomeOnly makes every attempt of the key claim in its home domain, so that
+	// no other domain has to be asked. It must be the same for all attempts of a
+	// key.
 	HomeOnly bool
-	// Endpoint and Stream let another VM resume the answer.
+	// Endpoint and Stream let another VM resume the response.
 	Endpoint string
 	Stream   string
-	// Replaces is a flight of this VM whose grant was not used.
+	// Replaces is an acquisition of this VM whose grant was not used.
 	Replaces uint64
 }
 
-// acquisition is one wish under way, over one or more asks.
+// acquisition is a pending or granted Request. It consists of one or more
+// domain claims.
 type acquisition struct {
 	id       uint64
 	req      Request
@@ -50,18 +53,20 @@
 	deadline time.Duration
 	expired  bool
 	calls    []uint64
-	// unanswered counts the asks without an answer.
+	// unanswered counts the domain claims without a result.
 	unanswered int
-	// homeCall is the ask whose grant is the claim, in domain; 0 before it is sent.
+	// homeCall is the call of the domain claim whose grant is the claim, in
+	// domain; 0 before it is sent.
 	homeCall uint64
 	domain   string
-	// mustRelease: the holder may have the claim on record.
+	// mustRelease is set while the holder may have the claim on record.
 	mustRelease bool
-	// replaces is the claim that this one takes the place of.
+	// replaces is the call of the claim that this one replaces.
 	replaces uint64
 }
 
-// domainClaim is one claim message to one domain, sent again until answered.
+// domainClaim is a claim message to one domain. It is sent again until
+// answered.
 type domainClaim struct {
 	call      uint64
 	acq       *acquisition
@@ -74,11 +79,12 @@
 	sentAt    time.Duration
 }
 
-// maxRedirects bounds the redirects followed between two sendings: two VMs that
-// know different members name each other until they have spoken.
+// maxRedirects bounds the redirects followed for one send: two VMs with
+// different views of the membership redirect to each other until they have
+// exchanged messages.
 const maxRedirects = 2
 
-// Acquire starts a flight. Its end comes as a Result. The id must be new.
+// Acquire starts an acquisition. It ends with a Result. The id must be new.
 func (n *Node) Acquire(now time.Duration, id uint64, req Request) {
 	n.now = now
 	acq := &acquisition{id: id, req: req, hash: keyHash(req.Key), deadline: now + n.cfg.Timeout}
@@ -131,8 +137,9 @@
 	return c.call
 }
 
-// target picks whom to ask: in the own cell the holder, or its stand-in when it
-// is silent; elsewhere the VMs in rank order, which redirect.
+// target returns the VM to send a claim to. In this VM's cell that is the
+// holder, or its stand-in if the holder is silent. In other cells the VMs are
+// tried in rank order; they redirect to the holder.
 func (n *Node) target(cell []uint32, hash uint64, sends int) (uint32, bool) {
 	if slices.Contains(cell, n.cfg.Self.ID) {
 		return n.ownTarget(hash)
@@ -179,8 +186,8 @@
 	}}})
 }
 
-// resendClaims asks again with the same call, which the holder recognises, and
-// ends the flights whose time is over.
+// resendClaims sends unanswered claims again under the same call, which the
+// holder recognises, and ends the acquisitions that have timed out.
 func (n *Node) resendClaims() {
 	for _, acq := range n.expiredAcquisitions() {
 		n.timeOut(acq)
@@ -213,8 +220,8 @@
 	return expired
 }
 
-// timeOut ends a flight that cannot be settled. A declared first attempt that
-// was not dispatched ran nowhere; a repeat may have.
+// timeOut ends an acquisition that was not answered in time. A declared first
+// attempt that was not dispatched ran nowhere; a retry may have run.
 func (n *Node) timeOut(acq *acquisition) {
 	switch {
 	case acq.req.MayBeRetry:
@@ -224,7 +231,7 @@
 	}
 }
 
-// onClaimResult takes one answer into its flight.
+// onClaimResult applies the result of one domain claim to its acquisition.
 func (n *Node) onClaimResult(m *schema.ClaimResult) {
 	c := n.domainClaims[m.Call]
 	if c == nil {
@@ -260,7 +267,7 @@
 	}
 }
 
-// redirect asks the named VM at once.
+// redirect sends the claim to the named VM immediately.
 func (n *Node) redirect(c *domainClaim, to uint32) {
 	if c.target == to || !slices.Contains(c.cell, to) || c.redirects >= maxRedirects {
 		return
@@ -269,7 +276,8 @@
 	n.sendClaimTo(c, to)
 }
 
-// advance goes from the home claim to the seals, and ends with all of them.
+// advance sends the seals once the home claim is granted, and completes the
+// acquisition once all of them are answered.
 func (n *Node) advance(acq *acquisition, c *domainClaim) {
 	if c.call == acq.homeCall && acq.req.MayBeRetry && !acq.req.HomeOnly {
 		n.sealElsewhere(acq)
@@ -292,8 +300,9 @@
 	}
 }
 
-// onHeld ends a flight that found another dispatch. A seal only says that the
-// home domain knows: the wish goes on as a repeat there.
+// onHeld ends an acquisition whose key is held by another dispatch. If the
+// record is only a seal, the home domain has the claim: the acquisition starts
+// again there as a retry.
 func (n *Node) onHeld(acq *acquisition, domain string, r *schema.Record) {
 	if r.State == schema.RecordState_SEALED {
 		acq.req.MayBeRetry = true
@@ -304,7 +313,8 @@
 	n.finish(acq, Held, "", r)
 }
 
-// onFindResult takes one domain's answer to a search.
+// onFindResult applies the result of one domain to an acquisition with intent
+// Find.
 func (n *Node) onFindResult(acq *acquisition, domain string, m *schema.ClaimResult) {
 	switch {
 	case m.Verdict == schema.Verdict_CONFLICT:
@@ -319,7 +329,8 @@
 	}
 }
 
-// finishFull ends a flight refused for want of memory: nothing was dispatched.
+// finishFull ends an acquisition refused because the holder is out of memory
+// for records. Nothing was dispatched.
 func (n *Node) finishFull(acq *acquisition) {
 	if acq.req.MayBeRetry {
 		n.finish(acq, Unknown, request.ReasonRecordsFull, nil)
@@ -328,7 +339,7 @@
 	n.finish(acq, NotRun, request.ReasonRecordsFull, nil)
 }
 
-// finish ends a flight without a grant, and gives back what it had claimed.
+// finish ends an acquisition without a grant and releases what it had claimed.
 func (n *Node) finish(acq *acquisition, v Verdict, reason request.Reason, r *schema.Record) {
 	n.out.Results = append(n.out.Results, Result{ID: acq.id, Verdict: v, Reason: reason, Record: r, Domain: acq.domain})
 	n.discard(acq)
--- a/claim/copies.go
+++ b/claim/copies.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// copiesPerMessage bounds the records of one Duplicate.
+	// copiesPerMessage bounds the number of records in one Duplicate message.
 	copiesPerMessage = 256
-	// maxInFlight bounds the Duplicates of one backup that wait for an ack.
+	// maxInFlight bounds the number of unacknowledged Duplicate messages to one
+	// backup.
 	maxInFlight = 64
 )
 
-// noFlush is when nothing is to be copied.
+// noFlush is the flush time while nothing has to be copied.
 const noFlush = 1<<63 - 1
 
-// copyBatch is a Duplicate that waits for its ack.
+// copyBatch is a Duplicate message that waits for its ack.
 type copyBatch struct {
 	seq      uint64
 	sentAt   time.Duration
@@ -37,7 +38,8 @@
 	}
 	if b := n.backup(r.hash); b != nil && !b.bypassed {
 		b.dirty = append(b.dirty, r.key)
-		// How a claim ended is copied with the next claim, or soon.
+		// The end of a claim is not urgent: it is copied with the next claim, at
+		// the latest after one retry interval.
 		if r.state == schema.RecordState_CLAIMED || r.state == schema.RecordState_SEALED || r.refusedAt != 0 {
 			b.flushAt = n.now
 		} else {
@@ -46,7 +48,7 @@
 	}
 }
 
-// startSync queues every record that the peer must have and has not.
+// startSync queues every record that the peer, as backup, must have and lacks.
 func (n *Node) startSync(p *peer) {
 	p.dirty = nil
 	p.inFlight = nil
@@ -64,7 +66,8 @@
 	}
 }
 
-// needsCopy reports whether the peer is the backup of a record held here and lacks it.
+// needsCopy reports whether the peer is the backup of a record held here and
+// lacks its current version.
 func (n *Node) needsCopy(r *record, p *peer) bool {
 	if h, ok := n.holder(r.hash); !ok || h != n.cfg.Self.ID || n.backup(r.hash) != p {
 		return false
@@ -72,7 +75,8 @@
 	return r.copiedTo != p.id || r.copiedInc != p.inc || r.copiedVersion != r.version
 }
 
-// flushDuplicates sends the queued copies, and says so once a peer has all.
+// flushDuplicates sends the queued copies, and a sync-done message once a peer
+// has acknowledged all of them.
 func (n *Node) flushDuplicates() {
 	if n.phase != active {
 		return
@@ -107,8 +111,9 @@
 	n.transmitBatch(p, f)
 }
 
-// transmitBatch sends the newest versions under a number of their own, so that a
-// late ack of an older sending cannot vouch for a version it did not carry.
+// transmitBatch sends the newest versions under a new sequence number, so that
+// a late ack of an earlier transmission cannot confirm a version it did not
+// carry.
 func (n *Node) transmitBatch(p *peer, f *copyBatch) {
 	p.dupSeq++
 	f.seq = p.dupSeq
@@ -140,7 +145,8 @@
 	}
 }
 
-// onDuplicate keeps copies for a holder. An estranged holder gets no ack.
+// onDuplicate stores copies for a holder. A holder for which this VM stands in
+// gets no ack.
 func (n *Node) onDuplicate(p *peer, m *schema.Duplicate) {
 	if p == nil {
 		return
@@ -168,8 +174,9 @@
 	n.send(p.id, &schema.Message{Body: &schema.Message_DuplicateAck{DuplicateAck: &schema.DuplicateAck{Seq: seq}}})
 }
 
-// withoutPredecessors leaves out what the sender doubts only for want of the log: each
-// member settles that for itself.
+// withoutPredecessors removes the entry for unknown predecessors. The sender
+// lists it only because it has not read the log; each member determines that
+// for itself.
 func withoutPredecessors(list []*schema.Lost) []*schema.Lost {
 	var known []*schema.Lost
 	for _, l := range list {
@@ -215,7 +222,7 @@
 	n.trimWaiting()
 }
 
-// trimWaiting forgets the leading keys that wait for nothing.
+// trimWaiting removes the leading keys that have no waiters.
 func (n *Node) trimWaiting() {
 	for len(n.waiting) > 0 {
 		r := n.records[n.waiting[0]]
@@ -229,7 +236,8 @@
 	}
 }
 
-// sendOrphans offers a holder that came back what was granted in its place.
+// sendOrphans sends a holder that is reachable again the claims that were
+// granted in its place.
 func (n *Node) sendOrphans(p *peer) {
 	if len(p.orphans) == 0 {
 		p.standingIn = false
@@ -246,10 +254,10 @@
 	n.send(p.id, &schema.Message{Body: &schema.Message_Duplicate{Duplicate: d}})
 }
 
-// onOrphans takes over what the backup granted in this holder's place. A claim
-// that still waits here gives way. A key that was granted here too was sent as
-// a first attempt twice: both ran by the caller's own statement, and the record
-// here stays.
+// onOrphans merges the claims that the backup granted in this holder's place. A
+// claim that still waits here yields to them. If a key was granted here too, it
+// was sent as a first attempt twice: both ran as the caller declared, and the
+// record here stays.
 func (n *Node) onOrphans(p *peer, m *schema.Duplicate) {
 	for _, pb := range m.Records {
 		n.mergeOrphan(pb)
@@ -265,7 +273,7 @@
 	}
 	var ws []waiter
 	if r != nil {
-		// The versions of both VMs were counted apart.
+		// The two VMs incremented their versions independently.
 		pb.Version = max(pb.Version, r.version+1)
 		ws, r.waiters = r.waiters, nil
 	}
@@ -277,7 +285,7 @@
 	}
 }
 
-// allCopied reports whether the backups have everything held here.
+// allCopied reports whether the backups have every record held here.
 func (n *Node) allCopied() bool {
 	for _, p := range n.peers {
 		if p.member && !p.bypassed && (!p.syncSent || len(p.dirty) > 0 || len(p.inFlight) > 0) {
--- a/claim/gone_test.go
+++ b/claim/gone_test.go
@@ -9,10 +9,10 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// TestRemovedPeerRejoins: a VM that was replaced never joined its cell again (found
-// by reading). Sequence: the platform's list drops vm2, a new process starts at
-// its address. Cause: a VM once dropped was sent no heartbeat any more, so the
-// new process waited for one for ever.
+// TestRemovedPeerRejoins guards against a replaced VM never joining its cell
+// again. The platform's list removes vm2, then a new process starts at its
+// address. A removed VM was no longer sent heartbeats, so the new process
+// waited for one indefinitely (found by reading).
 func TestRemovedPeerRejoins(t *testing.T) {
 	is := is.New(t)
 	vms := []VM{{ID: 1, Domain: "a"}, {ID: 2, Domain: "a"}}
@@ -34,5 +34,5 @@
 			heartbeats++
 		}
 	}
-	is.Equal(heartbeats, 1) // the new process is greeted
+	is.Equal(heartbeats, 1) // the new process is sent a heartbeat
 }
--- a/claim/holder.go
+++ b/claim/holder.go
@@ -9,7 +9,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// record is what a holder or backup knows of a key.
+// record is the state of a key at its holder or backup.
 type record struct {
 	key            request.Key
 	hash           uint64
@@ -25,15 +25,16 @@
 	createdAt      time.Duration
 	version        uint32
 
-	// The backup that has a copy, and of which version.
+	// The backup that has a copy, and the version of that copy.
 	copiedTo      uint32
 	copiedInc     uint64
 	copiedVersion uint32
 
-	// granted: its claim may have been granted, here or by an earlier holder.
+	// granted is set if the claim may have been granted, here or by an earlier
+	// holder.
 	granted bool
 	waiters []waiter
-	// queued: the key is in Node.waiting.
+	// queued is set while the key is in Node.waiting.
 	queued bool
 }
 
@@ -43,7 +44,8 @@
 	call       uint64
 	intent     schema.Intent
 	mayBeRetry bool
-	// arrived is when the request reached its dispatcher, at the latest.
+	// arrived is the latest time at which the request may have reached its
+	// dispatcher.
 	arrived time.Duration
 }
 
@@ -52,7 +54,8 @@
 	return waiter{from: from, call: m.Call, intent: m.Intent, mayBeRetry: m.Repeat, arrived: arrived}
 }
 
-// ageEntry orders records by age, so that expiry needs no scan.
+// ageEntry is an entry of the list of records ordered by age. The list makes
+// expiry possible without a scan.
 type ageEntry struct {
 	key request.Key
 	at  time.Duration
@@ -64,7 +67,7 @@
 	return r.dispatcher == from && r.dispatcherInc == inc && r.call == call
 }
 
-// onClaim answers a claim for a key of the own cell.
+// onClaim handles a claim for a key of this VM's cell.
 func (n *Node) onClaim(from uint32, inc uint64, m *schema.Claim) {
 	key := request.Key{Organisation: m.Organisation, ID: m.Id}
 	hash := keyHash(key)
@@ -84,9 +87,10 @@
 }
 
 // isStandInFor reports whether the holder was silent for a lease and this VM is
-// its backup for the key, with everything copied up to then. The holder then grants nothing with a copy, because
-// this VM acks none, and alone it grants only declared first attempts; so do
-// stand-ins, and a first attempt reaches one of the two.
+// its backup for the key, with a copy of everything granted up to then. The
+// holder then grants nothing with a copy, because this VM sends it no acks, and
+// alone it grants only declared first attempts. The stand-in does the same, and
+// a first attempt is sent to only one of the two.
 func (n *Node) isStandInFor(holder uint32, hash uint64) bool {
 	p := n.peer(holder)
 	if n.phase != active || !p.standingIn || !n.hasAllGrantsOf(p) {
@@ -104,7 +108,7 @@
 	first := !m.Repeat && m.Intent == schema.Intent_RUN
 	switch {
 	case !first && (r == nil || r.state == schema.RecordState_REFUSED):
-		// Only the holder could settle a repeat; it is not waited for.
+		// Only the holder could decide a retry; it is not waited for.
 		n.answerClaim(nil, w, schema.Verdict_DOUBTFUL)
 	case !first:
 		n.answerExisting(r, from, m)
@@ -159,7 +163,7 @@
 	}
 }
 
-// claimAbsent answers a claim for a key without a record.
+// claimAbsent handles a claim for a key without a record.
 func (n *Node) claimAbsent(from uint32, inc uint64, key request.Key, hash uint64, m *schema.Claim, alone bool) {
 	w := n.newWaiter(from, m)
 	switch {
@@ -174,8 +178,9 @@
 	}
 }
 
-// supersedes reports whether a claim is of a later attempt than the refusal.
-// An undeclared attempt is later if it arrived after the refusal was given.
+// supersedes reports whether a claim belongs to a later attempt than the
+// refusal. An undeclared attempt is later if it arrived after the refusal was
+// given.
 func supersedes(m *schema.Claim, r *record, now time.Duration) bool {
 	if r.refusedAttempt == 0 && r.refusedAt == 0 {
 		return true
@@ -215,7 +220,8 @@
 	n.byAge = append(n.byAge, ageEntry{key: r.key, at: r.createdAt})
 }
 
-// answerWhenCopied answers a claim now if its copy exists, otherwise once it does.
+// answerWhenCopied answers a claim immediately if its record is committed, and
+// otherwise once it is.
 func (n *Node) answerWhenCopied(r *record, w waiter) {
 	if n.isCommitted(r) {
 		n.answerCommitted(r, w)
@@ -231,7 +237,8 @@
 	}
 }
 
-// isCommitted reports whether the present version of a record may be relied on.
+// isCommitted reports whether the backup has the current version of a record,
+// or no backup is required.
 func (n *Node) isCommitted(r *record) bool {
 	b := n.backup(r.hash)
 	if b == nil || b.bypassed {
@@ -240,9 +247,9 @@
 	return r.copiedTo == b.id && r.copiedInc == b.inc && r.copiedVersion == r.version
 }
 
-// answerCommitted answers a claim whose record counts. A holder that meanwhile lost its
-// backup, or touch with it, grants no repeat: the backup may have granted the
-// key in its place.
+// answerCommitted answers a claim whose record is committed. A holder that has
+// lost its backup, or contact with it, since the claim arrived grants no retry:
+// the backup may have granted the key in its place.
 func (n *Node) answerCommitted(r *record, w waiter) {
 	b := n.backup(r.hash)
 	alone := b != nil && b.bypassed
@@ -257,7 +264,7 @@
 	n.answerClaim(r, w, schema.Verdict_GRANTED)
 }
 
-// undoClaim undoes a claim that was not granted.
+// undoClaim releases a claim that was not granted.
 func (n *Node) undoClaim(r *record) {
 	r.state = schema.RecordState_REFUSED
 	r.refusedAttempt, r.refusedAt = 0, 0
@@ -265,7 +272,7 @@
 	n.markDirty(r)
 }
 
-// answerWaiting answers every claim whose record counts by now.
+// answerWaiting answers every waiting claim whose record is now committed.
 func (n *Node) answerWaiting() {
 	keys := n.waiting
 	n.waiting = nil
@@ -284,7 +291,7 @@
 
 func (n *Node) answerWaiters(r *record) {
 	if h, ok := n.holder(r.hash); !ok || h != n.cfg.Self.ID {
-		// The new holder answers when the claim is asked again.
+		// The new holder answers when the claim is sent again.
 		r.waiters = nil
 		return
 	}
@@ -298,7 +305,7 @@
 	}
 }
 
-// answerExisting answers a claim that finds the key taken.
+// answerExisting answers a claim for a key that already has a record.
 func (n *Node) answerExisting(r *record, from uint32, m *schema.Claim) {
 	w := waiter{from: from, call: m.Call}
 	switch {
@@ -325,8 +332,8 @@
 	n.send(to, &schema.Message{Body: &schema.Message_ClaimResult{ClaimResult: res}})
 }
 
-// onUpdate notes how a claim ended. Only its dispatcher can end it, unless the
-// endpoint has fenced it.
+// onUpdate records how a claim ended. Only its dispatcher may end it, unless
+// the endpoint has fenced it.
 func (n *Node) onUpdate(from uint32, inc uint64, m *schema.Update) {
 	key := request.Key{Organisation: m.Organisation, ID: m.Id}
 	hash := keyHash(key)
@@ -359,8 +366,9 @@
 	n.markDirty(r)
 }
 
-// expireRecords forgets records no request can ask for any more. Nothing is forgotten
-// earlier: at the bound of memory new claims are refused instead.
+// expireRecords deletes records that no request can refer to any more. Records
+// are never evicted earlier: when memory is full, new claims are refused
+// instead.
 func (n *Node) expireRecords() {
 	for len(n.byAge) > 0 && n.now-n.byAge[0].at >= n.cfg.TTL {
 		b := n.byAge[0]
@@ -384,7 +392,7 @@
 	return pb
 }
 
-// mergeRecord takes over a copy of a record unless a newer one is here.
+// mergeRecord stores a copy of a record unless the local version is as new.
 func (n *Node) mergeRecord(pb *schema.Record) {
 	key := request.Key{Organisation: pb.Organisation, ID: pb.Id}
 	r := n.records[key]
--- a/claim/join.go
+++ b/claim/join.go
@@ -7,22 +7,23 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// phase is this VM's own standing in its cell.
+// phase is the membership phase of this VM in its cell.
 type phase int
 
 const (
-	// probing: not every peer has been reached or proven away yet. Joining
-	// now could take keys from a holder and wait for a frozen peer to serve them.
+	// probing: some peers have neither been reached nor proven to be down.
+	// Joining now could take keys from a holder and then wait for a frozen peer
+	// before serving them.
 	probing phase = iota
-	// joining: collecting what the members hold.
+	// joining: collecting the records of the members.
 	joining
 	// active: a member.
 	active
-	// leaving: grants nothing any more.
+	// leaving: grants no more claims.
 	leaving
 )
 
-// progressJoin moves to the next phase once nothing stands against it.
+// progressJoin advances to the next phase once its conditions are met.
 func (n *Node) progressJoin() {
 	switch n.phase {
 	case probing:
@@ -39,7 +40,7 @@
 	}
 }
 
-// everyPeer reports whether each peer is away for certain or meets ok.
+// everyPeer reports whether each peer is proven to be down or satisfies ok.
 func (n *Node) everyPeer(ok func(*peer) bool) bool {
 	for _, p := range n.peers {
 		if !p.notListening && !p.dead && !p.left && !ok(p) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// activate makes this VM a member. Without an active member to vouch for the
-// past, nobody knows what earlier incarnations of the cell granted.
+// activate makes this VM a member. If no active member sent its records, no VM
+// knows which claims earlier incarnations of the cell granted.
 func (n *Node) activate() {
 	n.phase = active
 	n.addUnreachedLost()
@@ -74,8 +75,8 @@
 	n.rosterChanged()
 }
 
-// addUnreachedLost counts as lost the members that others told of and that this VM
-// never met: nobody here can say that their grants were handed on.
+// addUnreachedLost marks as lost the members that others reported and that this
+// VM has not reached: no VM can confirm that their grants were handed over.
 func (n *Node) addUnreachedLost() {
 	for _, m := range n.reportedMembers {
 		p := n.peer(m.Vm)
@@ -87,11 +88,12 @@
 	n.reportedMembers = nil
 }
 
-// unknownPredecessor stands for any incarnation of the cell before the present ones.
+// unknownPredecessor represents any incarnation of the cell before the present
+// ones.
 const unknownPredecessor = 0
 
-// SetFirstRun tells that the platform's log shows no earlier life of the failure
-// domain, so that a key without a record was never granted.
+// SetFirstRun records that, according to the platform's log, the failure domain
+// never ran before, so that a key without a record was never granted.
 func (n *Node) SetFirstRun(now time.Duration) {
 	n.now = now
 	n.firstRun = true
@@ -104,8 +106,8 @@
 	n.lost = kept
 }
 
-// onJoin takes a new incarnation into the roster. From here on its keys are
-// not granted here, so what it is sent is all there will be.
+// onJoin adds a new incarnation to the members. From here on this VM no longer
+// grants the new member's keys, so the records sent to it are complete.
 func (n *Node) onJoin(p *peer) {
 	if p == nil {
 		return
@@ -138,8 +140,9 @@
 	return list
 }
 
-// recordsFor lists the records that rank the given member above this VM. It may
-// know of deaths that are not known here, and so be the holder of any of them.
+// recordsFor returns the records whose keys rank the given member above this
+// VM. The member may have learned of deaths that this VM has not, and may
+// therefore hold any of these keys.
 func (n *Node) recordsFor(id uint32) []*schema.Record {
 	var list []*schema.Record
 	for _, b := range n.byAge {
@@ -172,7 +175,7 @@
 	n.progressJoin()
 }
 
-// Leave starts to hand over the keys of this VM. Left reports when it is done.
+// Leave starts to hand over this VM's keys. Left reports when that is complete.
 func (n *Node) Leave(now time.Duration) {
 	n.now = now
 	if n.phase == active {
@@ -183,7 +186,8 @@
 	n.phase = leaving
 }
 
-// Left reports whether every member knows that this VM grants nothing.
+// Left reports whether every member has acknowledged that this VM grants no
+// more claims.
 func (n *Node) Left() bool {
 	if n.phase != leaving {
 		return false
@@ -196,8 +200,8 @@
 	return true
 }
 
-// progressLeave stops granting once the backups have everything, and tells the
-// members until they ack.
+// progressLeave stops granting once the backups have everything, and sends
+// Goodbye to the members until they acknowledge it.
 func (n *Node) progressLeave() {
 	if n.leaveRequested && n.phase == active && n.allCopied() {
 		n.phase = leaving
@@ -214,9 +218,10 @@
 	}
 }
 
-// onGoodbye moves the keys of a peer that leaves in good order. It compares
-// the epoch that the goodbye itself carries: a peer that granted alone and left
-// before its next heartbeat would otherwise pass for one with everything copied.
+// onGoodbye takes over the keys of a peer that leaves gracefully. It compares
+// the epoch carried by the goodbye itself: otherwise a peer that granted alone
+// and left before its next heartbeat would be treated as having everything
+// copied.
 func (n *Node) onGoodbye(p *peer, m *schema.Goodbye) {
 	if p == nil {
 		return
--- a/claim/node.go
+++ b/claim/node.go
@@ -16,82 +16,87 @@
 	Domain string
 }
 
-// Config is fixed for the life of a process.
+// Config holds the settings of a Node. They are fixed for the lifetime of a
+// process.
 type Config struct {
 	Self        VM
 	Incarnation uint64
-	// VMs of the whole deployment, Self included.
+	// VMs lists all VMs of the deployment, Self included.
 	VMs []VM
-	// CellSize bounds how many VMs of a domain exchange heartbeats; at least 2.
+	// CellSize bounds the number of VMs of a domain that exchange heartbeats; at
+	// least 2.
 	CellSize int
-	// Lease is how long a silent backup is waited for.
+	// Lease is the time after which a silent backup is bypassed.
 	Lease time.Duration
 	// Retry is the interval at which unanswered messages are sent again.
 	Retry time.Duration
-	// Timeout bounds a claim.
+	// Timeout bounds the duration of an acquisition.
 	Timeout time.Duration
-	// TTL is how long records are kept; no request may be repeated after it.
+	// TTL is the retention time of records; no request may be retried after it.
 	TTL time.Duration
 	// MaxRecords bounds the memory; claims beyond it are refused.
 	MaxRecords int
-	// NoBackup grants without a copy. It exists to measure what the copy costs.
+	// NoBackup grants claims without a copy. It is used to measure the cost of
+	// the copy.
 	NoBackup bool
 }
 
-// Outgoing is a message for a VM.
+// Outgoing is a message to a VM.
 type Outgoing struct {
 	To      uint32
 	Message *schema.Message
 }
 
-// Verdict is what became of a flight.
+// Verdict is the result of an acquisition.
 type Verdict int
 
-// Verdicts of flights.
+// Verdicts of acquisitions.
 const (
-	// Granted: the caller of Acquire may dispatch, once, now.
+	// Granted: the caller of Acquire may dispatch once, now.
 	Granted Verdict = iota
-	// Held: another dispatch has the key; Record says which.
+	// Held: another dispatch has the key; Record describes it.
 	Held
-	// NotRun: the request ran nowhere and will not under this attempt.
+	// NotRun: the request ran nowhere and will not run under this attempt.
 	NotRun
-	// Unknown: it may have run.
+	// Unknown: the request may have run.
 	Unknown
-	// Conflict: the key was used with another body.
+	// Conflict: the key was used with a different body.
 	Conflict
-	// Absent: a search found no claim.
+	// Absent: Find found no claim, or the claim passed to ReleaseFenced is
+	// released.
 	Absent
 )
 
-// Result ends a flight.
+// Result is the result of an acquisition.
 type Result struct {
 	ID      uint64
 	Verdict Verdict
 	Reason  request.Reason
 	Record  *schema.Record
-	// Domain is where the record is held, with Held.
+	// Domain is the failure domain that holds the record if the verdict is Held.
 	Domain string
 }
 
-// Output is what one or more steps decided, in order.
+// Output holds the decisions of one or more steps, in order.
 type Output struct {
 	Messages []Outgoing
 	Results  []Result
-	// Fenced is set when peers took this incarnation for dead: it must end.
+	// Fenced is set if the peers have declared this incarnation dead: the
+	// process must exit.
 	Fenced bool
-	// Takeovers are the dead VMs whose keys this VM now holds.
+	// Takeovers lists the dead VMs whose keys this VM now holds.
 	Takeovers []Takeover
 }
 
-// Takeover tells that a dead VM's keys moved.
+// Takeover reports that the keys of a dead VM were taken over.
 type Takeover struct {
 	VM uint32
-	// Clean: every claim the dead VM counted is known here.
+	// Clean reports whether every claim committed by the dead VM is known here.
 	Clean bool
 }
 
-// Node is one VM's part in the claims of all requests. It is not safe for
-// concurrent use.
+// Node implements the claim protocol of one VM. It is not safe for concurrent
+// use.
 type Node struct {
 	cfg      Config
 	now      time.Duration
@@ -102,15 +107,16 @@
 	cells   map[string][][]uint32
 	removed map[uint32]bool
 
-	// Membership of the own cell.
+	// Membership of this VM's cell.
 	cell     []uint32
 	peers    []*peer
 	phase    phase
 	fenced   bool
 	firstRun bool
-	// hasHistory: an active member told what the cell has granted.
+	// hasHistory is set once an active member has sent the records of the cell.
 	hasHistory bool
-	// reportedMembers are the members that others named while this VM joined.
+	// reportedMembers lists the members that others reported while this VM
+	// joined.
 	reportedMembers []*schema.Member
 	leaveRequested  bool
 	lost            []lostIncarnation
@@ -119,10 +125,10 @@
 	// Records held or backed up.
 	records map[request.Key]*record
 	byAge   []ageEntry
-	// waiting are the keys whose claims wait for a copy, in order.
+	// waiting lists the keys whose claims wait for a copy, in order.
 	waiting []request.Key
 
-	// Calls of this VM.
+	// Claims and updates sent by this VM.
 	lastCall         uint64
 	domainClaims     map[uint64]*domainClaim
 	domainClaimOrder []uint64
@@ -143,7 +149,7 @@
 		updates:         make(map[uint64]*update),
 		acquisitions:    make(map[uint64]*acquisition),
 		nextHeartbeatAt: now,
-		// Numbers of an earlier incarnation must match nothing of this one.
+		// Call numbers of an earlier incarnation must not match any of this one.
 		lastCall: cfg.Incarnation,
 	}
 	n.assignCells()
@@ -188,14 +194,15 @@
 	return cells
 }
 
-// cellOf returns the cell of a domain that a key belongs to.
+// cellOf returns the cell of a domain to which a key belongs.
 func (n *Node) cellOf(domain string, hash uint64) []uint32 {
 	cells := n.cells[domain]
 	return cells[hash%uint64(len(cells))]
 }
 
-// homeDomain returns the domain in which repeats of a key are claimed. It does
-// not depend on what is reachable, so that two repeats cannot disagree.
+// homeDomain returns the domain in which retries of a key are claimed. It does
+// not depend on which domains are reachable, so that two retries always use the
+// same one.
 func (n *Node) homeDomain(hash uint64) string {
 	home, _ := slices.BinarySearch(n.domains, "")
 	var best uint64
@@ -209,7 +216,7 @@
 
 func keyHash(k request.Key) uint64 { return rendezvous.Hash(k.Organisation, k.ID) }
 
-// Take returns what was decided since the last call.
+// Take returns the decisions made since the last call.
 func (n *Node) Take() Output {
 	n.handleLoopback()
 	n.flushDuplicates()
@@ -218,7 +225,7 @@
 	return out
 }
 
-// send queues a message; one for this VM itself is handled without the network.
+// send queues a message; a message to this VM itself is handled locally.
 func (n *Node) send(to uint32, m *schema.Message) {
 	if to == n.cfg.Self.ID {
 		n.loopback = append(n.loopback, m)
@@ -235,7 +242,7 @@
 	}
 }
 
-// Receive handles a message of another VM's incarnation.
+// Receive handles a message from an incarnation of another VM.
 func (n *Node) Receive(now time.Duration, from uint32, incarnation uint64, m *schema.Message) {
 	n.now = now
 	if n.fenced {
@@ -245,7 +252,8 @@
 		n.send(from, &schema.Message{Body: &schema.Message_Fenced{Fenced: &schema.Fenced{Incarnation: incarnation}}})
 		return
 	}
-	// Whoever speaks is not gone: the list lags, or a new process took the address.
+	// A VM that sends messages has not been removed: the platform's list lags,
+	// or a new process took over the address.
 	delete(n.removed, from)
 	n.handleMessage(from, incarnation, m)
 	n.handleLoopback()
@@ -282,8 +290,8 @@
 	}
 }
 
-// Tick lets time pass. Call it every few milliseconds, and at least four times
-// in Retry.
+// Tick advances time. It must be called every few milliseconds, and at least
+// four times per Retry.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	n.sendHeartbeats()
@@ -297,11 +305,11 @@
 	n.handleLoopback()
 }
 
-// Stats are figures for logs and metrics.
+// Stats holds figures for logs and metrics.
 type Stats struct {
 	Records int
 	Members int
-	// Backed are the members whose death now would lose no claim.
+	// Backed is the number of members whose death now would lose no claim.
 	Backed int
 	Active bool
 	Lost   int
@@ -322,7 +330,7 @@
 }
 
 // CellPeers returns the VMs with which this one exchanges heartbeats. The
-// caller keeps a connection to each whose close it reports to PeerClosed.
+// caller must keep a connection to each and report its close to PeerClosed.
 func (n *Node) CellPeers() []uint32 {
 	ids := make([]uint32, 0, len(n.peers))
 	for _, p := range n.peers {
--- a/claim/roster.go
+++ b/claim/roster.go
@@ -12,79 +12,87 @@
 )
 
 const (
-	// heartbeatsPerLease is how many heartbeats go out in one lease at least.
+	// heartbeatsPerLease is the minimum number of heartbeats sent per lease.
 	heartbeatsPerLease = 4
-	// maxHeartbeatInterval keeps a long lease from delaying what heartbeats carry.
+	// maxHeartbeatInterval bounds the heartbeat interval, so that a long lease
+	// does not delay the data that heartbeats carry.
 	maxHeartbeatInterval = 250 * time.Millisecond
 )
 
-// clockDriftDivisor is the part of a lease by which two clocks may drift in it.
+// clockDriftDivisor bounds the drift between two clocks during a lease: it is
+// at most the lease divided by this value.
 const clockDriftDivisor = 10
 
-// peer is another VM of the own cell, as this VM knows it.
+// peer is this VM's view of another VM of its cell.
 type peer struct {
 	id uint32
-	// inc is the newest incarnation heard of; 0 before the first.
+	// inc is the newest known incarnation; 0 before the first message.
 	inc uint64
-	// member: inc has joined and is not proven dead.
+	// member is set if inc has joined and is not proven dead.
 	member bool
-	// dead: inc is proven dead.
+	// dead is set if inc is proven dead.
 	dead bool
-	// notListening: nothing listened at its address when this VM joined.
+	// notListening is set if nothing listened at the peer's address when this VM
+	// joined.
 	notListening bool
-	// left: inc said goodbye; it grants nothing and still has requests to end.
+	// left is set if inc has sent Goodbye; it grants nothing but still completes
+	// its requests.
 	left bool
-	// joinAcked: it handed over what this VM needs to join.
+	// joinAcked is set once the peer has handed over what this VM needs to join.
 	joinAcked bool
-	// joinAt is when the next Join or Goodbye may be sent.
+	// joinAt is the earliest time at which the next Join or Goodbye may be sent.
 	joinAt time.Duration
-	// lastReceived is when the last message of inc came.
+	// lastReceived is when the last message of inc arrived.
 	lastReceived time.Duration
 
 	// This VM as holder, the peer as backup.
 
-	heartbeatSeq      uint64        // last heartbeat sent
-	heartbeatAcked    uint64        // highest heartbeat it acked
-	ackedAt           time.Duration // when that ack came
-	unackedHeartbeats []sentSeq     // heartbeats sent and not acked yet
-	// noStandInBefore is how long the peer heard this VM for certain: until then it
-	// granted nothing in this VM's place.
+	heartbeatSeq      uint64        // sequence number of the last heartbeat sent
+	heartbeatAcked    uint64        // highest heartbeat the peer acknowledged
+	ackedAt           time.Duration // when that ack arrived
+	unackedHeartbeats []sentSeq     // heartbeats sent but not acknowledged
+	// noStandInBefore is the time up to which the peer is certain to have
+	// received messages of this VM recently enough: before it, the peer granted
+	// nothing in this VM's place.
 	noStandInBefore time.Duration
-	bypassed        bool   // its silence outlasted the lease: grant without it
-	epoch           uint64 // grows with each solo period
+	bypassed        bool   // the peer was silent for a lease: claims are granted without its copy
+	epoch           uint64 // incremented each time the peer is bypassed
 	dupSeq          uint64
 	dirty           []request.Key
 	inFlight        []*copyBatch
 	syncSent        bool
-	// flushAt is when the queued copies go out.
+	// flushAt is when the queued copies are sent.
 	flushAt time.Duration
 
 	// The peer as holder, this VM as backup.
 
 	acks           []sentSeq
-	notAloneBefore time.Duration // it granted nothing alone before this
-	syncRoster     uint64        // roster of its last complete sync
+	notAloneBefore time.Duration // the peer granted nothing alone before this time
+	syncRoster     uint64        // roster hash of the peer's last complete sync
 	syncEpoch      uint64
-	heartbeatEpoch uint64 // epoch of its last heartbeat
+	heartbeatEpoch uint64 // epoch of the peer's last heartbeat
 
-	// standingIn: this VM grants first attempts of its keys and acks nothing of
-	// it, until it has taken over the orphans.
+	// standingIn is set while this VM grants first attempts of the peer's keys.
+	// It then acknowledges none of the peer's messages, until the peer has taken
+	// over the orphans.
 	standingIn bool
 	orphans    []request.Key
 	orphanSeq  uint64
 
-	// goodbyeAcked: it knows that this VM leaves.
+	// goodbyeAcked is set once the peer has acknowledged that this VM leaves.
 	goodbyeAcked bool
 }
 
-// sentSeq is the number of a heartbeat or its ack, and when it was sent.
+// sentSeq is the sequence number of a heartbeat or heartbeat ack, with the time
+// at which it was sent.
 type sentSeq struct {
 	seq uint64
 	at  time.Duration
 }
 
-// lostIncarnation died at some time before diedBy with grants that nobody
-// alive may know of. No request of its time comes back after until.
+// lostIncarnation represents an incarnation that died before diedBy and whose
+// grants may be unknown to all live VMs. No request from its time can be
+// retried after until.
 type lostIncarnation struct {
 	vm     uint32
 	inc    uint64
@@ -92,15 +100,16 @@
 	until  time.Duration
 }
 
-// admit notes that an incarnation of a peer lives. It reports whether the
-// message may be used: an incarnation proven dead gets no more say.
+// admit records that an incarnation of a peer is alive. It reports whether its
+// message may be processed: messages of an incarnation proven dead are
+// rejected.
 func (n *Node) admit(p *peer, inc uint64) bool {
 	if inc < p.inc || (inc == p.inc && p.dead) {
 		return false
 	}
 	if inc > p.inc {
 		n.markDead(p, true)
-		// Sequence numbers go on, so that a late ack of the old incarnation
+		// Sequence numbers continue, so that a late ack of the old incarnation
 		// matches nothing sent to the new one.
 		*p = peer{id: p.id, inc: inc, ackedAt: n.now - n.cfg.Lease, heartbeatSeq: p.heartbeatSeq, heartbeatAcked: p.heartbeatSeq, dupSeq: p.dupSeq}
 	}
@@ -110,7 +119,7 @@
 }
 
 // PeerClosed reports that the kernel of the peer's VM closed the connection of
-// an incarnation that never closes it while alive: its process has ended.
+// an incarnation. A live process never closes it, so the process has ended.
 func (n *Node) PeerClosed(now time.Duration, vm uint32, inc uint64) {
 	n.now = now
 	if p := n.peer(vm); p != nil && p.inc <= inc {
@@ -123,10 +132,10 @@
 	n.handleLoopback()
 }
 
-// PeerNotListening reports that nothing listens at the peer's address. inc is the
-// incarnation known, by Incarnation, before the address was tried; 0 for none.
-// A process listens as long as it lives, so that incarnation has ended; a newer
-// one may have been heard since, and is not meant.
+// PeerNotListening reports that nothing listens at the peer's address. inc is
+// the value that Incarnation returned before the connection attempt; 0 for
+// none. A process listens as long as it runs, so that incarnation has ended. A
+// newer incarnation that has sent messages since is not affected.
 func (n *Node) PeerNotListening(now time.Duration, vm uint32, inc uint64) {
 	n.now = now
 	p := n.peer(vm)
@@ -139,7 +148,8 @@
 	n.handleLoopback()
 }
 
-// Incarnation returns the newest incarnation heard of a peer, 0 for none.
+// Incarnation returns the newest known incarnation of a peer, or 0 if there is
+// none.
 func (n *Node) Incarnation(vm uint32) uint64 {
 	if p := n.peer(vm); p != nil {
 		return p.inc
@@ -147,8 +157,8 @@
 	return 0
 }
 
-// PeerRemoved reports that the platform's list has dropped the VM. The list lags
-// and may be wrong, so such a death is never clean.
+// PeerRemoved reports that the platform's list no longer contains the VM. The
+// list lags and may be wrong, so such a death is never clean.
 func (n *Node) PeerRemoved(now time.Duration, vm uint32) {
 	n.now = now
 	n.removed[vm] = true
@@ -160,11 +170,12 @@
 	n.handleLoopback()
 }
 
-// markDead notes the death of a peer's incarnation and judges whether every claim
-// it granted is known here: as holder with this VM's copy, and as stand-in for
-// this VM, which it is only after it has not heard this VM for a lease.
+// markDead records the death of a peer's incarnation and determines whether
+// every claim it granted is known here. These are the claims it granted as
+// holder with this VM's copy, and those it granted as stand-in for this VM,
+// which it becomes only after receiving nothing from this VM for a lease.
 //
-// ended says that the process has certainly ended by now.
+// hasEnded reports whether the process is certain to have ended by now.
 func (n *Node) markDead(p *peer, hasEnded bool) {
 	if p.dead || p.inc == 0 {
 		return
@@ -182,15 +193,15 @@
 	n.rosterChanged()
 }
 
-// deathWouldBeClean reports whether a proof of the peer's death now would find every
-// claim it granted known here.
+// deathWouldBeClean reports whether every claim that the peer granted would be
+// known here if its death were proven now.
 func (n *Node) deathWouldBeClean(p *peer) bool {
 	return n.hasAllGrantsOf(p) && n.now < p.notAloneBefore && n.now < p.noStandInBefore
 }
 
-// hasAllGrantsOf reports whether this VM, as backup, has a copy of everything the
-// peer granted with it: the last complete copy was made under the members that
-// both know, and the peer granted nothing alone since.
+// hasAllGrantsOf reports whether this VM, as backup, has a copy of everything
+// the peer granted with it: the last complete sync was made under the member
+// list that both VMs have, and the peer has granted nothing alone since.
 func (n *Node) hasAllGrantsOf(p *peer) bool {
 	return p.syncRoster == n.rosterHash() && p.syncEpoch == p.heartbeatEpoch
 }
@@ -207,10 +218,10 @@
 	n.lost = append(n.lost, lostIncarnation{vm: vm, inc: inc, diedBy: diedBy, until: until})
 }
 
-// mayHaveBeenGranted reports whether a key without a record may have been granted by an
-// incarnation whose records are lost. A declared first attempt that arrived
-// after its death cannot: nothing with that key had been sent. One that
-// arrived before may have been overtaken by its own repeat.
+// mayHaveBeenGranted reports whether a key without a record may have been
+// granted by an incarnation whose records are lost. A declared first attempt
+// that arrived after its death cannot: nothing with that key had been sent
+// before. One that arrived earlier may have been overtaken by its own retry.
 func (n *Node) mayHaveBeenGranted(mayBeRetry bool, arrived time.Duration) bool {
 	for _, l := range n.lost {
 		if n.now < l.until && (mayBeRetry || arrived <= l.diedBy) {
@@ -236,7 +247,7 @@
 	}
 }
 
-// rosterHash is a fingerprint of the members of the cell, with incarnations.
+// rosterHash returns a hash of the members of the cell and their incarnations.
 func (n *Node) rosterHash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -267,7 +278,7 @@
 	return n.peer(id).member
 }
 
-// holder returns the member that may grant a key of the own cell.
+// holder returns the member that may grant a key of this VM's cell.
 func (n *Node) holder(hash uint64) (uint32, bool) {
 	return rendezvous.Top(hash, n.cell, n.isMember)
 }
@@ -286,7 +297,7 @@
 	return n.peer(id)
 }
 
-// rosterChanged makes the copies that the new members need.
+// rosterChanged starts the syncs that the new membership requires.
 func (n *Node) rosterChanged() {
 	if n.phase != active {
 		return
@@ -297,7 +308,7 @@
 	n.answerWaiting()
 }
 
-// sendHeartbeats sends heartbeats that are due.
+// sendHeartbeats sends heartbeats if they are due.
 func (n *Node) sendHeartbeats() {
 	if n.now < n.nextHeartbeatAt {
 		return
@@ -318,14 +329,16 @@
 	}
 }
 
-// peerLease is a lease on another VM's clock, at the least.
+// peerLease returns the minimum length of a lease as measured by another VM's
+// clock.
 func (n *Node) peerLease() time.Duration { return n.cfg.Lease - n.cfg.Lease/clockDriftDivisor }
 
-// maxSentAcks bounds the acks remembered for a peer that confirms none.
+// maxSentAcks bounds the acks stored for a peer that confirms none.
 const maxSentAcks = 64
 
-// onHeartbeat acks, unless estranged: the peer must not count this VM's copies
-// while this VM grants the peer's keys.
+// onHeartbeat acknowledges a heartbeat, unless this VM stands in for the peer:
+// the peer must not rely on this VM's copies while this VM grants the peer's
+// keys.
 func (n *Node) onHeartbeat(p *peer, m *schema.Heartbeat) {
 	if p == nil {
 		return
@@ -335,8 +348,8 @@
 		n.sendOrphans(p)
 		return
 	}
-	// What the peer confirms as acked bounds from below when its lease ends:
-	// it heard that ack after it was sent.
+	// An ack that the peer confirms gives a lower bound for the end of its
+	// lease: the peer received that ack after it was sent.
 	for len(p.acks) > 0 && p.acks[0].seq <= m.Acked {
 		p.notAloneBefore = max(p.notAloneBefore, p.acks[0].at+n.cfg.Lease)
 		p.acks = p.acks[1:]
@@ -361,7 +374,8 @@
 	n.progressJoin()
 }
 
-// renewBackupLease renews the lease that the peer, as backup, gives this holder.
+// renewBackupLease renews the lease that the peer, as backup, gives this
+// holder.
 func (n *Node) renewBackupLease(p *peer) {
 	p.ackedAt = n.now
 	if p.bypassed {
@@ -370,8 +384,8 @@
 	}
 }
 
-// checkLeases ends the wait for backups that were silent for a lease, and
-// stands in for holders that were.
+// checkLeases bypasses backups that have been silent for a lease, and stands in
+// for holders that have been.
 func (n *Node) checkLeases() {
 	if n.phase < active {
 		return
@@ -406,7 +420,8 @@
 
 func fromMillis(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// IsMember reports whether an incarnation of a VM of the cell is a member now.
+// IsMember reports whether an incarnation of a VM of the cell is currently a
+// member.
 func (n *Node) IsMember(vm uint32, inc uint64) bool {
 	if vm == n.cfg.Self.ID {
 		return inc == n.cfg.Incarnation && n.phase == active
@@ -415,7 +430,7 @@
 	return p != nil && p.member && p.inc == inc
 }
 
-// IsDown reports whether a peer is known not to run.
+// IsDown reports whether a peer is known not to be running.
 func (n *Node) IsDown(vm uint32) bool {
 	p := n.peer(vm)
 	return p == nil || p.notListening || p.dead || p.left
--- a/claim/search_test.go
+++ b/claim/search_test.go
@@ -15,7 +15,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// TestMain fixes the seed and the number of sequences, so that the verdict is
+// TestMain fixes the seed and the number of sequences, so that the result is
 // the same on every run. CHIVEFIELD_SEARCH=random leaves both to the flags.
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -33,7 +33,7 @@
 	testKeys  = 4
 )
 
-// packet is a message or a proof of death on its way.
+// packet is a message or a proof of death in transit.
 type packet struct {
 	from, to uint32
 	inc      uint64
@@ -41,7 +41,7 @@
 	closed   bool
 }
 
-// vmState is one VM of the search, with the process that runs on it.
+// vmState is the state of one VM of the search and its process.
 type vmState struct {
 	node   *Node
 	inc    uint64
@@ -64,14 +64,14 @@
 	fenced  bool
 }
 
-// pendingDispatch is a dispatch on its way to the endpoint, which may have been told
-// never to run it.
+// pendingDispatch is a dispatch in transit to the endpoint, which may have been
+// told never to run it.
 type pendingDispatch struct {
 	acquisition uint64
 	stream      string
 }
 
-// world is a deployment under search. Everything it does is one of rapid's draws.
+// world is a simulated deployment. Every action in it is drawn by rapid.
 type world struct {
 	vms               []VM
 	state             map[uint32]*vmState
@@ -84,10 +84,12 @@
 	acquisitions      map[uint64]acquisitionRef
 	granted           []uint64
 	pendingDispatches []pendingDispatch
-	// settledStreams are the streams that the endpoint has run or refuses for good.
+	// settledStreams holds the streams that the endpoint has run or has promised
+	// never to run.
 	settledStreams map[string]bool
 	weaken         func(*Node)
-	// ignoresFencing: the endpoint promises never to run a stream and runs it.
+	// ignoresFencing makes the endpoint run streams that it promised never to
+	// run.
 	ignoresFencing bool
 	stats          map[Verdict]int
 }
@@ -130,7 +132,8 @@
 
 func (w *world) isPartitioned(a, b uint32) bool { return w.partitioned[[2]uint32{a, b}] }
 
-// collect takes a node's output: messages go on their way, grants run at once.
+// collect processes a node's output: messages go in transit, grants are
+// dispatched.
 func (w *world) collect(t *rapid.T, id uint32) {
 	s := w.state[id]
 	if w.weaken != nil {
@@ -167,7 +170,7 @@
 	case Held:
 		w.fence(t, r)
 	case Absent:
-		// What a caller does after a fence: its request goes on.
+		// As in core, the request proceeds after its predecessor is fenced.
 		if s := w.state[ref.vm]; s.up && !s.frozen && ref.fenced {
 			w.send(t, ref.vm, ref.key, false, Run)
 		}
@@ -190,7 +193,8 @@
 	}
 }
 
-// arrive lets a dispatch reach the endpoint, which runs it unless it is fenced.
+// arrive delivers a dispatch to the endpoint, which runs it unless it is
+// fenced.
 func (w *world) arrive(i int) {
 	d := w.pendingDispatches[i]
 	w.pendingDispatches = slices.Delete(w.pendingDispatches, i, i+1)
@@ -205,8 +209,9 @@
 	w.granted = append(w.granted, d.acquisition)
 }
 
-// fence has the endpoint promise never to run a stream it has not met, and
-// gives its claim back. A VM does so at whatever time it finds the claim.
+// fence makes the endpoint promise never to run a stream that it has not
+// received, and releases the stream's claim. A VM may do so at any time after
+// finding the claim.
 func (w *world) fence(t *rapid.T, r Result) {
 	ref := w.acquisitions[r.ID]
 	if r.Record.State != schema.RecordState_CLAIMED || w.settledStreams[r.Record.Stream] || !rapid.Bool().Draw(t, "fence") {
@@ -253,7 +258,7 @@
 	w.collect(t, p.to)
 }
 
-// tick lets time pass at every VM that runs.
+// tick advances time at every VM that is running.
 func (w *world) tick(t *rapid.T, d time.Duration) {
 	w.now += d
 	for _, vm := range w.vms {
@@ -264,7 +269,7 @@
 	}
 }
 
-// settle lets the network work for a while without faults of its own.
+// settle runs the network for a while without introducing faults.
 func (w *world) settle(t *rapid.T, rounds int) {
 	for range rounds {
 		for n := len(w.inTransit); n > 0 && len(w.inTransit) > 0; n-- {
@@ -285,7 +290,7 @@
 		intent = Run
 	}
 	w.nextID++
-	// An undeclared attempt gets a number of its own for the checker.
+	// For the checker, an undeclared attempt gets a number of its own.
 	w.acquisitions[w.nextID] = acquisitionRef{key: key, attempt: k.attempts, vm: id, inc: w.state[id].inc}
 	w.state[id].node.Acquire(w.now, w.nextID, Request{
 		Intent: intent, Key: request.Key{Organisation: "org", ID: fmt.Sprint("k", key)}, Digest: 1,
@@ -387,16 +392,17 @@
 	return w
 }
 
-// layouts are the deployments searched: a pair, a cell of three, two domains.
+// layouts lists the deployments searched: a pair, a cell of three, two domains.
 var layouts = map[string][]string{
 	"pair":        {"a", "a"},
 	"three":       {"a", "a", "a"},
 	"two domains": {"a", "a", "b", "b"},
 }
 
-// TestSearch: a key runs twice, or runs after its attempt was refused, while
-// VMs are killed, restarted, frozen and cut off and messages are lost, doubled,
-// delayed and reordered. The cause would be a hole in the claim protocol.
+// TestSearch checks that no key runs twice, or runs after its attempt was
+// refused, while VMs are killed, restarted, frozen and partitioned and messages
+// are lost, duplicated, delayed and reordered. A failure is a fault of the
+// claim protocol.
 func TestSearch(t *testing.T) {
 	for name, layout := range layouts {
 		t.Run(name, func(t *testing.T) {
@@ -411,8 +417,9 @@
 	}
 }
 
-// TestControls: the search would be blind if it passed whatever the protocol
-// does. Each control takes one guard away and must be found out.
+// TestControls checks that the search detects faults; otherwise its passing
+// would prove nothing. Each control removes one safeguard of the protocol, and
+// the search must find a failure.
 func TestControls(t *testing.T) {
 	controls := map[string]struct {
 		layout string
@@ -442,22 +449,22 @@
 	for name, c := range controls {
 		t.Run(name, func(t *testing.T) {
 			if !findsFault(t, func(t *rapid.T) { search(t, layouts[c.layout], func(w *world) { w.weaken = c.naive }) }) {
-				t.Fatal("the search passed a protocol without its guard")
+				t.Fatal("search did not detect the removed safeguard")
 			}
 		})
 	}
 }
 
-// TestControlFencing: claims are given back on the word of an endpoint that
-// does not keep it, as engines are that ignore fencing. That must be found out,
-// and is why only endpoints configured to check fencing are asked.
+// TestControlFencing checks that the search finds a failure if claims are
+// released on the promise of an endpoint that breaks it, as engines that ignore
+// fencing do. This is why only endpoints configured to check fencing are asked.
 func TestControlFencing(t *testing.T) {
 	if !findsFault(t, func(t *rapid.T) { search(t, layouts["pair"], func(w *world) { w.ignoresFencing = true }) }) {
-		t.Fatal("the search passed an endpoint that breaks its promise")
+		t.Fatal("search did not detect an endpoint that runs fenced streams")
 	}
 }
 
-// quietTB takes the failure of a property as a result.
+// quietTB records the failure of a property instead of reporting it.
 type quietTB struct {
 	*testing.T
 	failed bool
@@ -471,7 +478,7 @@
 func (q *quietTB) Logf(string, ...any)       {}
 func (q *quietTB) Log(...any)                {}
 
-// findsFault runs a property apart from the test.
+// findsFault reports whether a property fails, without failing the test.
 func findsFault(t *testing.T, prop func(*rapid.T)) (found bool) {
 	_ = flag.Set("rapid.shrinktime", "0s")
 	q := &quietTB{T: t}
--- a/claim/updates.go
+++ b/claim/updates.go
@@ -7,7 +7,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// update is a message about the end of a claim, sent until acked.
+// update is a message about the end of a claim. It is sent until acknowledged.
 type update struct {
 	msg       *schema.Update
 	cell      []uint32
@@ -15,12 +15,13 @@
 	sends     int
 	sentAt    time.Duration
 	expiresAt time.Duration
-	// acquisition waits for the ack; 0 for none.
+	// acquisition is the id of the acquisition that waits for the ack; 0 for
+	// none.
 	acquisition uint64
 }
 
-// Abandon ends a flight that nobody waits for. The request was not dispatched
-// and will not be.
+// Abandon ends an acquisition whose result is no longer needed. The request was
+// not dispatched and will not be.
 func (n *Node) Abandon(now time.Duration, id uint64) {
 	n.now = now
 	if f := n.acquisitions[id]; f != nil {
@@ -29,10 +30,10 @@
 	n.handleLoopback()
 }
 
-// NotDispatched gives back a granted claim that was never sent to an endpoint.
+// NotDispatched releases a granted claim that was never sent to an endpoint.
 func (n *Node) NotDispatched(now time.Duration, id uint64) { n.Abandon(now, id) }
 
-// RecordEnd notes how a dispatched request ended.
+// RecordEnd records how a dispatched request ended.
 func (n *Node) RecordEnd(now time.Duration, id uint64, state schema.RecordState) {
 	n.now = now
 	if f := n.acquisitions[id]; f != nil {
@@ -64,7 +65,8 @@
 	}
 }
 
-// resendUpdates repeats updates, ever more slowly, until acked.
+// resendUpdates sends updates again, with linear backoff, until they are
+// acknowledged or expire.
 func (n *Node) resendUpdates() {
 	calls := n.updateOrder
 	n.updateOrder = nil
@@ -91,7 +93,7 @@
 	}
 }
 
-// maxBackoff bounds how many retry intervals lie between two sendings.
+// maxBackoff bounds the backoff between two transmissions, in retry intervals.
 const maxBackoff = 32
 
 func (n *Node) onUpdateAck(m *schema.UpdateAck) {
@@ -105,9 +107,10 @@
 	}
 }
 
-// ReleaseFenced gives back the claim of a record in a domain, whoever made it, after its
-// endpoint promised never to run its stream. A claim covers one stream at one
-// endpoint, so it can no longer run anything. The flight ends as Absent.
+// ReleaseFenced releases the claim of a record in a domain, whichever VM made
+// it, after its endpoint has promised never to run its stream. A claim covers
+// one stream at one endpoint, so it can no longer run anything. The acquisition
+// ends as Absent.
 func (n *Node) ReleaseFenced(now time.Duration, id uint64, r *schema.Record, domain string) {
 	n.now = now
 	key := request.Key{Organisation: r.Organisation, ID: r.Id}
