--- a/core/calls.go
+++ b/core/calls.go
@@ -303,7 +303,7 @@
 		n.restartLookup(c)
 		return
 	}
-	n.sched.Tokens(n.now, c.handle, ev.Tokens)
+	n.sched.RecordTokens(n.now, c.handle, ev.Tokens)
 	n.sched.Done(n.now, c.handle)
 	claimID := c.claimID
 	n.clearClaim(c)
@@ -364,7 +364,7 @@
 func (n *Node) retry(c *call) {
 	c.retries++
 	if c.retries > maxRetries {
-		n.sched.Rest(n.now, c.assigned.Endpoint)
+		n.sched.Backoff(n.now, c.assigned.Endpoint)
 		n.sched.Done(n.now, c.handle)
 		n.claims.NotDispatched(n.now, c.claimID)
 		n.clearClaim(c)
--- a/core/node.go
+++ b/core/node.go
@@ -95,9 +95,9 @@
 	case Cancel:
 		n.cancel(ev.Handle)
 	case FirstToken:
-		n.sched.FirstToken(n.now, ev.Handle)
+		n.sched.RecordFirstToken(n.now, ev.Handle)
 	case Progress:
-		n.sched.Tokens(n.now, ev.Handle, ev.Tokens)
+		n.sched.RecordTokens(n.now, ev.Handle, ev.Tokens)
 	case Ended:
 		n.onEnded(ev)
 	case PeerMessage:
@@ -113,7 +113,7 @@
 	case LogFailed:
 		n.conf.reachedLogEnd = n.conf.reachedLogEnd && n.conf.hasConfig()
 	case EndpointLeaving:
-		n.sched.Leaving(n.now, ev.Endpoint, ev.Leaving)
+		n.sched.SetLeaving(n.now, ev.Endpoint, ev.Leaving)
 	case CacheEvents:
 		n.applyCacheEvents(ev)
 	case Drain:
@@ -123,19 +123,19 @@
 
 func (n *Node) applyCacheEvents(ev CacheEvents) {
 	if ev.Gap {
-		n.sched.CacheGap(ev.Endpoint)
+		n.sched.ClearCacheIndex(ev.Endpoint)
 	}
-	n.sched.CacheEvent(ev.Endpoint, ev.Stored, ev.Dropped)
+	n.sched.ApplyCacheEvents(ev.Endpoint, ev.Stored, ev.Dropped)
 }
 
 func (n *Node) onPeerMessage(ev PeerMessage) {
 	switch b := ev.Message.Body.(type) {
 	case *schema.Message_Digest:
-		n.sched.Digest(n.now, ev.From, b.Digest)
+		n.sched.ApplyDigest(n.now, ev.From, b.Digest)
 	case *schema.Message_Yield:
-		n.sched.Yield(n.now, ev.From, b.Yield)
+		n.sched.HandleYield(n.now, ev.From, b.Yield)
 	case *schema.Message_YieldResult:
-		n.sched.YieldResult(n.now, ev.From, b.YieldResult)
+		n.sched.HandleYieldResult(n.now, ev.From, b.YieldResult)
 	case *schema.Message_ConfigOffer:
 		n.onConfigOffer(ev.From, b.ConfigOffer)
 	case *schema.Message_ConfigWant:
--- a/core/session_test.go
+++ b/core/session_test.go
@@ -391,7 +391,7 @@
 func explain(list []sched.Candidate) string {
 	var parts []string
 	for _, c := range list {
-		parts = append(parts, fmt.Sprintf("%s %s", c.Endpoint, c.Why))
+		parts = append(parts, fmt.Sprintf("%s %s", c.Endpoint, c.Reason))
 	}
 	return strings.Join(parts, ", ")
 }
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -235,7 +235,7 @@
 		if i > 0 {
 			s += ","
 		}
-		s += fmt.Sprintf("%s:%s:%dms", c.Endpoint, c.Why, c.Finish.Milliseconds())
+		s += fmt.Sprintf("%s:%s:%dms", c.Endpoint, c.Reason, c.TimeToFinish.Milliseconds())
 	}
 	return s
 }
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -25,19 +25,19 @@
 }
 
 const (
-	// indexBlocks bounds the prompt blocks remembered for one endpoint.
-	indexBlocks = 8192
+	// maxIndexBlocks bounds the prompt blocks remembered for one endpoint.
+	maxIndexBlocks = 8192
 	// blockTokens is the length of a block of a prompt.
 	blockTokens = 64
-	// learnRate is the weight of a new observation of speed.
-	learnRate = 0.2
-	// forgetAfter is how long an unfavourable observation counts without a
+	// ewmaWeight is the weight of a new observation of speed.
+	ewmaWeight = 0.2
+	// observationTTL is how long an unfavourable observation counts without a
 	// new one; a straggler is then tried again.
-	forgetAfter = 20 * time.Second
+	observationTTL = 20 * time.Second
 	// digestTTL is how long a peer's digest counts.
 	digestTTL = 3 * time.Second
-	// failurePause is how long an endpoint that refused a connection rests.
-	failurePause = 2 * time.Second
+	// failureBackoff is how long an endpoint that refused a connection rests.
+	failureBackoff = 2 * time.Second
 )
 
 // endpoint is an Endpoint with what this VM knows of it.
@@ -50,7 +50,7 @@
 	// Observed against nominal time; 1 is as configured, 2 is half as fast.
 	prefillRatio, outputRatio float64
 	observedAt                time.Duration
-	restUntil                 time.Duration
+	backoffUntil              time.Duration
 	leaving                   bool
 	peers                     map[uint32]peerUsage
 	// window is how many requests all VMs together should run there. It falls
@@ -62,8 +62,8 @@
 	// yieldedTo is the tier for which room was made here lately.
 	yieldedTo    request.Tier
 	yieldedUntil time.Duration
-	// hash identifies the endpoint in rendezvous hashing.
-	hash uint32
+	// rendezvousID identifies the endpoint in rendezvous hashing.
+	rendezvousID uint32
 }
 
 // peerUsage is another VM's share of an endpoint, from its digest.
@@ -77,12 +77,12 @@
 }
 
 func newEndpoint(e Endpoint) *endpoint {
-	index, _ := lru.New[uint64, struct{}](indexBlocks)
+	index, _ := lru.New[uint64, struct{}](maxIndexBlocks)
 	return &endpoint{
 		Endpoint: e, running: make(map[uint64]*run), prefillRatio: 1, outputRatio: 1,
 		peers: make(map[uint32]peerUsage), index: index, leaving: e.Leaving,
-		window: float64(e.Slots),
-		hash:   uint32(rendezvous.Hash(e.Name, "")),
+		window:       float64(e.Slots),
+		rendezvousID: uint32(rendezvous.Hash(e.Name, "")),
 	}
 }
 
@@ -111,9 +111,9 @@
 // yieldHold is how long room that was made for a peer's request is kept for it.
 const yieldHold = 500 * time.Millisecond
 
-// higherWaits reports whether another VM has work of a higher tier that waits,
+// higherTierWaits reports whether another VM has work of a higher tier that waits,
 // by its digest or because room was just made for it.
-func (e *endpoint) higherWaits(now time.Duration, t request.Tier) bool {
+func (e *endpoint) higherTierWaits(now time.Duration, t request.Tier) bool {
 	if now < e.yieldedUntil && e.yieldedTo < t {
 		return true
 	}
@@ -136,21 +136,21 @@
 	return ahead
 }
 
-// ratios returns the observed slowness, which fades unless it is seen again.
-func (e *endpoint) ratios(now time.Duration) (prefill, output float64) {
-	keep := 1 - float64(now-e.observedAt)/float64(forgetAfter)
-	if keep <= 0 {
+// slowdown returns the observed slowness, which fades unless it is seen again.
+func (e *endpoint) slowdown(now time.Duration) (prefill, output float64) {
+	remaining := 1 - float64(now-e.observedAt)/float64(observationTTL)
+	if remaining <= 0 {
 		return 1, 1
 	}
-	return 1 + (e.prefillRatio-1)*keep, 1 + (e.outputRatio-1)*keep
+	return 1 + (e.prefillRatio-1)*remaining, 1 + (e.outputRatio-1)*remaining
 }
 
 func (e *endpoint) observePrefill(now time.Duration, expected, took time.Duration) {
 	if expected <= 0 {
 		return
 	}
-	p, o := e.ratios(now)
-	e.prefillRatio = p + learnRate*(clampRatio(float64(took)/float64(expected))-p)
+	p, o := e.slowdown(now)
+	e.prefillRatio = p + ewmaWeight*(clampRatio(float64(took)/float64(expected))-p)
 	e.outputRatio = o
 	e.observedAt = now
 }
@@ -160,9 +160,9 @@
 		return
 	}
 	expected := float64(tokens) / e.OutputSpeed
-	p, o := e.ratios(now)
+	p, o := e.slowdown(now)
 	e.prefillRatio = p
-	e.outputRatio = o + learnRate*(clampRatio(took.Seconds()/expected)-o)
+	e.outputRatio = o + ewmaWeight*(clampRatio(took.Seconds()/expected)-o)
 	e.observedAt = now
 }
 
@@ -170,21 +170,21 @@
 	// lateFactor and lateSlack say when a first token shows a queue in the engine.
 	lateFactor = 2
 	lateSlack  = 300 * time.Millisecond
-	// shrink and grow are the steps of the window; it shrinks once in shrinkEvery.
-	shrink      = 0.8
-	grow        = 0.25
-	shrinkEvery = time.Second
+	// windowShrinkFactor and grow are the steps of the window; it shrinks once in shrinkEvery.
+	windowShrinkFactor   = 0.8
+	windowStep           = 0.25
+	windowShrinkInterval = time.Second
 )
 
-// adapt moves the window by additive increase and multiplicative decrease.
-func (e *endpoint) adapt(now time.Duration, expected, took time.Duration) {
+// adaptWindow moves the window by additive increase and multiplicative decrease.
+func (e *endpoint) adaptWindow(now time.Duration, expected, took time.Duration) {
 	if took <= lateFactor*expected+lateSlack {
-		e.window = min(e.window+grow, float64(e.Slots))
+		e.window = min(e.window+windowStep, float64(e.Slots))
 		return
 	}
-	if now >= e.shrunkAt+shrinkEvery {
+	if now >= e.shrunkAt+windowShrinkInterval {
 		e.shrunkAt = now
-		e.window = max(1, e.window*shrink)
+		e.window = max(1, e.window*windowShrinkFactor)
 	}
 }
 
@@ -193,8 +193,8 @@
 
 func clampRatio(r float64) float64 { return min(max(r, 0.2), maxRatio) }
 
-// cached returns how many leading tokens of a prompt the endpoint probably has.
-func (e *endpoint) cached(s *request.Spec) int {
+// cachedTokens returns how many leading tokens of a prompt the endpoint probably has.
+func (e *endpoint) cachedTokens(s *request.Spec) int {
 	n := 0
 	for _, h := range s.Prefix {
 		if !e.index.Contains(h) {
@@ -205,7 +205,7 @@
 	return min(n*blockTokens, s.PromptTokens)
 }
 
-func (e *endpoint) remember(prefix []uint64) {
+func (e *endpoint) indexBlocks(prefix []uint64) {
 	for _, h := range prefix {
 		e.index.Add(h, struct{}{})
 	}
--- a/sched/filter.go
+++ b/sched/filter.go
@@ -7,32 +7,32 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Why tells why an endpoint did not get a request.
-type Why string
+// Reason tells why an endpoint did not get a request.
+type Reason string
 
 // Reasons of candidates that lost, and of the winner.
 const (
-	WhyPicked   Why = "picked"
-	WhyCostlier Why = "costlier"
-	WhyFull     Why = "full"
-	WhyTooSlow  Why = "too_slow"
-	WhyLeaving  Why = "leaving"
-	WhyResting  Why = "resting"
-	WhyYields   Why = "higher_tier_waits"
+	ReasonPicked          Reason = "picked"
+	ReasonCostlier        Reason = "costlier"
+	ReasonFull            Reason = "full"
+	ReasonTooSlow         Reason = "too_slow"
+	ReasonLeaving         Reason = "leaving"
+	ReasonBackoff         Reason = "resting"
+	ReasonHigherTierWaits Reason = "higher_tier_waits"
 )
 
 // Candidate is one endpoint as a decision saw it.
 type Candidate struct {
 	Endpoint string
-	Why      Why
-	// Finish is the predicted time until the whole answer.
-	Finish time.Duration
-	// FirstToken is the predicted time until the first token.
-	FirstToken time.Duration
+	Reason   Reason
+	// TimeToFinish is the predicted time until the whole answer.
+	TimeToFinish time.Duration
+	// TimeToFirstToken is the predicted time until the first token.
+	TimeToFirstToken time.Duration
 	// Cost is the price of the request there, with the score's penalties.
 	Cost float64
-	// Cached are the prompt tokens expected in its cache.
-	Cached int
+	// CachedTokens are the prompt tokens expected in its cache.
+	CachedTokens int
 }
 
 // serves reports whether an endpoint is of the right sort at all.
@@ -44,12 +44,12 @@
 }
 
 // usable reports whether new work may go to an endpoint, whatever its load.
-func (e *endpoint) usable(now time.Duration) (Why, bool) {
+func (e *endpoint) usable(now time.Duration) (Reason, bool) {
 	if e.leaving {
-		return WhyLeaving, false
+		return ReasonLeaving, false
 	}
-	if now < e.restUntil {
-		return WhyResting, false
+	if now < e.backoffUntil {
+		return ReasonBackoff, false
 	}
 	return "", true
 }
@@ -59,16 +59,16 @@
 func (e *endpoint) predict(now time.Duration, s *request.Spec) Candidate {
 	c := Candidate{Endpoint: e.Name}
 	if s.Model == "" {
-		c.Finish, c.FirstToken = serviceTime, serviceTime
+		c.TimeToFinish, c.TimeToFirstToken = serviceTime, serviceTime
 		return c
 	}
-	pr, or := e.ratios(now)
-	c.Cached = e.cached(s)
-	read := float64(e.prefillAhead(now)+s.PromptTokens-c.Cached) / e.PrefillSpeed * pr
-	write := float64(s.OutputTokens) / e.OutputSpeed * or
-	c.FirstToken = seconds(read)
-	c.Finish = seconds(read + write)
-	c.Cost = (float64(s.PromptTokens-c.Cached)*e.PrefillPrice + float64(s.OutputTokens)*e.OutputPrice) / perMillion
+	pr, or := e.slowdown(now)
+	c.CachedTokens = e.cachedTokens(s)
+	prefillTime := float64(e.prefillAhead(now)+s.PromptTokens-c.CachedTokens) / e.PrefillSpeed * pr
+	outputTime := float64(s.OutputTokens) / e.OutputSpeed * or
+	c.TimeToFirstToken = seconds(prefillTime)
+	c.TimeToFinish = seconds(prefillTime + outputTime)
+	c.Cost = (float64(s.PromptTokens-c.CachedTokens)*e.PrefillPrice + float64(s.OutputTokens)*e.OutputPrice) / perMillion
 	return c
 }
 
@@ -82,5 +82,5 @@
 
 // inTime reports whether a candidate would finish by the deadline.
 func inTime(now time.Duration, c *Candidate, s *request.Spec) bool {
-	return now+c.Finish <= s.Deadline
+	return now+c.TimeToFinish <= s.Deadline
 }
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -12,30 +12,30 @@
 	if s.Model == "" {
 		return c
 	}
-	pr, _ := e.ratios(now)
+	pr, _ := e.slowdown(now)
 	ahead := seconds(float64(e.prefillAhead(now)) / e.PrefillSpeed * pr)
-	c.FirstToken -= ahead
-	c.Finish -= ahead
+	c.TimeToFirstToken -= ahead
+	c.TimeToFinish -= ahead
 	return c
 }
 
 // assign goes through the queue, higher tiers first, and binds what has room.
 func (s *Scheduler) assign() {
-	s.countWants()
-	clear(s.wanted)
+	s.countDemand()
+	clear(s.blockedBy)
 	for _, tq := range s.queue.tiers {
-		full := make(map[shape]bool)
-		tq.inOrder(func(w *waiting) bool {
-			k := shapeOf(&w.spec)
+		full := make(map[requestClass]bool)
+		tq.visitFairly(func(w *waiting) bool {
+			k := classOf(&w.spec)
 			switch {
 			case w.reserved != "":
 				s.place(w)
 			case !full[k]:
-				full[k] = s.place(w) == noRoom
+				full[k] = s.place(w) == noCapacity
 				if full[k] {
-					s.wantFor(w)
+					s.blockLowerTiers(w)
 				}
-			case s.hopeless(w):
+			case s.dropIfInfeasible(w):
 			case s.urgent(w):
 				s.makeRoom(w)
 			}
@@ -44,78 +44,78 @@
 	}
 }
 
-// wantFor keeps lower tiers from the endpoints that a request without room
+// blockLowerTiers keeps lower tiers from the endpoints that a request without room
 // could use: their prompts would lengthen the wait there, until the request
 // cannot be done in time although lower-tier work goes on.
-func (s *Scheduler) wantFor(w *waiting) {
+func (s *Scheduler) blockLowerTiers(w *waiting) {
 	for _, e := range s.endpoints {
-		if _, ok := s.wanted[e]; !ok && s.couldUse(e, w) {
-			s.wanted[e] = w.spec.Tier
+		if _, ok := s.blockedBy[e]; !ok && s.couldUse(e, w) {
+			s.blockedBy[e] = w.spec.Tier
 		}
 	}
 }
 
-// keptFrom reports whether an endpoint is wanted by a higher tier, here or at
+// blockedFor reports whether an endpoint is wanted by a higher tier, here or at
 // another VM.
-func (s *Scheduler) keptFrom(e *endpoint, t request.Tier) bool {
-	if by, ok := s.wanted[e]; ok && by < t {
+func (s *Scheduler) blockedFor(e *endpoint, t request.Tier) bool {
+	if by, ok := s.blockedBy[e]; ok && by < t {
 		return true
 	}
-	return e.higherWaits(s.now, t)
+	return e.higherTierWaits(s.now, t)
 }
 
 // placement is what became of a request that was looked at.
 type placement int
 
 const (
-	// settled: assigned or given up.
-	settled placement = iota
-	// waits: there is room, but it waits for a better place.
-	waits
-	// noRoom: nothing it could use has room.
-	noRoom
+	// decided: assigned or given up.
+	decided placement = iota
+	// deferred: there is room, but it deferred for a better place.
+	deferred
+	// noCapacity: nothing it could use has room.
+	noCapacity
 )
 
-// hopeless gives up a request that cannot be done in time any more.
-func (s *Scheduler) hopeless(w *waiting) bool {
-	if s.now <= w.latest {
+// dropIfInfeasible gives up a request that cannot be done in time any more.
+func (s *Scheduler) dropIfInfeasible(w *waiting) bool {
+	if s.now <= w.latestStart {
 		return false
 	}
-	why, ok := s.possible(w)
+	reason, ok := s.checkFeasible(w)
 	if !ok {
-		s.drop(w, why)
+		s.drop(w, reason)
 	}
 	return !ok
 }
 
-// shape groups requests that can use the same endpoints; if one of a shape
-// finds no room, the next of that shape will not either.
-type shape struct {
+// requestClass groups requests that can use the same endpoints; if one of a requestClass
+// finds no room, the next of that requestClass will not either.
+type requestClass struct {
 	model string
 	kind  string
 }
 
-func shapeOf(s *request.Spec) shape {
+func classOf(s *request.Spec) requestClass {
 	if s.Model != "" {
-		return shape{model: s.Model}
+		return requestClass{model: s.Model}
 	}
-	return shape{kind: s.Kind}
+	return requestClass{kind: s.Kind}
 }
 
-// countWants counts the waiting requests that each endpoint could serve.
-func (s *Scheduler) countWants() {
-	shapes := make(map[shape]int)
+// countDemand counts the waiting requests that each endpoint could serve.
+func (s *Scheduler) countDemand() {
+	shapes := make(map[requestClass]int)
 	s.queue.each(func(w *waiting) {
-		if !w.byChoice {
-			shapes[shapeOf(&w.spec)]++
+		if !w.deferred {
+			shapes[classOf(&w.spec)]++
 		}
 	})
-	clear(s.want)
+	clear(s.demand)
 	for sh, n := range shapes {
 		probe := request.Spec{Model: sh.model, Kind: sh.kind}
 		for _, e := range s.endpoints {
 			if serves(e, &probe) {
-				s.want[e] += n
+				s.demand[e] += n
 			}
 		}
 	}
@@ -123,58 +123,58 @@
 
 // place assigns a request, makes room for it, or gives it up.
 func (s *Scheduler) place(w *waiting) placement {
-	best, candidates, feasible := s.choose(w)
-	w.byChoice = false
+	best, candidates, feasible := s.selectEndpoint(w)
+	w.deferred = false
 	switch {
 	case best != nil && s.worthWaiting(w, candidates):
-		w.byChoice = true
-		return waits
+		w.deferred = true
+		return deferred
 	case best != nil:
-		s.bind(w, best, candidates)
-		return settled
-	case !feasible && s.hopeless(w):
-		return settled
+		s.assignTo(w, best, candidates)
+		return decided
+	case !feasible && s.dropIfInfeasible(w):
+		return decided
 	}
 	if s.urgent(w) {
 		s.makeRoom(w)
 	}
-	return noRoom
+	return noCapacity
 }
 
-// choose runs filter, score and pick over the endpoints. feasible says whether
+// selectEndpoint runs filter, score and pick over the endpoints. feasible says whether
 // some endpoint could still do it in time behind the work it has.
-func (s *Scheduler) choose(w *waiting) (best *endpoint, all []Candidate, feasible bool) {
-	bestAt := -1
+func (s *Scheduler) selectEndpoint(w *waiting) (best *endpoint, all []Candidate, feasible bool) {
+	bestIndex := -1
 	for _, e := range s.endpoints {
 		if !serves(e, &w.spec) {
 			continue
 		}
-		c := s.consider(e, w)
-		if c.Why == "" || c.Why == WhyFull || c.Why == WhyYields {
+		c := s.evaluate(e, w)
+		if c.Reason == "" || c.Reason == ReasonFull || c.Reason == ReasonHigherTierWaits {
 			feasible = true
 		}
-		if c.Why == "" && (bestAt < 0 || c.Cost < all[bestAt].Cost) {
-			best, bestAt = e, len(all)
+		if c.Reason == "" && (bestIndex < 0 || c.Cost < all[bestIndex].Cost) {
+			best, bestIndex = e, len(all)
 		}
 		all = append(all, c)
 	}
 	for i := range all {
 		switch {
-		case i == bestAt:
-			all[i].Why = WhyPicked
-		case all[i].Why == "":
-			all[i].Why = WhyCostlier
+		case i == bestIndex:
+			all[i].Reason = ReasonPicked
+		case all[i].Reason == "":
+			all[i].Reason = ReasonCostlier
 		}
 	}
 	return best, all, feasible
 }
 
 const (
-	// waitGain is how much cheaper a full endpoint must be to be waited for.
-	waitGain = 1.5
-	// patience is the part of its time, to the first token or in all, that a
+	// minWaitGain is how much cheaper a full endpoint must be to be waited for.
+	minWaitGain = 1.5
+	// maxWaitShare is the part of its time, to the first token or in all, that a
 	// request waits for a cheaper endpoint.
-	patience = 0.15
+	maxWaitShare = 0.15
 )
 
 // worthWaiting reports whether a request should wait for a full endpoint that
@@ -184,51 +184,51 @@
 	if w.spec.FirstToken > 0 {
 		total = min(total, w.spec.FirstToken)
 	}
-	if len(w.spec.Prefix) == 0 || float64(s.now-w.arrived) >= patience*float64(total) {
+	if len(w.spec.Prefix) == 0 || float64(s.now-w.arrived) >= maxWaitShare*float64(total) {
 		return false
 	}
 	picked, full := 0.0, -1.0
 	for i := range all {
 		switch c := &all[i]; {
-		case c.Why == WhyPicked:
+		case c.Reason == ReasonPicked:
 			picked = c.Cost
-		case c.Why == WhyFull && (full < 0 || c.Cost < full):
+		case c.Reason == ReasonFull && (full < 0 || c.Cost < full):
 			full = c.Cost
 		}
 	}
-	return full >= 0 && picked > waitGain*full
+	return full >= 0 && picked > minWaitGain*full
 }
 
-// consider filters and scores one endpoint. Why is empty if it may be picked.
-func (s *Scheduler) consider(e *endpoint, w *waiting) Candidate {
-	if why, ok := e.usable(s.now); !ok {
-		return Candidate{Endpoint: e.Name, Why: why}
+// evaluate filters and scores one endpoint. Why is empty if it may be picked.
+func (s *Scheduler) evaluate(e *endpoint, w *waiting) Candidate {
+	if reason, ok := e.usable(s.now); !ok {
+		return Candidate{Endpoint: e.Name, Reason: reason}
 	}
 	c := e.predict(s.now, &w.spec)
 	switch {
 	case !inTime(s.now, &c, &w.spec):
-		c.Why = WhyTooSlow
+		c.Reason = ReasonTooSlow
 	case w.reserved == e.Name:
-	case len(e.running) >= e.share(s.now, s.want[e]):
-		c.Why = WhyFull
-	case s.keptFrom(e, w.spec.Tier):
-		c.Why = WhyYields
+	case len(e.running) >= e.share(s.now, s.demand[e]):
+		c.Reason = ReasonFull
+	case s.blockedFor(e, w.spec.Tier):
+		c.Reason = ReasonHigherTierWaits
 	}
 	score(s.now, e, &c, &w.spec, w.arrived)
 	return c
 }
 
-func (s *Scheduler) bind(w *waiting, e *endpoint, candidates []Candidate) {
-	s.queue.charge(&w.spec)
-	s.forget(w)
+func (s *Scheduler) assignTo(w *waiting, e *endpoint, candidates []Candidate) {
+	s.queue.chargeOrganisation(&w.spec)
+	s.removeWaiting(w)
 	r := &run{handle: w.handle, spec: w.spec, endpoint: e, assigned: s.now}
-	r.uncached = w.spec.PromptTokens - e.cached(&w.spec)
+	r.uncached = w.spec.PromptTokens - e.cachedTokens(&w.spec)
 	if e.PrefillSpeed > 0 {
-		r.expected = seconds(float64(e.prefillAhead(s.now)+r.uncached) / e.PrefillSpeed)
+		r.expectedFirstToken = seconds(float64(e.prefillAhead(s.now)+r.uncached) / e.PrefillSpeed)
 	}
 	e.prefill += r.uncached
 	// Prompts are read one by one, so the next with this beginning finds it.
-	e.remember(w.spec.Prefix)
+	e.indexBlocks(w.spec.Prefix)
 	e.running[w.handle] = r
 	s.runs[w.handle] = r
 	s.out.Assignments = append(s.out.Assignments, Assignment{Handle: w.handle, Endpoint: e.Name, Candidates: candidates})
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -13,11 +13,11 @@
 	handle  uint64
 	spec    request.Spec
 	arrived time.Duration
-	// urgentAt and latest are when it becomes urgent, and impossible.
-	urgentAt, latest time.Duration
-	// byChoice: it could run now and waits for a better place. It must not keep
+	// urgentAt and latestStart are when it becomes urgent, and impossible.
+	urgentAt, latestStart time.Duration
+	// deferred: it could run now and waits for a better place. It must not keep
 	// lower tiers from room that it does not want.
-	byChoice bool
+	deferred bool
 	// yield is the state of asking peers for room.
 	yield yieldState
 	// reserved is the endpoint on which room was made for it.
@@ -94,15 +94,15 @@
 	}
 }
 
-// charge notes work given to a request's organisation.
-func (q *queue) charge(s *request.Spec) {
+// chargeOrganisation notes work given to a request's organisation.
+func (q *queue) chargeOrganisation(s *request.Spec) {
 	o := q.tier(s.Tier).org(s.Key.Organisation)
 	o.served += float64(s.PromptTokens+s.OutputTokens+1) / float64(max(1, s.Weight))
 }
 
-// inOrder visits the waiting requests of a tier, fair among organisations,
+// visitFairly visits the waiting requests of a tier, fair among organisations,
 // until visit says stop. visit may remove the request it is given.
-func (tq *tierQueue) inOrder(visit func(*waiting) (more bool)) {
+func (tq *tierQueue) visitFairly(visit func(*waiting) (more bool)) {
 	orgs := slices.Clone(tq.orgs)
 	pos := make([]int, len(orgs))
 	lists := make([][]*waiting, len(orgs))
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -37,11 +37,11 @@
 	Stops []uint64
 	// Yields ask every peer for room; YieldResults answer single peers.
 	Yields       []*schema.Yield
-	YieldResults []YieldAnswer
+	YieldResults []YieldReply
 }
 
-// YieldAnswer goes to one peer.
-type YieldAnswer struct {
+// YieldReply goes to one peer.
+type YieldReply struct {
 	To     uint32
 	Result *schema.YieldResult
 }
@@ -52,48 +52,48 @@
 	spec     request.Spec
 	endpoint *endpoint
 	assigned time.Duration
-	// expected time to the first token, at nominal speed.
-	expected   time.Duration
-	uncached   int
-	firstToken time.Duration // 0 before it
-	tokens     int
+	// expectedFirstToken time to the first token, at nominal speed.
+	expectedFirstToken time.Duration
+	uncached           int
+	firstToken         time.Duration // 0 before it
+	tokens             int
 	// progressAt and progressTokens are the last point at which its speed was seen.
 	progressAt     time.Duration
 	progressTokens int
 	stopping       bool
 	// stoppedFor is the peer's yield that waits for the stop.
-	stoppedFor *yieldDebt
+	stoppedFor *yieldRequest
 }
 
 // Scheduler holds one VM's queue and its part of the endpoints. It is not safe
 // for concurrent use.
 type Scheduler struct {
-	cfg       Config
-	now       time.Duration
-	endpoints []*endpoint
-	byName    map[string]*endpoint
-	queue     queue
-	waiting   map[uint64]*waiting
-	runs      map[uint64]*run
-	peers     []uint32
-	lastYield uint64
-	asked     map[uint64]*waiting
-	out       Output
+	cfg           Config
+	now           time.Duration
+	endpoints     []*endpoint
+	byName        map[string]*endpoint
+	queue         queue
+	waiting       map[uint64]*waiting
+	runs          map[uint64]*run
+	peers         []uint32
+	lastYield     uint64
+	yieldRequests map[uint64]*waiting
+	out           Output
 	// dirty: something happened that could let a request be assigned.
 	dirty bool
-	// want counts, for an endpoint, the waiting requests that could use it.
-	want map[*endpoint]int
-	// wanted are the endpoints that a request without room could use, with the
+	// demand counts, for an endpoint, the waiting requests that could use it.
+	demand map[*endpoint]int
+	// blockedBy are the endpoints that a request without room could use, with the
 	// highest such tier; of the present pass.
-	wanted map[*endpoint]request.Tier
+	blockedBy map[*endpoint]request.Tier
 }
 
 // New returns a scheduler without endpoints.
 func New(cfg Config) *Scheduler {
 	return &Scheduler{
 		cfg: cfg, byName: make(map[string]*endpoint), waiting: make(map[uint64]*waiting),
-		runs: make(map[uint64]*run), asked: make(map[uint64]*waiting), want: make(map[*endpoint]int),
-		wanted: make(map[*endpoint]request.Tier),
+		runs: make(map[uint64]*run), yieldRequests: make(map[uint64]*waiting), demand: make(map[*endpoint]int),
+		blockedBy: make(map[*endpoint]request.Tier),
 	}
 }
 
@@ -134,8 +134,8 @@
 func (s *Scheduler) Submit(now time.Duration, handle uint64, spec request.Spec) {
 	s.now = now
 	w := &waiting{handle: handle, spec: spec, arrived: now}
-	if why, ok := s.admit(w); !ok {
-		s.refuse(w, why)
+	if reason, ok := s.admit(w); !ok {
+		s.refuse(w, reason)
 		return
 	}
 	s.waiting[handle] = w
@@ -146,8 +146,8 @@
 // admit refuses what no endpoint could do in time even if it were idle. A full
 // queue refuses only what has no lower-tier work to take the place of.
 func (s *Scheduler) admit(w *waiting) (request.Reason, bool) {
-	if why, ok := s.possible(w); !ok {
-		return why, false
+	if reason, ok := s.checkFeasible(w); !ok {
+		return reason, false
 	}
 	if s.queue.count < s.cfg.MaxQueued || s.dropLower(w.spec.Tier) {
 		return "", true
@@ -175,19 +175,19 @@
 	return false
 }
 
-// possible reports whether a request could be done in time with room, and notes
-// from when on it is urgent and until when it is possible.
-func (s *Scheduler) possible(w *waiting) (request.Reason, bool) {
+// checkFeasible reports whether a request could be done in time with room, and notes
+// from when on it is urgent and until when it is checkFeasible.
+func (s *Scheduler) checkFeasible(w *waiting) (request.Reason, bool) {
 	best, found := s.bestIdle(&w.spec)
 	if !found {
 		return request.ReasonNoEndpoint, false
 	}
-	w.latest = w.spec.Deadline - best.Finish
-	w.urgentAt = w.latest - time.Duration(urgentShare*float64(best.Finish)) - urgentMargin
+	w.latestStart = w.spec.Deadline - best.TimeToFinish
+	w.urgentAt = w.latestStart - time.Duration(urgentShare*float64(best.TimeToFinish)) - urgentMargin
 	if w.spec.FirstToken > 0 {
-		w.urgentAt = min(w.urgentAt, w.arrived+w.spec.FirstToken-best.FirstToken-urgentMargin)
+		w.urgentAt = min(w.urgentAt, w.arrived+w.spec.FirstToken-best.TimeToFirstToken-urgentMargin)
 	}
-	if s.now > w.latest {
+	if s.now > w.latestStart {
 		return request.ReasonTooLate, false
 	}
 	return "", true
@@ -200,26 +200,26 @@
 			continue
 		}
 		c := e.predictIdle(s.now, spec)
-		if !found || c.Finish < best.Finish {
+		if !found || c.TimeToFinish < best.TimeToFinish {
 			best, found = c, true
 		}
 	}
 	return best, found
 }
 
-func (s *Scheduler) refuse(w *waiting, why request.Reason) {
-	s.out.Refusals = append(s.out.Refusals, Refusal{Handle: w.handle, Reason: why, RetryAfter: s.retryAfter(w)})
+func (s *Scheduler) refuse(w *waiting, reason request.Reason) {
+	s.out.Refusals = append(s.out.Refusals, Refusal{Handle: w.handle, Reason: reason, RetryAfter: s.retryAfter(w)})
 }
 
-func (s *Scheduler) drop(w *waiting, why request.Reason) {
-	s.forget(w)
-	s.refuse(w, why)
+func (s *Scheduler) drop(w *waiting, reason request.Reason) {
+	s.removeWaiting(w)
+	s.refuse(w, reason)
 }
 
-func (s *Scheduler) forget(w *waiting) {
+func (s *Scheduler) removeWaiting(w *waiting) {
 	s.queue.remove(w)
 	delete(s.waiting, w.handle)
-	delete(s.asked, w.yield.call)
+	delete(s.yieldRequests, w.yield.call)
 	s.dropReservation(w)
 }
 
@@ -256,7 +256,7 @@
 func (s *Scheduler) Withdraw(now time.Duration, handle uint64) {
 	s.now = now
 	if w := s.waiting[handle]; w != nil {
-		s.forget(w)
+		s.removeWaiting(w)
 	}
 }
 
@@ -267,13 +267,13 @@
 	if r == nil {
 		return
 	}
-	r.endpoint.restUntil = now + failurePause
+	r.endpoint.backoffUntil = now + failureBackoff
 	s.release(r)
 	s.Submit(now, handle, r.spec)
 }
 
-// FirstToken notes that the prompt was read.
-func (s *Scheduler) FirstToken(now time.Duration, handle uint64) {
+// RecordFirstToken notes that the prompt was read.
+func (s *Scheduler) RecordFirstToken(now time.Duration, handle uint64) {
 	s.now = now
 	r := s.runs[handle]
 	if r == nil || r.firstToken != 0 {
@@ -282,13 +282,13 @@
 	r.firstToken = now
 	r.progressAt, r.progressTokens = now, 1
 	r.endpoint.prefill -= r.uncached
-	r.endpoint.adapt(now, r.expected, now-r.assigned)
-	r.endpoint.observePrefill(now, r.expected, now-r.assigned)
+	r.endpoint.adaptWindow(now, r.expectedFirstToken, now-r.assigned)
+	r.endpoint.observePrefill(now, r.expectedFirstToken, now-r.assigned)
 	s.dirty = true
 }
 
-// Tokens notes how many tokens have come in all.
-func (s *Scheduler) Tokens(now time.Duration, handle uint64, total int) {
+// RecordTokens notes how many tokens have come in all.
+func (s *Scheduler) RecordTokens(now time.Duration, handle uint64, total int) {
 	s.now = now
 	r := s.runs[handle]
 	if r == nil || total <= r.tokens {
@@ -323,43 +323,43 @@
 	}
 	delete(r.endpoint.running, r.handle)
 	delete(s.runs, r.handle)
-	s.payYield(r)
+	s.completeYield(r)
 	s.dirty = true
 }
 
-// CacheEvent notes blocks that an endpoint says it has or has dropped. Such
+// ApplyCacheEvents notes blocks that an endpoint says it has or has dropped. Such
 // events come late and with gaps: the index is a hint.
-func (s *Scheduler) CacheEvent(name string, stored, dropped []uint64) {
+func (s *Scheduler) ApplyCacheEvents(name string, stored, dropped []uint64) {
 	e := s.byName[name]
 	if e == nil {
 		return
 	}
-	e.remember(stored)
+	e.indexBlocks(stored)
 	for _, h := range dropped {
 		e.index.Remove(h)
 	}
 }
 
-// CacheGap notes that events of an endpoint were missed.
-func (s *Scheduler) CacheGap(name string) {
+// ClearCacheIndex notes that events of an endpoint were missed.
+func (s *Scheduler) ClearCacheIndex(name string) {
 	if e := s.byName[name]; e != nil {
 		e.index.Purge()
 	}
 }
 
-// Leaving notes that an endpoint said it leaves, here or to a peer.
-func (s *Scheduler) Leaving(now time.Duration, name string, leaving bool) {
+// SetLeaving notes that an endpoint said it leaves, here or to a peer.
+func (s *Scheduler) SetLeaving(now time.Duration, name string, leaving bool) {
 	s.now = now
 	if e := s.byName[name]; e != nil {
 		e.leaving = leaving || e.Endpoint.Leaving
 	}
 }
 
-// Rest keeps an endpoint from new work for a short while after a failure.
-func (s *Scheduler) Rest(now time.Duration, name string) {
+// Backoff keeps an endpoint from new work for a short while after a failure.
+func (s *Scheduler) Backoff(now time.Duration, name string) {
 	s.now = now
 	if e := s.byName[name]; e != nil {
-		e.restUntil = now + failurePause
+		e.backoffUntil = now + failureBackoff
 	}
 }
 
@@ -377,16 +377,16 @@
 // Tick lets time pass: late requests are given up on, and what can be assigned is.
 func (s *Scheduler) Tick(now time.Duration) {
 	s.now = now
-	s.noteOverdue()
+	s.observeOverdue()
 	s.dirty = true
 }
 
-// noteOverdue learns from first tokens that have not come.
-func (s *Scheduler) noteOverdue() {
+// observeOverdue learns from first tokens that have not come.
+func (s *Scheduler) observeOverdue() {
 	for _, e := range s.endpoints {
 		for _, r := range e.running {
-			if waited := s.now - r.assigned; r.firstToken == 0 && waited > overdueFactor*r.expected+overdueSlack {
-				e.noteAtLeast(s.now, float64(waited)/float64(r.expected+overdueSlack))
+			if waited := s.now - r.assigned; r.firstToken == 0 && waited > overdueFactor*r.expectedFirstToken+overdueSlack {
+				e.raisePrefillRatio(s.now, float64(waited)/float64(r.expectedFirstToken+overdueSlack))
 			}
 		}
 	}
@@ -398,9 +398,9 @@
 	overdueSlack  = 200 * time.Millisecond
 )
 
-// noteAtLeast raises the observed slowness of prompts to a lower bound.
-func (e *endpoint) noteAtLeast(now time.Duration, ratio float64) {
-	p, o := e.ratios(now)
+// raisePrefillRatio raises the observed slowness of prompts to a lower bound.
+func (e *endpoint) raisePrefillRatio(now time.Duration, ratio float64) {
+	p, o := e.slowdown(now)
 	if ratio = clampRatio(ratio); ratio > p {
 		e.prefillRatio, e.outputRatio, e.observedAt = ratio, o, now
 	}
--- a/sched/score.go
+++ b/sched/score.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// lateFirstToken multiplies the cost of a candidate that would miss the
+	// lateFirstTokenFactor multiplies the cost of a candidate that would miss the
 	// target for the first token: it is taken only if none meets it.
-	lateFirstToken = 100
+	lateFirstTokenFactor = 100
 	// timeWeight prices the time to finish, in money a second, so that among
 	// endpoints of one price the quicker wins.
 	timeWeight = 1e-6
@@ -33,17 +33,17 @@
 	if len(s.Prefix) == 0 {
 		return 0
 	}
-	away := 1 - float64(rendezvous.Weight(s.Prefix[0], e.hash))/(1<<64)
-	return localityWeight * away * float64(s.PromptTokens-c.Cached) * e.PrefillPrice / perMillion
+	away := 1 - float64(rendezvous.Weight(s.Prefix[0], e.rendezvousID))/(1<<64)
+	return localityWeight * away * float64(s.PromptTokens-c.CachedTokens) * e.PrefillPrice / perMillion
 }
 
 // score adds the penalties of a candidate to its price.
 func score(now time.Duration, e *endpoint, c *Candidate, s *request.Spec, arrived time.Duration) {
-	cost := c.Cost + timeWeight*c.Finish.Seconds() + locality(e, c, s)
-	if s.FirstToken > 0 && now+c.FirstToken > arrived+s.FirstToken {
-		cost *= lateFirstToken
+	cost := c.Cost + timeWeight*c.TimeToFinish.Seconds() + locality(e, c, s)
+	if s.FirstToken > 0 && now+c.TimeToFirstToken > arrived+s.FirstToken {
+		cost *= lateFirstTokenFactor
 	}
-	if float64(c.Finish) > tightShare*float64(s.Deadline-now) {
+	if float64(c.TimeToFinish) > tightShare*float64(s.Deadline-now) {
 		cost *= tightFactor
 	}
 	c.Cost = cost
--- a/sched/yield.go
+++ b/sched/yield.go
@@ -13,8 +13,8 @@
 	call uint64
 }
 
-// yieldDebt is a peer's request for which work is being stopped here.
-type yieldDebt struct {
+// yieldRequest is a peer's request for which work is being stopped here.
+type yieldRequest struct {
 	peer uint32
 	call uint64
 }
@@ -30,7 +30,7 @@
 		s.stop(r, nil)
 		return
 	}
-	s.askPeers(w)
+	s.requestYield(w)
 }
 
 // couldUse reports whether room at an endpoint would let the request finish.
@@ -66,18 +66,18 @@
 	if a.spec.Tier != b.spec.Tier {
 		return a.spec.Tier > b.spec.Tier
 	}
-	if wa, wb := a.sunk(), b.sunk(); wa != wb {
+	if wa, wb := a.tokensSpent(), b.tokensSpent(); wa != wb {
 		return wa < wb
 	}
 	return a.handle > b.handle
 }
 
-// sunk is what has been paid for a run, in tokens.
-func (r *run) sunk() int { return r.uncached + r.tokens }
+// tokensSpent is what has been paid for a run, in tokens.
+func (r *run) tokensSpent() int { return r.uncached + r.tokens }
 
-func (s *Scheduler) stop(r *run, debt *yieldDebt) {
+func (s *Scheduler) stop(r *run, onBehalfOf *yieldRequest) {
 	r.stopping = true
-	r.stoppedFor = debt
+	r.stoppedFor = onBehalfOf
 	s.out.Stops = append(s.out.Stops, r.handle)
 }
 
@@ -90,14 +90,14 @@
 	w.reserved = ""
 }
 
-// askPeers asks every VM that shares the endpoints, once.
-func (s *Scheduler) askPeers(w *waiting) {
+// requestYield asks every VM that shares the endpoints, once.
+func (s *Scheduler) requestYield(w *waiting) {
 	if w.yield.call != 0 || len(s.peers) == 0 {
 		return
 	}
 	y := &schema.Yield{Tier: uint32(w.spec.Tier)}
 	for _, e := range s.endpoints {
-		if s.couldUse(e, w) && e.othersRun(s.now) {
+		if s.couldUse(e, w) && e.othersMayRun(s.now) {
 			y.Endpoints = append(y.Endpoints, e.Name)
 		}
 	}
@@ -107,13 +107,13 @@
 	s.lastYield++
 	y.Call = s.lastYield
 	w.yield = yieldState{call: y.Call}
-	s.asked[y.Call] = w
+	s.yieldRequests[y.Call] = w
 	s.out.Yields = append(s.out.Yields, y)
 }
 
-// othersRun reports whether other VMs may run work on an endpoint; without
+// othersMayRun reports whether other VMs may run work on an endpoint; without
 // fresh digests they may.
-func (e *endpoint) othersRun(now time.Duration) bool {
+func (e *endpoint) othersMayRun(now time.Duration) bool {
 	for _, p := range e.peers {
 		if p.running > 0 || now-p.at >= digestTTL {
 			return true
@@ -122,36 +122,36 @@
 	return len(e.peers) == 0
 }
 
-// Yield handles a peer's request for room.
-func (s *Scheduler) Yield(now time.Duration, from uint32, y *schema.Yield) {
+// HandleYield handles a peer's request for room.
+func (s *Scheduler) HandleYield(now time.Duration, from uint32, y *schema.Yield) {
 	s.now = now
 	r := s.victim(request.Tier(y.Tier), func(e *endpoint) bool { return slices.Contains(y.Endpoints, e.Name) })
 	if r == nil {
-		s.answerYield(&yieldDebt{peer: from, call: y.Call}, "")
+		s.replyYield(&yieldRequest{peer: from, call: y.Call}, "")
 		return
 	}
 	r.endpoint.yieldedTo = request.Tier(y.Tier)
-	s.stop(r, &yieldDebt{peer: from, call: y.Call})
+	s.stop(r, &yieldRequest{peer: from, call: y.Call})
 }
 
-// payYield answers a peer once the work stopped for it has ended.
-func (s *Scheduler) payYield(r *run) {
+// completeYield answers a peer once the work stopped for it has ended.
+func (s *Scheduler) completeYield(r *run) {
 	if r.stoppedFor != nil {
 		r.endpoint.yieldedUntil = s.now + yieldHold
-		s.answerYield(r.stoppedFor, r.endpoint.Name)
+		s.replyYield(r.stoppedFor, r.endpoint.Name)
 	}
 }
 
-func (s *Scheduler) answerYield(d *yieldDebt, endpoint string) {
-	s.out.YieldResults = append(s.out.YieldResults, YieldAnswer{
+func (s *Scheduler) replyYield(d *yieldRequest, endpoint string) {
+	s.out.YieldResults = append(s.out.YieldResults, YieldReply{
 		To: d.peer, Result: &schema.YieldResult{Call: d.call, Endpoint: endpoint},
 	})
 }
 
-// YieldResult takes a peer's answer.
-func (s *Scheduler) YieldResult(now time.Duration, _ uint32, m *schema.YieldResult) {
+// HandleYieldResult takes a peer's answer.
+func (s *Scheduler) HandleYieldResult(now time.Duration, _ uint32, m *schema.YieldResult) {
 	s.now = now
-	w := s.asked[m.Call]
+	w := s.yieldRequests[m.Call]
 	if w == nil {
 		return
 	}
@@ -161,8 +161,8 @@
 	s.dirty = true
 }
 
-// Digest notes what a peer uses.
-func (s *Scheduler) Digest(now time.Duration, from uint32, d *schema.Digest) {
+// ApplyDigest notes what a peer uses.
+func (s *Scheduler) ApplyDigest(now time.Duration, from uint32, d *schema.Digest) {
 	s.now = now
 	seen := make(map[string]bool, len(d.Usage))
 	for _, u := range d.Usage {
@@ -180,7 +180,7 @@
 		}
 	}
 	for _, name := range d.Leaving {
-		s.Leaving(now, name, true)
+		s.SetLeaving(now, name, true)
 	}
 	s.dirty = true
 }
@@ -188,26 +188,26 @@
 // MakeDigest tells peers what this VM uses and wants.
 func (s *Scheduler) MakeDigest(now time.Duration) *schema.Digest {
 	s.now = now
-	s.countWants()
+	s.countDemand()
 	d := &schema.Digest{Leaving: s.LeavingEndpoints()}
 	for _, e := range s.endpoints {
-		if len(e.running) == 0 && s.want[e] == 0 {
+		if len(e.running) == 0 && s.demand[e] == 0 {
 			continue
 		}
 		d.Usage = append(d.Usage, &schema.Usage{
-			Endpoint: e.Name, Running: uint32(len(e.running)), Waiting: uint32(s.want[e]),
-			WaitingTier: s.highestWaiting(e), PrefillTokens: uint64(max(0, e.prefill)),
+			Endpoint: e.Name, Running: uint32(len(e.running)), Waiting: uint32(s.demand[e]),
+			WaitingTier: s.highestWaitingTier(e), PrefillTokens: uint64(max(0, e.prefill)),
 		})
 	}
 	return d
 }
 
-// highestWaiting is the highest tier that waits for an endpoint, plus one.
-func (s *Scheduler) highestWaiting(e *endpoint) uint32 {
+// highestWaitingTier is the highest tier that waits for an endpoint, plus one.
+func (s *Scheduler) highestWaitingTier(e *endpoint) uint32 {
 	for _, tq := range s.queue.tiers {
 		for _, o := range tq.orgs {
 			for _, w := range o.items {
-				if !w.byChoice && serves(e, &w.spec) {
+				if !w.deferred && serves(e, &w.spec) {
 					return uint32(tq.tier) + 1
 				}
 			}
