--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -9,64 +9,67 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Endpoint is one engine or service as configured.
+// Endpoint is the configuration of an engine or service.
 type Endpoint struct {
 	Name string
-	// Models or Kinds it serves; one of the two is empty.
+	// Models or Kinds that it serves; one of the two is empty.
 	Models []string
 	Kinds  []string
 	// Prices per million tokens.
 	PrefillPrice, OutputPrice float64
-	// Slots is how many requests it runs at the same time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Speeds in tokens a second: prompts one after another, output per request.
+	// Speeds in tokens per second. Prefill is sequential across requests;
+	// OutputSpeed is per request.
 	PrefillSpeed, OutputSpeed float64
 	Leaving                   bool
 }
 
 const (
-	// maxIndexBlocks bounds the prompt blocks remembered for one endpoint.
+	// maxIndexBlocks bounds the prompt blocks indexed per endpoint.
 	maxIndexBlocks = 8192
-	// blockTokens is the length of a block of a prompt.
+	// blockTokens is the length of a prompt block in tokens.
 	blockTokens = 64
-	// ewmaWeight is the weight of a new observation of speed.
+	// ewmaWeight is the weight of a new speed observation in the moving average.
 	ewmaWeight = 0.2
-	// observationTTL is how long an unfavourable observation counts without a
-	// new one; a straggler is then tried again.
+	// observationTTL is the time over which a speed observation fades out unless
+	// it is repeated; a straggler is then tried again.
 	observationTTL = 20 * time.Second
-	// digestTTL is how long a peer's digest counts.
+	// digestTTL is the time for which a peer's digest is valid.
 	digestTTL = 3 * time.Second
-	// failureBackoff is how long an endpoint that refused a connection rests.
+	// failureBackoff is the time for which an endpoint that refused a connection
+	// gets no new requests.
 	failureBackoff = 2 * time.Second
 )
 
-// endpoint is an Endpoint with what this VM knows of it.
+// endpoint is an Endpoint with this VM's state for it.
 type endpoint struct {
 	Endpoint
-	// running are this VM's requests there, prefill their prompt tokens
-	// without a first token yet.
+	// running holds this VM's requests there; prefill is the number of uncached
+	// prompt tokens of those without a first token.
 	running map[uint64]*run
 	prefill int
-	// Observed against nominal time; 1 is as configured, 2 is half as fast.
+	// Observed time relative to the configured speed: 1 is as configured, 2 is
+	// half as fast.
 	prefillRatio, outputRatio float64
 	observedAt                time.Duration
 	backoffUntil              time.Duration
 	leaving                   bool
 	peers                     map[uint32]peerUsage
-	// window is how many requests all VMs together should run there. It falls
-	// when first tokens come late though few prompts were ahead: then requests
-	// queue in the engine, where tiers do not count.
+	// window is the number of requests that all VMs together should run there.
+	// It shrinks when first tokens are late although few prompts were ahead:
+	// requests then queue in the engine, which ignores tiers.
 	window   float64
 	shrunkAt time.Duration
 	index    *lru.Cache[uint64, struct{}]
-	// yieldedTo is the tier for which room was made here lately.
+	// yieldedTo is the tier for which capacity was last freed here.
 	yieldedTo    request.Tier
 	yieldedUntil time.Duration
 	// rendezvousID identifies the endpoint in rendezvous hashing.
 	rendezvousID uint32
 }
 
-// peerUsage is another VM's share of an endpoint, from its digest.
+// peerUsage is another VM's usage of an endpoint, from its digest.
 type peerUsage struct {
 	running     int
 	waiting     int
@@ -86,9 +89,9 @@
 	}
 }
 
-// share is how many requests this VM may run there: the window split by what
-// each VM runs and wants. A VM without a fresh digest counts with what it last
-// ran until its digest is too old to mean anything.
+// share returns the number of requests this VM may run there: the window, split
+// in proportion to the running and waiting requests of each VM. A VM is counted
+// with its last digest until that digest expires.
 func (e *endpoint) share(now time.Duration, waiting int) int {
 	mine := len(e.running) + waiting
 	others, running := 0, 0
@@ -103,16 +106,17 @@
 	if mine+others > window {
 		fair = (window*mine + mine + others - 1) / (mine + others)
 	}
-	// Room that others use now is not free, whatever would be fair.
+	// Capacity in use by others is not available, even beyond their fair share.
 	free := window - running
 	return max(min(fair, free), 0)
 }
 
-// yieldHold is how long room that was made for a peer's request is kept for it.
+// yieldHold is the time for which capacity freed for a peer's request is held
+// for it.
 const yieldHold = 500 * time.Millisecond
 
-// higherTierWaits reports whether another VM has work of a higher tier that waits,
-// by its digest or because room was just made for it.
+// higherTierWaits reports whether another VM has a request of a higher tier
+// waiting, according to its digest or because capacity was just freed for it.
 func (e *endpoint) higherTierWaits(now time.Duration, t request.Tier) bool {
 	if now < e.yieldedUntil && e.yieldedTo < t {
 		return true
@@ -125,7 +129,8 @@
 	return false
 }
 
-// prefillAhead is the prompt tokens that the engine reads before a new one.
+// prefillAhead returns the number of prompt tokens that the engine processes
+// before those of a new request.
 func (e *endpoint) prefillAhead(now time.Duration) int {
 	ahead := e.prefill
 	for _, p := range e.peers {
@@ -136,7 +141,7 @@
 	return ahead
 }
 
-// slowdown returns the observed slowness, which fades unless it is seen again.
+// slowdown returns the observed ratios. They fade to 1 unless observed again.
 func (e *endpoint) slowdown(now time.Duration) (prefill, output float64) {
 	remaining := 1 - float64(now-e.observedAt)/float64(observationTTL)
 	if remaining <= 0 {
@@ -167,16 +172,19 @@
 }
 
 const (
-	// lateFactor and lateSlack say when a first token shows a queue in the engine.
+	// A first token later than lateFactor times the expected time plus lateSlack
+	// indicates a queue in the engine.
 	lateFactor = 2
 	lateSlack  = 300 * time.Millisecond
-	// windowShrinkFactor and grow are the steps of the window; it shrinks once in shrinkEvery.
+	// windowShrinkFactor and windowStep are the steps of the window; it shrinks
+	// at most once per windowShrinkInterval.
 	windowShrinkFactor   = 0.8
 	windowStep           = 0.25
 	windowShrinkInterval = time.Second
 )
 
-// adaptWindow moves the window by additive increase and multiplicative decrease.
+// adaptWindow adapts the window by additive increase and multiplicative
+// decrease.
 func (e *endpoint) adaptWindow(now time.Duration, expected, took time.Duration) {
 	if took <= lateFactor*expected+lateSlack {
 		e.window = min(e.window+windowStep, float64(e.Slots))
@@ -188,12 +196,14 @@
 	}
 }
 
-// maxRatio bounds one observation, so that a single pause does not last.
+// maxRatio bounds one observation, so that a single pause has no lasting
+// effect.
 const maxRatio = 20
 
 func clampRatio(r float64) float64 { return min(max(r, 0.2), maxRatio) }
 
-// cachedTokens returns how many leading tokens of a prompt the endpoint probably has.
+// cachedTokens returns the number of leading prompt tokens that the endpoint
+// probably has in its cache.
 func (e *endpoint) cachedTokens(s *request.Spec) int {
 	n := 0
 	for _, h := range s.Prefix {
--- a/sched/filter.go
+++ b/sched/filter.go
@@ -7,10 +7,10 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Reason tells why an endpoint did not get a request.
+// Reason states why an endpoint was or was not picked for a request.
 type Reason string
 
-// Reasons of candidates that lost, and of the winner.
+// Reasons of the candidates that were not picked, and of the one that was.
 const (
 	ReasonPicked          Reason = "picked"
 	ReasonCostlier        Reason = "costlier"
@@ -21,21 +21,23 @@
 	ReasonHigherTierWaits Reason = "higher_tier_waits"
 )
 
-// Candidate is one endpoint as a decision saw it.
+// Candidate is the evaluation of one endpoint for a request.
 type Candidate struct {
 	Endpoint string
 	Reason   Reason
-	// TimeToFinish is the predicted time until the whole answer.
+	// TimeToFinish is the predicted time until the response is complete.
 	TimeToFinish time.Duration
 	// TimeToFirstToken is the predicted time until the first token.
 	TimeToFirstToken time.Duration
-	// Cost is the price of the request there, with the score's penalties.
+	// Cost is the price of the request there, including the penalties of the
+	// score.
 	Cost float64
-	// CachedTokens are the prompt tokens expected in its cache.
+	// CachedTokens is the number of prompt tokens expected in its cache.
 	CachedTokens int
 }
 
-// serves reports whether an endpoint is of the right sort at all.
+// serves reports whether an endpoint is configured for the model or kind of a
+// request.
 func serves(e *endpoint, s *request.Spec) bool {
 	if s.Model != "" {
 		return slices.Contains(e.Models, s.Model)
@@ -43,7 +45,8 @@
 	return slices.Contains(e.Kinds, s.Kind)
 }
 
-// usable reports whether new work may go to an endpoint, whatever its load.
+// usable reports whether an endpoint may get new requests, regardless of its
+// load.
 func (e *endpoint) usable(now time.Duration) (Reason, bool) {
 	if e.leaving {
 		return ReasonLeaving, false
@@ -54,8 +57,8 @@
 	return "", true
 }
 
-// predict fills in the times and the price of a request at an endpoint if it
-// were sent now.
+// predict returns the predicted times and the price of a request if it were
+// sent to the endpoint now.
 func (e *endpoint) predict(now time.Duration, s *request.Spec) Candidate {
 	c := Candidate{Endpoint: e.Name}
 	if s.Model == "" {
@@ -74,7 +77,7 @@
 
 const (
 	perMillion = 1e6
-	// serviceTime is taken for a call of a plain service.
+	// serviceTime is the assumed duration of a call to a plain service.
 	serviceTime = 20 * time.Millisecond
 )
 
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -6,7 +6,7 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// predictIdle is predict for an endpoint without other work.
+// predictIdle is like predict, for an endpoint without other requests.
 func (e *endpoint) predictIdle(now time.Duration, s *request.Spec) Candidate {
 	c := e.predict(now, s)
 	if s.Model == "" {
@@ -19,7 +19,8 @@
 	return c
 }
 
-// assign goes through the queue, higher tiers first, and binds what has room.
+// assign visits the queue, higher tiers first, and assigns the requests for
+// which there is capacity.
 func (s *Scheduler) assign() {
 	s.countDemand()
 	clear(s.blockedBy)
@@ -44,9 +45,9 @@
 	}
 }
 
-// blockLowerTiers keeps lower tiers from the endpoints that a request without room
-// could use: their prompts would lengthen the wait there, until the request
-// cannot be done in time although lower-tier work goes on.
+// blockLowerTiers blocks lower tiers from the endpoints that a request without
+// capacity could use. Their prompts would lengthen the wait there, until the
+// request could not be completed in time while lower-tier requests still run.
 func (s *Scheduler) blockLowerTiers(w *waiting) {
 	for _, e := range s.endpoints {
 		if _, ok := s.blockedBy[e]; !ok && s.couldUse(e, w) {
@@ -55,8 +56,8 @@
 	}
 }
 
-// blockedFor reports whether an endpoint is wanted by a higher tier, here or at
-// another VM.
+// blockedFor reports whether an endpoint is blocked for a tier by a higher
+// tier, here or at another VM.
 func (s *Scheduler) blockedFor(e *endpoint, t request.Tier) bool {
 	if by, ok := s.blockedBy[e]; ok && by < t {
 		return true
@@ -64,19 +65,20 @@
 	return e.higherTierWaits(s.now, t)
 }
 
-// placement is what became of a request that was looked at.
+// placement is the result of trying to place a request.
 type placement int
 
 const (
-	// decided: assigned or given up.
+	// decided: assigned or refused.
 	decided placement = iota
-	// deferred: there is room, but it deferred for a better place.
+	// deferred: there is capacity, but the request waits for a cheaper endpoint.
 	deferred
-	// noCapacity: nothing it could use has room.
+	// noCapacity: no endpoint that it could use has capacity.
 	noCapacity
 )
 
-// dropIfInfeasible gives up a request that cannot be done in time any more.
+// dropIfInfeasible refuses a request that cannot be completed in time any more
+// and reports whether it did.
 func (s *Scheduler) dropIfInfeasible(w *waiting) bool {
 	if s.now <= w.latestStart {
 		return false
@@ -88,8 +90,8 @@
 	return !ok
 }
 
-// requestClass groups requests that can use the same endpoints; if one of a requestClass
-// finds no room, the next of that requestClass will not either.
+// requestClass groups requests that can use the same endpoints. If one of a
+// class finds no capacity, the next one of that class will not either.
 type requestClass struct {
 	model string
 	kind  string
@@ -121,7 +123,7 @@
 	}
 }
 
-// place assigns a request, makes room for it, or gives it up.
+// place assigns a request, frees capacity for it, or refuses it.
 func (s *Scheduler) place(w *waiting) placement {
 	best, candidates, feasible := s.selectEndpoint(w)
 	w.deferred = false
@@ -141,8 +143,9 @@
 	return noCapacity
 }
 
-// selectEndpoint runs filter, score and pick over the endpoints. feasible says whether
-// some endpoint could still do it in time behind the work it has.
+// selectEndpoint filters, scores and picks among the endpoints. feasible
+// reports whether some endpoint could still complete the request in time after
+// the requests it already has.
 func (s *Scheduler) selectEndpoint(w *waiting) (best *endpoint, all []Candidate, feasible bool) {
 	bestIndex := -1
 	for _, e := range s.endpoints {
@@ -170,15 +173,17 @@
 }
 
 const (
-	// minWaitGain is how much cheaper a full endpoint must be to be waited for.
+	// minWaitGain is how many times cheaper a full endpoint must be to wait for
+	// it.
 	minWaitGain = 1.5
-	// maxWaitShare is the part of its time, to the first token or in all, that a
-	// request waits for a cheaper endpoint.
+	// maxWaitShare is the share of its time, up to the deadline or to the
+	// first-token target, for which a request waits for a cheaper endpoint.
 	maxWaitShare = 0.15
 )
 
 // worthWaiting reports whether a request should wait for a full endpoint that
-// has its prompt's beginning, rather than have it read again at the one picked.
+// has its prompt prefix cached, instead of repeating the prefill at the one
+// picked.
 func (s *Scheduler) worthWaiting(w *waiting, all []Candidate) bool {
 	total := w.spec.Deadline - w.arrived
 	if w.spec.FirstToken > 0 {
@@ -199,7 +204,8 @@
 	return full >= 0 && picked > minWaitGain*full
 }
 
-// evaluate filters and scores one endpoint. Why is empty if it may be picked.
+// evaluate filters and scores one endpoint. Reason is empty if it may be
+// picked.
 func (s *Scheduler) evaluate(e *endpoint, w *waiting) Candidate {
 	if reason, ok := e.usable(s.now); !ok {
 		return Candidate{Endpoint: e.Name, Reason: reason}
@@ -227,20 +233,21 @@
 		r.expectedFirstToken = seconds(float64(e.prefillAhead(s.now)+r.uncached) / e.PrefillSpeed)
 	}
 	e.prefill += r.uncached
-	// Prompts are read one by one, so the next with this beginning finds it.
+	// Prefill is sequential, so the next request with this prefix finds it
+	// cached.
 	e.indexBlocks(w.spec.Prefix)
 	e.running[w.handle] = r
 	s.runs[w.handle] = r
 	s.out.Assignments = append(s.out.Assignments, Assignment{Handle: w.handle, Endpoint: e.Name, Candidates: candidates})
 }
 
-// urgentShare is the part of a request's service time that may be left as
-// slack before room is made for it by force.
+// urgentShare is the slack, as a share of a request's service time, below which
+// other requests are stopped to free capacity for it.
 const urgentShare = 0.25
 
-// urgent reports whether a request misses its deadline or its target for the
-// first token if it waits much longer.
+// urgent reports whether a request would miss its deadline or its first-token
+// target if it waited much longer.
 func (s *Scheduler) urgent(w *waiting) bool { return s.now >= w.urgentAt }
 
-// urgentMargin is the time that asking peers and stopping work takes.
+// urgentMargin is the time needed to ask peers and to stop requests.
 const urgentMargin = 100 * time.Millisecond
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -13,21 +13,23 @@
 	handle  uint64
 	spec    request.Spec
 	arrived time.Duration
-	// urgentAt and latestStart are when it becomes urgent, and impossible.
+	// urgentAt is when the request becomes urgent, latestStart when it can no
+	// longer be completed in time.
 	urgentAt, latestStart time.Duration
-	// deferred: it could run now and waits for a better place. It must not keep
-	// lower tiers from room that it does not want.
+	// deferred is set if the request could run now and waits for a cheaper
+	// endpoint. It must not block lower tiers from capacity that it does not
+	// use.
 	deferred bool
-	// yield is the state of asking peers for room.
+	// yield is the state of its request for capacity to the peers.
 	yield yieldState
-	// reserved is the endpoint on which room was made for it.
+	// reserved is the endpoint on which capacity was freed for it.
 	reserved string
 }
 
-// queue holds the waiting requests by tier and organisation. Within a tier the
-// organisation that was served least for its weight comes first, so that a
-// large one cannot starve a small one; within an organisation the earliest
-// deadline does.
+// queue holds the waiting requests by tier and organisation. Within a tier, the
+// organisation with the least service relative to its weight comes first, so
+// that a large one cannot starve a small one; within an organisation, the
+// earliest deadline comes first.
 type queue struct {
 	tiers []*tierQueue
 	count int
@@ -40,7 +42,8 @@
 
 type orgQueue struct {
 	name string
-	// served is the work given to it, in tokens over weight.
+	// served is the service given to the organisation, in tokens divided by its
+	// weight.
 	served float64
 	items  []*waiting
 }
@@ -61,8 +64,8 @@
 	return tq.orgs[i]
 }
 
-// add queues a request. An organisation that was idle starts level with the
-// least served one, or it could claim all the time it did not use.
+// add queues a request. An organisation that was idle starts at the level of
+// the least served one; otherwise it could claim all the time it did not use.
 func (q *queue) add(w *waiting) {
 	tq := q.tier(w.spec.Tier)
 	o := tq.org(w.spec.Key.Organisation)
@@ -94,14 +97,15 @@
 	}
 }
 
-// chargeOrganisation notes work given to a request's organisation.
+// chargeOrganisation adds the cost of a request to its organisation's service.
 func (q *queue) chargeOrganisation(s *request.Spec) {
 	o := q.tier(s.Tier).org(s.Key.Organisation)
 	o.served += float64(s.PromptTokens+s.OutputTokens+1) / float64(max(1, s.Weight))
 }
 
-// visitFairly visits the waiting requests of a tier, fair among organisations,
-// until visit says stop. visit may remove the request it is given.
+// visitFairly visits the waiting requests of a tier, in fair order across
+// organisations, until visit returns false. visit may remove the request it is
+// given.
 func (tq *tierQueue) visitFairly(visit func(*waiting) (more bool)) {
 	orgs := slices.Clone(tq.orgs)
 	pos := make([]int, len(orgs))
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -8,17 +8,18 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Config is fixed for the life of a process.
+// Config holds the settings of a Scheduler. They are fixed for the lifetime of
+// a process.
 type Config struct {
-	// MaxQueued bounds the waiting requests.
+	// MaxQueued bounds the number of waiting requests.
 	MaxQueued int
 }
 
-// Assignment binds a request to an endpoint.
+// Assignment assigns a request to an endpoint.
 type Assignment struct {
 	Handle   uint64
 	Endpoint string
-	// Candidates tell why this endpoint was picked and the others were not.
+	// Candidates explains why this endpoint was picked and the others were not.
 	Candidates []Candidate
 }
 
@@ -29,18 +30,19 @@
 	RetryAfter time.Duration
 }
 
-// Output is what one or more events decided, in order.
+// Output holds the decisions of one or more events, in order.
 type Output struct {
 	Assignments []Assignment
 	Refusals    []Refusal
-	// Stops are running requests to cancel for a higher tier.
+	// Stops lists running requests to cancel for a higher tier.
 	Stops []uint64
-	// Yields ask every peer for room; YieldResults answer single peers.
+	// Yields are requests for capacity, sent to every peer; YieldResults are
+	// replies to single peers.
 	Yields       []*schema.Yield
 	YieldResults []YieldReply
 }
 
-// YieldReply goes to one peer.
+// YieldReply is the reply to a peer's Yield.
 type YieldReply struct {
 	To     uint32
 	Result *schema.YieldResult
@@ -52,20 +54,22 @@
 	spec     request.Spec
 	endpoint *endpoint
 	assigned time.Duration
-	// expectedFirstToken time to the first token, at nominal speed.
+	// expectedFirstToken is the expected time to the first token at the
+	// configured speed.
 	expectedFirstToken time.Duration
 	uncached           int
-	firstToken         time.Duration // 0 before it
+	firstToken         time.Duration // 0 until it arrives
 	tokens             int
-	// progressAt and progressTokens are the last point at which its speed was seen.
+	// progressAt and progressTokens are the time and token count at the last
+	// observation of its speed.
 	progressAt     time.Duration
 	progressTokens int
 	stopping       bool
-	// stoppedFor is the peer's yield that waits for the stop.
+	// stoppedFor is the peer's Yield to answer once the request has stopped.
 	stoppedFor *yieldRequest
 }
 
-// Scheduler holds one VM's queue and its part of the endpoints. It is not safe
+// Scheduler holds one VM's queue and its state of the endpoints. It is not safe
 // for concurrent use.
 type Scheduler struct {
 	cfg           Config
@@ -79,12 +83,12 @@
 	lastYield     uint64
 	yieldRequests map[uint64]*waiting
 	out           Output
-	// dirty: something happened that could let a request be assigned.
+	// dirty is set if a request may have become assignable.
 	dirty bool
-	// demand counts, for an endpoint, the waiting requests that could use it.
+	// demand counts, per endpoint, the waiting requests that could use it.
 	demand map[*endpoint]int
-	// blockedBy are the endpoints that a request without room could use, with the
-	// highest such tier; of the present pass.
+	// blockedBy maps the endpoints that a request without capacity could use to
+	// the highest tier of such a request. It is reset on each pass.
 	blockedBy map[*endpoint]request.Tier
 }
 
@@ -97,8 +101,8 @@
 	}
 }
 
-// SetEndpoints puts a configuration in force. What is known of an endpoint that
-// stays is kept. Requests that run at one that is gone run on.
+// SetEndpoints applies a configuration. The state of an endpoint that remains
+// configured is kept. Requests running at a removed endpoint continue.
 func (s *Scheduler) SetEndpoints(now time.Duration, list []Endpoint) {
 	s.now = now
 	old := s.byName
@@ -127,10 +131,10 @@
 	s.dirty = true
 }
 
-// SetPeers names the VMs that share the endpoints.
+// SetPeers sets the VMs that share the endpoints.
 func (s *Scheduler) SetPeers(ids []uint32) { s.peers = ids }
 
-// Submit queues a request or refuses it at once.
+// Submit queues a request or refuses it immediately.
 func (s *Scheduler) Submit(now time.Duration, handle uint64, spec request.Spec) {
 	s.now = now
 	w := &waiting{handle: handle, spec: spec, arrived: now}
@@ -143,8 +147,9 @@
 	s.dirty = true
 }
 
-// admit refuses what no endpoint could do in time even if it were idle. A full
-// queue refuses only what has no lower-tier work to take the place of.
+// admit refuses a request that no endpoint could complete in time even if it
+// were idle. If the queue is full, it refuses only a request for which no
+// lower-tier request can be displaced.
 func (s *Scheduler) admit(w *waiting) (request.Reason, bool) {
 	if reason, ok := s.checkFeasible(w); !ok {
 		return reason, false
@@ -158,8 +163,8 @@
 	return request.ReasonQueueFull, false
 }
 
-// dropLower gives up the last waiting request of the lowest tier for one of a
-// higher tier.
+// dropLower refuses the last waiting request of the lowest tier in favour of
+// one of a higher tier.
 func (s *Scheduler) dropLower(t request.Tier) bool {
 	for _, tq := range slices.Backward(s.queue.tiers) {
 		if tq.tier <= t {
@@ -175,8 +180,8 @@
 	return false
 }
 
-// checkFeasible reports whether a request could be done in time with room, and notes
-// from when on it is urgent and until when it is checkFeasible.
+// checkFeasible reports whether a request could be completed in time given
+// capacity, and sets the times at which it becomes urgent and infeasible.
 func (s *Scheduler) checkFeasible(w *waiting) (request.Reason, bool) {
 	best, found := s.bestIdle(&w.spec)
 	if !found {
@@ -193,7 +198,8 @@
 	return "", true
 }
 
-// bestIdle is the quickest that a request could be done if all were idle.
+// bestIdle returns the candidate that would finish first if all endpoints were
+// idle.
 func (s *Scheduler) bestIdle(spec *request.Spec) (best Candidate, found bool) {
 	for _, e := range s.endpoints {
 		if _, ok := e.usable(s.now); !ok || !serves(e, spec) {
@@ -228,7 +234,7 @@
 	maxRetryAfter = 60 * time.Second
 )
 
-// retryAfter is when the work ahead of a request should be done.
+// retryAfter estimates the time until the requests ahead are completed.
 func (s *Scheduler) retryAfter(w *waiting) time.Duration {
 	var tokens, speed float64
 	for _, tq := range s.queue.tiers {
@@ -252,7 +258,8 @@
 	return min(max(seconds(tokens/speed), minRetryAfter), maxRetryAfter)
 }
 
-// Withdraw ends a request that waits, without a refusal: its caller has gone.
+// Withdraw removes a waiting request without a refusal, because its caller has
+// disconnected.
 func (s *Scheduler) Withdraw(now time.Duration, handle uint64) {
 	s.now = now
 	if w := s.waiting[handle]; w != nil {
@@ -260,7 +267,8 @@
 	}
 }
 
-// Retry gives back an assignment that provably ran nowhere. The endpoint rests.
+// Retry returns an assigned request that provably ran nowhere to the queue. Its
+// endpoint gets no new requests for failureBackoff.
 func (s *Scheduler) Retry(now time.Duration, handle uint64) {
 	s.now = now
 	r := s.runs[handle]
@@ -272,7 +280,7 @@
 	s.Submit(now, handle, r.spec)
 }
 
-// RecordFirstToken notes that the prompt was read.
+// RecordFirstToken records that the prefill of a request is complete.
 func (s *Scheduler) RecordFirstToken(now time.Duration, handle uint64) {
 	s.now = now
 	r := s.runs[handle]
@@ -287,7 +295,7 @@
 	s.dirty = true
 }
 
-// RecordTokens notes how many tokens have come in all.
+// RecordTokens records the total number of tokens received.
 func (s *Scheduler) RecordTokens(now time.Duration, handle uint64, total int) {
 	s.now = now
 	r := s.runs[handle]
@@ -302,12 +310,13 @@
 }
 
 const (
-	// progressSpan and minProgress say how much of a stream shows its speed.
+	// progressSpan and minProgress are the minimum time and number of tokens for
+	// a speed observation.
 	progressSpan = 400 * time.Millisecond
 	minProgress  = 1
 )
 
-// Done notes the end of a request, however it ended.
+// Done records the end of a request, in whichever way it ended.
 func (s *Scheduler) Done(now time.Duration, handle uint64) {
 	s.now = now
 	r := s.runs[handle]
@@ -327,8 +336,9 @@
 	s.dirty = true
 }
 
-// ApplyCacheEvents notes blocks that an endpoint says it has or has dropped. Such
-// events come late and with gaps: the index is a hint.
+// ApplyCacheEvents updates the cache index with blocks that an endpoint reports
+// as stored or dropped. The events arrive late and with gaps, so the index is
+// only a hint.
 func (s *Scheduler) ApplyCacheEvents(name string, stored, dropped []uint64) {
 	e := s.byName[name]
 	if e == nil {
@@ -340,14 +350,16 @@
 	}
 }
 
-// ClearCacheIndex notes that events of an endpoint were missed.
+// ClearCacheIndex empties an endpoint's cache index because cache events were
+// missed.
 func (s *Scheduler) ClearCacheIndex(name string) {
 	if e := s.byName[name]; e != nil {
 		e.index.Purge()
 	}
 }
 
-// SetLeaving notes that an endpoint said it leaves, here or to a peer.
+// SetLeaving records whether an endpoint is shutting down, as reported by
+// itself or by a peer.
 func (s *Scheduler) SetLeaving(now time.Duration, name string, leaving bool) {
 	s.now = now
 	if e := s.byName[name]; e != nil {
@@ -355,7 +367,8 @@
 	}
 }
 
-// Backoff keeps an endpoint from new work for a short while after a failure.
+// Backoff keeps new requests from an endpoint for failureBackoff after a
+// failure.
 func (s *Scheduler) Backoff(now time.Duration, name string) {
 	s.now = now
 	if e := s.byName[name]; e != nil {
@@ -363,7 +376,7 @@
 	}
 }
 
-// LeavingEndpoints lists the endpoints known to leave.
+// LeavingEndpoints returns the endpoints known to be shutting down.
 func (s *Scheduler) LeavingEndpoints() []string {
 	var names []string
 	for _, e := range s.endpoints {
@@ -374,14 +387,15 @@
 	return names
 }
 
-// Tick lets time pass: late requests are given up on, and what can be assigned is.
+// Tick advances time: requests that are too late are refused and assignable
+// ones are assigned.
 func (s *Scheduler) Tick(now time.Duration) {
 	s.now = now
 	s.observeOverdue()
 	s.dirty = true
 }
 
-// observeOverdue learns from first tokens that have not come.
+// observeOverdue updates the prefill ratios from first tokens that are overdue.
 func (s *Scheduler) observeOverdue() {
 	for _, e := range s.endpoints {
 		for _, r := range e.running {
@@ -393,12 +407,13 @@
 }
 
 const (
-	// overdueFactor and overdueSlack say when a first token is overdue.
+	// A first token is overdue after overdueFactor times the expected time plus
+	// overdueSlack.
 	overdueFactor = 3
 	overdueSlack  = 200 * time.Millisecond
 )
 
-// raisePrefillRatio raises the observed slowness of prompts to a lower bound.
+// raisePrefillRatio raises the observed prefill ratio to a lower bound.
 func (e *endpoint) raisePrefillRatio(now time.Duration, ratio float64) {
 	p, o := e.slowdown(now)
 	if ratio = clampRatio(ratio); ratio > p {
@@ -406,7 +421,7 @@
 	}
 }
 
-// Take returns what was decided since the last call.
+// Take returns the decisions made since the last call.
 func (s *Scheduler) Take() Output {
 	if s.dirty {
 		s.dirty = false
@@ -417,8 +432,8 @@
 	return out
 }
 
-// Queued returns how many requests wait.
+// Queued returns the number of waiting requests.
 func (s *Scheduler) Queued() int { return s.queue.count }
 
-// Running returns how many requests are assigned.
+// Running returns the number of assigned requests.
 func (s *Scheduler) Running() int { return len(s.runs) }
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -24,15 +24,15 @@
 	}
 }
 
-// TestReservedRequestIsPlaced: an urgent check was given up beside the room made for it
-// (found by reading). Sequence: two checks wait, the one with more time is looked
-// at first because its organisation was served less; a peer makes room for the
-// urgent one. Cause: once one request of a kind found no room, no other of that
-// kind was tried.
+// TestReservedRequestIsPlaced guards against refusing an urgent request
+// although capacity was freed for it. Two requests wait; the less urgent one is
+// visited first because its organisation has been served less; a peer frees
+// capacity for the urgent one. Once a request of a class found no capacity, no
+// other of that class was tried (found by reading).
 func TestReservedRequestIsPlaced(t *testing.T) {
 	is := is.New(t)
 	s := oneEngine(1)
-	s.Submit(0, 1, spec(0, time.Hour)) // runs, and is of no lower tier
+	s.Submit(0, 1, spec(0, time.Hour)) // runs, and is not of a lower tier
 	is.Equal(len(s.Take().Assignments), 1)
 	urgent := spec(0, 1300*time.Millisecond)
 	urgent.Key.Organisation = "z"
@@ -49,9 +49,10 @@
 	is.Equal(out.Assignments[0].Handle, uint64(3))
 }
 
-// TestYieldedCapacityIsHeld: a check asked a peer for room, the peer stopped a draft
-// and at once gave the room to its next draft (found by reading). Cause: the
-// peer learned from a digest, later, that a higher tier waited.
+// TestYieldedCapacityIsHeld guards against a peer that stops a draft for
+// another VM's check and immediately assigns the capacity to its own next
+// draft. The peer learned only from a later digest that a higher tier was
+// waiting (found by reading).
 func TestYieldedCapacityIsHeld(t *testing.T) {
 	is := is.New(t)
 	s := oneEngine(1)
@@ -63,20 +64,20 @@
 	s.Done(2*time.Millisecond, 1)
 	out := s.Take()
 	is.Equal(len(out.YieldResults), 1)
-	is.Equal(len(out.Assignments), 0) // the room is the peer's
+	is.Equal(len(out.Assignments), 0) // the capacity is held for the peer
 	s.Tick(time.Second)
-	is.Equal(len(s.Take().Assignments), 1) // but not for ever
+	is.Equal(len(s.Take().Assignments), 1) // but not indefinitely
 }
 
-// TestLowerTierIsBlocked: checks were given up while drafts went on being sent to
-// the engine they wanted. Sequence: an engine with free slots has so many prompts
-// ahead that a check would not be in time behind them; a patient draft would, and
-// lengthens the wait. Cause: only full engines counted as wanted.
+// TestLowerTierIsBlocked guards against refusing checks while drafts are still
+// sent to the engine they need. An engine with free slots has so many prompts
+// ahead that a check would be late; a draft with a distant deadline would not
+// be, and lengthens the wait. Only full engines were blocked for lower tiers.
 func TestLowerTierIsBlocked(t *testing.T) {
 	is := is.New(t)
 	s := oneEngine(8)
 	long := spec(0, time.Hour)
-	long.PromptTokens = 5000 // 5 s of reading
+	long.PromptTokens = 5000 // 5 s of prefill
 	s.Submit(0, 1, long)
 	is.Equal(len(s.Take().Assignments), 1)
 	s.Submit(0, 2, spec(0, 4*time.Second))
--- a/sched/score.go
+++ b/sched/score.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// lateFirstTokenFactor multiplies the cost of a candidate that would miss the
-	// target for the first token: it is taken only if none meets it.
+	// lateFirstTokenFactor multiplies the cost of a candidate that would miss
+	// the first-token target: it is picked only if none meets the target.
 	lateFirstTokenFactor = 100
-	// timeWeight prices the time to finish, in money a second, so that among
-	// endpoints of one price the quicker wins.
+	// timeWeight is the price of the time to finish, per second, so that among
+	// endpoints of equal price the faster one is picked.
 	timeWeight = 1e-6
 	// tightFactor multiplies the cost of a candidate that would use up nearly
-	// all the time left: estimates err, and a late answer is all waste.
+	// all the time left: estimates are inexact, and a late response is entirely
+	// wasted.
 	tightFactor = 10
-	// tightShare is that part of the time left.
+	// tightShare is the share of the time left above which tightFactor applies.
 	tightShare = 0.7
-	// localityWeight multiplies the price of reading a prompt where rendezvous
-	// hashing does not place its beginning.
+	// localityWeight multiplies the prefill price at endpoints that rendezvous
+	// hashing does not select for the prompt's prefix.
 	localityWeight = 20
 )
 
-// locality is the price of spreading a prompt's beginning over endpoints: what
-// is read here will probably be read again elsewhere. VMs learn of each other's
-// cache contents late; hashing the first block lets them agree at once. The
-// weight of an endpoint falls smoothly, so that overflow goes to the same second
-// place at every VM.
+// locality returns the penalty for spreading a prompt prefix over endpoints: a
+// prompt prefilled here will probably be prefilled again elsewhere. VMs receive
+// each other's cache contents late; hashing the first block lets them agree
+// immediately. The weight of an endpoint falls smoothly, so that overflow goes
+// to the same second choice at every VM.
 func locality(e *endpoint, c *Candidate, s *request.Spec) float64 {
 	if len(s.Prefix) == 0 {
 		return 0
--- a/sched/yield.go
+++ b/sched/yield.go
@@ -8,19 +8,19 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// yieldState is a request's asking peers for room.
+// yieldState is the state of a request's Yield to the peers.
 type yieldState struct {
 	call uint64
 }
 
-// yieldRequest is a peer's request for which work is being stopped here.
+// yieldRequest is a peer's Yield for which a request is being stopped here.
 type yieldRequest struct {
 	peer uint32
 	call uint64
 }
 
-// makeRoom stops lower-tier work for an urgent request: here first, then at the
-// VMs that share the endpoints.
+// makeRoom frees capacity for an urgent request by stopping a lower-tier one:
+// here if possible, otherwise at the VMs that share the endpoints.
 func (s *Scheduler) makeRoom(w *waiting) {
 	if w.reserved != "" {
 		return
@@ -33,7 +33,8 @@
 	s.requestYield(w)
 }
 
-// couldUse reports whether room at an endpoint would let the request finish.
+// couldUse reports whether the request would finish in time at the endpoint if
+// it had capacity there.
 func (s *Scheduler) couldUse(e *endpoint, w *waiting) bool {
 	if _, ok := e.usable(s.now); !ok || !serves(e, &w.spec) {
 		return false
@@ -42,8 +43,8 @@
 	return inTime(s.now, &c, &w.spec)
 }
 
-// victim picks the running request to stop: of the lowest tier, and there the
-// one whose stop wastes least. Only idempotent work is stopped.
+// victim returns the running request to stop: the one of the lowest tier whose
+// stop wastes least. Only idempotent requests are stopped.
 func (s *Scheduler) victim(above request.Tier, ok func(*endpoint) bool) *run {
 	var best *run
 	for _, e := range s.endpoints {
@@ -72,7 +73,7 @@
 	return a.handle > b.handle
 }
 
-// tokensSpent is what has been paid for a run, in tokens.
+// tokensSpent returns the number of tokens already processed for a run.
 func (r *run) tokensSpent() int { return r.uncached + r.tokens }
 
 func (s *Scheduler) stop(r *run, onBehalfOf *yieldRequest) {
@@ -81,7 +82,7 @@
 	s.out.Stops = append(s.out.Stops, r.handle)
 }
 
-// reserve keeps the room that a stop will make for one request.
+// reserve holds the capacity that a stop will free for one request.
 func (s *Scheduler) reserve(w *waiting, e *endpoint) {
 	w.reserved = e.Name
 }
@@ -90,7 +91,8 @@
 	w.reserved = ""
 }
 
-// requestYield asks every VM that shares the endpoints, once.
+// requestYield sends one Yield for a request to all VMs that share the
+// endpoints.
 func (s *Scheduler) requestYield(w *waiting) {
 	if w.yield.call != 0 || len(s.peers) == 0 {
 		return
@@ -111,8 +113,8 @@
 	s.out.Yields = append(s.out.Yields, y)
 }
 
-// othersMayRun reports whether other VMs may run work on an endpoint; without
-// fresh digests they may.
+// othersMayRun reports whether other VMs may be running requests on an
+// endpoint. It also returns true if a digest has expired or none has arrived.
 func (e *endpoint) othersMayRun(now time.Duration) bool {
 	for _, p := range e.peers {
 		if p.running > 0 || now-p.at >= digestTTL {
@@ -122,7 +124,7 @@
 	return len(e.peers) == 0
 }
 
-// HandleYield handles a peer's request for room.
+// HandleYield handles a peer's request for capacity.
 func (s *Scheduler) HandleYield(now time.Duration, from uint32, y *schema.Yield) {
 	s.now = now
 	r := s.victim(request.Tier(y.Tier), func(e *endpoint) bool { return slices.Contains(y.Endpoints, e.Name) })
@@ -134,7 +136,7 @@
 	s.stop(r, &yieldRequest{peer: from, call: y.Call})
 }
 
-// completeYield answers a peer once the work stopped for it has ended.
+// completeYield replies to a peer once the request stopped for it has ended.
 func (s *Scheduler) completeYield(r *run) {
 	if r.stoppedFor != nil {
 		r.endpoint.yieldedUntil = s.now + yieldHold
@@ -148,7 +150,7 @@
 	})
 }
 
-// HandleYieldResult takes a peer's answer.
+// HandleYieldResult handles a peer's reply to a Yield.
 func (s *Scheduler) HandleYieldResult(now time.Duration, _ uint32, m *schema.YieldResult) {
 	s.now = now
 	w := s.yieldRequests[m.Call]
@@ -161,7 +163,7 @@
 	s.dirty = true
 }
 
-// ApplyDigest notes what a peer uses.
+// ApplyDigest stores a peer's usage of the endpoints.
 func (s *Scheduler) ApplyDigest(now time.Duration, from uint32, d *schema.Digest) {
 	s.now = now
 	seen := make(map[string]bool, len(d.Usage))
@@ -185,7 +187,8 @@
 	s.dirty = true
 }
 
-// MakeDigest tells peers what this VM uses and wants.
+// MakeDigest returns this VM's usage of and demand for the endpoints, to be
+// sent to peers.
 func (s *Scheduler) MakeDigest(now time.Duration) *schema.Digest {
 	s.now = now
 	s.countDemand()
@@ -202,7 +205,8 @@
 	return d
 }
 
-// highestWaitingTier is the highest tier that waits for an endpoint, plus one.
+// highestWaitingTier returns the highest tier waiting for an endpoint plus one,
+// or 0 if none waits.
 func (s *Scheduler) highestWaitingTier(e *endpoint) uint32 {
 	for _, tq := range s.queue.tiers {
 		for _, o := range tq.orgs {
