--- a/sched/pick.go
+++ b/sched/pick.go
@@ -38,7 +38,7 @@
 				}
 			case s.dropIfInfeasible(w):
 			case s.urgent(w):
-				s.makeRoom(w)
+				s.freeCapacity(w)
 			}
 			return true
 		})
@@ -138,7 +138,7 @@
 		return decided
 	}
 	if s.urgent(w) {
-		s.makeRoom(w)
+		s.freeCapacity(w)
 	}
 	return noCapacity
 }
--- a/sched/yield.go
+++ b/sched/yield.go
@@ -19,9 +19,9 @@
 	call uint64
 }
 
-// makeRoom frees capacity for an urgent request by stopping a lower-tier one:
+// freeCapacity frees capacity for an urgent request by stopping a lower-tier one:
 // here if possible, otherwise at the VMs that share the endpoints.
-func (s *Scheduler) makeRoom(w *waiting) {
+func (s *Scheduler) freeCapacity(w *waiting) {
 	if w.reserved != "" {
 		return
 	}
