--- a/daemon/answer.go
+++ b/daemon/answer.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Whole implements endpoint.Sink.
-func (a *answer) Whole(status int, contentType string, body []byte) {
+// Response implements endpoint.Sink.
+func (a *answer) Response(status int, contentType string, body []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.plain = &plainAnswer{Status: status, ContentType: contentType, Body: body}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -103,7 +103,7 @@
 		links: make(map[uint32]*link), answers: newAnswers(), metrics: metrics.NewRegistry(),
 		calls: make(map[uint64]*callerCall), judged: newVerdicts(), drained: make(chan struct{}), expelled: make(chan struct{}),
 	}
-	d.endpoints = &endpoint.Client{HTTP: d.client(maxIdlePerEndpoint), ResumeEvery: resumeEvery, ResumeTries: resumeTries}
+	d.endpoints = &endpoint.Client{HTTP: d.client(maxIdlePerEndpoint), ResumeInterval: resumeEvery, MaxResumes: resumeTries}
 	d.platform = &logservice.Client{Base: "http://" + d.set.Platform.Address, HTTP: d.client(maxIdlePerPeer)}
 	d.peerHTTP = d.countedClient()
 	d.exchangeHTTP = d.countedClient()
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -84,7 +84,7 @@
 	switch res {
 	case endpoint.Complete:
 		return core.Complete
-	case endpoint.NotTaken:
+	case endpoint.NotAccepted:
 		return core.NotAccepted
 	case endpoint.Cancelled:
 		return core.Stopped
@@ -196,7 +196,7 @@
 	if err != nil {
 		return core.Broken
 	}
-	a.Whole(status, resp.Header.Get("Content-Type"), body)
+	a.Response(status, resp.Header.Get("Content-Type"), body)
 	c.setAnswer(a)
 	return core.Complete
 }
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -41,8 +41,8 @@
 type Sink interface {
 	// Token takes the data of one token; offsets count up from 0 without gaps.
 	Token(offset int, data []byte)
-	// Whole takes the whole answer of a plain service.
-	Whole(status int, contentType string, body []byte)
+	// Response takes the whole answer of a plain service.
+	Response(status int, contentType string, body []byte)
 }
 
 // Result is how a call ended.
@@ -52,14 +52,14 @@
 const (
 	// Complete: the whole answer came.
 	Complete Result = iota
-	// NotTaken: the endpoint provably did not take the request.
-	NotTaken
+	// NotAccepted: the endpoint provably did not take the request.
+	NotAccepted
 	// Cancelled: the endpoint stopped it.
 	Cancelled
 	// Broken: it may have run, and the answer is not whole.
 	Broken
-	// Missing: the endpoint knows no such stream.
-	Missing
+	// NotFound: the endpoint knows no such stream.
+	NotFound
 	// Fenced: the endpoint refused the stream, having promised never to run it.
 	Fenced
 )
@@ -69,21 +69,21 @@
 // from sending a body twice.
 type Client struct {
 	HTTP *http.Client
-	// ResumeEvery is the pause between two tries to resume a broken stream.
-	ResumeEvery time.Duration
-	// ResumeTries bounds them.
-	ResumeTries int
+	// ResumeInterval is the pause between two tries to resume a broken stream.
+	ResumeInterval time.Duration
+	// MaxResumes bounds them.
+	MaxResumes int
 }
 
-// maxPlain bounds the answer of a plain service.
-const maxPlain = 16 << 20
+// maxResponseBody bounds the answer of a plain service.
+const maxResponseBody = 16 << 20
 
 // Run sends the request once. If the answer breaks, a model engine is asked
 // for the rest of the stream; the request itself is never sent again.
 func (c *Client) Run(ctx context.Context, call Call, sink Sink) Result {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, call.Base+call.Path, io.NopCloser(bytes.NewReader(call.Body)))
 	if err != nil {
-		return NotTaken
+		return NotAccepted
 	}
 	req.ContentLength = int64(len(call.Body))
 	req.Header.Set("Content-Type", call.ContentType)
@@ -93,19 +93,19 @@
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		if neverSent(err) {
-			return NotTaken
+		if failedToConnect(err) {
+			return NotAccepted
 		}
-		return c.resumeAfter(ctx, call, 0, sink)
+		return c.resumeWithRetries(ctx, call, 0, sink)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if call.Stream == "" {
 		// Whatever a plain service answers, it may have run the call.
-		return readWhole(resp, sink)
+		return readResponse(resp, sink)
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
 		// The engines' protocol: such a request was not admitted.
-		return NotTaken
+		return NotAccepted
 	}
 	if resp.StatusCode == http.StatusGone {
 		return Fenced
@@ -117,34 +117,34 @@
 	if res != Broken {
 		return res
 	}
-	return c.resumeAfter(ctx, call, next, sink)
+	return c.resumeWithRetries(ctx, call, next, sink)
 }
 
-// neverSent reports whether an error arose before a connection was there.
-func neverSent(err error) bool {
+// failedToConnect reports whether an error arose before a connection was there.
+func failedToConnect(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func readWhole(resp *http.Response, sink Sink) Result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlain))
+func readResponse(resp *http.Response, sink Sink) Result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody))
 	if err != nil {
 		return Broken
 	}
-	sink.Whole(resp.StatusCode, resp.Header.Get("Content-Type"), body)
+	sink.Response(resp.StatusCode, resp.Header.Get("Content-Type"), body)
 	return Complete
 }
 
-// resumeAfter asks for the rest of a broken stream a few times.
-func (c *Client) resumeAfter(ctx context.Context, call Call, next int, sink Sink) Result {
+// resumeWithRetries asks for the rest of a broken stream a few times.
+func (c *Client) resumeWithRetries(ctx context.Context, call Call, next int, sink Sink) Result {
 	if call.Stream == "" {
 		return Broken
 	}
-	for range c.ResumeTries {
+	for range c.MaxResumes {
 		select {
 		case <-ctx.Done():
 			return Broken
-		case <-time.After(c.ResumeEvery):
+		case <-time.After(c.ResumeInterval):
 		}
 		var res Result
 		if next, res = c.Resume(ctx, call.Base, call.Stream, next, sink); res == Complete || res == Cancelled {
@@ -167,7 +167,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusNotFound {
-		return offset, Missing
+		return offset, NotFound
 	}
 	if resp.StatusCode != http.StatusOK {
 		return offset, Broken
@@ -189,8 +189,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// neverStarted is what an engine that fences says of a stream it did not know.
-const neverStarted = "never_started"
+// stateNeverStarted is what an engine that fences says of a stream it did not know.
+const stateNeverStarted = "never_started"
 
 // Fence asks an engine never to run a stream. It reports true only if the
 // engine promises that the stream has not run and will not.
@@ -208,21 +208,21 @@
 		State string `json:"state"`
 	}
 	err = json.NewDecoder(resp.Body).Decode(&out)
-	return err == nil && resp.StatusCode == http.StatusOK && out.State == neverStarted
+	return err == nil && resp.StatusCode == http.StatusOK && out.State == stateNeverStarted
 }
 
 // Marks of a stream of server-sent events.
 const (
 	doneMark      = "[DONE]"
 	cancelledMark = "event: cancelled"
-	maxLine       = 1 << 20
+	maxLineBytes  = 1 << 20
 )
 
 // readStream passes tokens on, from the offset it expects next, until the end
 // mark. A stream that ends without one is broken.
 func readStream(r io.Reader, next int, sink Sink) (int, Result) {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(make([]byte, 0, 4096), maxLine)
+	sc.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	for sc.Scan() {
 		line := sc.Text()
 		if line == cancelledMark {
