--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -1,5 +1,5 @@
-// Package endpoint is the client of model engines and plain services. Its main
-// care is to say truthfully whether a request may have run.
+// Package endpoint implements the client of model engines and plain services.
+// Its main concern is to report correctly whether a request may have run.
 package endpoint
 
 import (
@@ -16,15 +16,16 @@
 	"time"
 )
 
-// Headers of the protocol towards endpoints.
+// Headers of the protocol with endpoints.
 const (
-	// HeaderStream names the stream under which an engine can be asked again.
+	// HeaderStream carries the stream id under which an engine can be asked
+	// again.
 	HeaderStream = "X-Stream-Id"
 	// HeaderKey carries organisation/id, for the endpoint's own records.
 	HeaderKey = "X-Request-Key"
 )
 
-// Call is one request to an endpoint.
+// Call is a request to an endpoint.
 type Call struct {
 	// Base is the endpoint's address, such as "http://10.0.0.1:8000".
 	Base string
@@ -33,53 +34,55 @@
 	Stream string
 	Key    string
 	Body   []byte
-	// ContentType of the body.
+	// ContentType is the media type of the body.
 	ContentType string
 }
 
-// Sink takes the parts of an answer as they come.
+// Sink receives the parts of a response as they arrive.
 type Sink interface {
-	// Token takes the data of one token; offsets count up from 0 without gaps.
+	// Token receives the data of one token. Offsets count up from 0 without
+	// gaps.
 	Token(offset int, data []byte)
-	// Response takes the whole answer of a plain service.
+	// Response receives the whole response of a plain service.
 	Response(status int, contentType string, body []byte)
 }
 
-// Result is how a call ended.
+// Result is the way in which a call ended.
 type Result int
 
 // Results of calls.
 const (
-	// Complete: the whole answer came.
+	// Complete: the whole response was received.
 	Complete Result = iota
-	// NotAccepted: the endpoint provably did not take the request.
+	// NotAccepted: the endpoint provably did not accept the request.
 	NotAccepted
-	// Cancelled: the endpoint stopped it.
+	// Cancelled: the endpoint cancelled the stream.
 	Cancelled
-	// Broken: it may have run, and the answer is not whole.
+	// Broken: the request may have run, and the response is incomplete.
 	Broken
-	// NotFound: the endpoint knows no such stream.
+	// NotFound: the endpoint has no stream of that id.
 	NotFound
 	// Fenced: the endpoint refused the stream, having promised never to run it.
 	Fenced
 )
 
-// Client calls endpoints. Its HTTP client must not repeat requests: calls are
+// Client calls endpoints. Its HTTP client must not retry requests: calls are
 // made without GetBody and without an idempotency header, which keeps net/http
 // from sending a body twice.
 type Client struct {
 	HTTP *http.Client
-	// ResumeInterval is the pause between two tries to resume a broken stream.
+	// ResumeInterval is the time between two attempts to resume a broken stream.
 	ResumeInterval time.Duration
-	// MaxResumes bounds them.
+	// MaxResumes bounds the number of attempts.
 	MaxResumes int
 }
 
-// maxResponseBody bounds the answer of a plain service.
+// maxResponseBody bounds the response of a plain service, in bytes.
 const maxResponseBody = 16 << 20
 
-// Run sends the request once. If the answer breaks, a model engine is asked
-// for the rest of the stream; the request itself is never sent again.
+// Run sends the request once. If the response is interrupted, the rest of the
+// stream is requested from a model engine; the request itself is never sent
+// again.
 func (c *Client) Run(ctx context.Context, call Call, sink Sink) Result {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, call.Base+call.Path, io.NopCloser(bytes.NewReader(call.Body)))
 	if err != nil {
@@ -100,11 +103,11 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if call.Stream == "" {
-		// Whatever a plain service answers, it may have run the call.
+		// Whatever a plain service responds, it may have run the call.
 		return readResponse(resp, sink)
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-		// The engines' protocol: such a request was not admitted.
+		// In the engines' protocol, such a request was not admitted.
 		return NotAccepted
 	}
 	if resp.StatusCode == http.StatusGone {
@@ -120,7 +123,8 @@
 	return c.resumeWithRetries(ctx, call, next, sink)
 }
 
-// failedToConnect reports whether an error arose before a connection was there.
+// failedToConnect reports whether an error occurred before a connection was
+// established.
 func failedToConnect(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
@@ -135,7 +139,7 @@
 	return Complete
 }
 
-// resumeWithRetries asks for the rest of a broken stream a few times.
+// resumeWithRetries tries up to MaxResumes times to resume a broken stream.
 func (c *Client) resumeWithRetries(ctx context.Context, call Call, next int, sink Sink) Result {
 	if call.Stream == "" {
 		return Broken
@@ -154,7 +158,7 @@
 	return Broken
 }
 
-// Resume reads a stream from an offset on and returns the next offset.
+// Resume reads a stream from an offset and returns the next offset.
 func (c *Client) Resume(ctx context.Context, base, stream string, offset int, sink Sink) (int, Result) {
 	url := fmt.Sprintf("%s/v1/streams/%s?offset=%d", base, stream, offset)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -189,10 +193,11 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// stateNeverStarted is what an engine that fences says of a stream it did not know.
+// stateNeverStarted is the state that a fencing engine returns for a stream it
+// did not know.
 const stateNeverStarted = "never_started"
 
-// Fence asks an engine never to run a stream. It reports true only if the
+// Fence asks an engine never to run a stream. It returns true only if the
 // engine promises that the stream has not run and will not.
 func (c *Client) Fence(ctx context.Context, base, stream string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, base+"/v1/streams/"+stream+"?fence=1", nil)
@@ -211,15 +216,15 @@
 	return err == nil && resp.StatusCode == http.StatusOK && out.State == stateNeverStarted
 }
 
-// Marks of a stream of server-sent events.
+// Markers and limits of a stream of server-sent events.
 const (
 	doneMark      = "[DONE]"
 	cancelledMark = "event: cancelled"
 	maxLineBytes  = 1 << 20
 )
 
-// readStream passes tokens on, from the offset it expects next, until the end
-// mark. A stream that ends without one is broken.
+// readStream passes tokens to the sink, starting at offset next, until the end
+// marker. A stream that ends without one is broken.
 func readStream(r io.Reader, next int, sink Sink) (int, Result) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(make([]byte, 0, 4096), maxLineBytes)
@@ -241,20 +246,21 @@
 	return next, Broken
 }
 
-// Load is an endpoint's report of itself.
+// Load is an endpoint's load report.
 type Load struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Leaving bool `json:"leaving"`
 }
 
-// Load asks an engine for its load.
+// Load requests the load of an engine.
 func (c *Client) Load(ctx context.Context, base string) (Load, error) {
 	var l Load
 	return l, c.get(ctx, base+"/v1/load", &l)
 }
 
-// CacheReport is a part of an engine's cache events, from First to before Next.
+// CacheReport holds an engine's cache events from number First up to but
+// excluding Next.
 type CacheReport struct {
 	First  int `json:"first"`
 	Next   int `json:"next"`
@@ -263,20 +269,20 @@
 	} `json:"events"`
 }
 
-// CacheEvents asks an engine for its cache events from a number on.
+// CacheEvents requests an engine's cache events starting at a number.
 func (c *Client) CacheEvents(ctx context.Context, base string, after int) (CacheReport, error) {
 	var r CacheReport
 	return r, c.get(ctx, fmt.Sprintf("%s/v1/cache-events?after=%d", base, after), &r)
 }
 
-// ReportError is a report that could not be had.
+// ReportError reports that a load or cache report could not be retrieved.
 type ReportError struct {
 	URL    string
 	Status int
 	Err    error
 }
 
-// Error describes the failure.
+// Error returns the URL with the cause or the HTTP status.
 func (e *ReportError) Error() string {
 	if e.Err != nil {
 		return "report " + e.URL + ": " + e.Err.Error()
