--- a/core/calls.go
+++ b/core/calls.go
@@ -204,11 +204,11 @@
 }
 
 func (n *Node) finishNotRun(c *call, reason request.Reason) {
-	after := unknownRetryAfter
+	retryAfter := unknownRetryAfter
 	if c.stage == refusing {
-		reason, after = c.refusal.Reason, c.refusal.RetryAfter
+		reason, retryAfter = c.refusal.Reason, c.refusal.RetryAfter
 	}
-	n.finish(c, request.NotRun, reason, after)
+	n.finish(c, request.NotRun, reason, retryAfter)
 }
 
 func (n *Node) finish(c *call, o request.Outcome, reason request.Reason, retryAfter time.Duration) {
--- a/sched/filter.go
+++ b/sched/filter.go
@@ -65,10 +65,10 @@
 		c.TimeToFinish, c.TimeToFirstToken = serviceTime, serviceTime
 		return c
 	}
-	pr, or := e.slowdown(now)
+	prefillRatio, outputRatio := e.slowdown(now)
 	c.CachedTokens = e.cachedTokens(s)
-	prefillTime := float64(e.prefillAhead(now)+s.PromptTokens-c.CachedTokens) / e.PrefillSpeed * pr
-	outputTime := float64(s.OutputTokens) / e.OutputSpeed * or
+	prefillTime := float64(e.prefillAhead(now)+s.PromptTokens-c.CachedTokens) / e.PrefillSpeed * prefillRatio
+	outputTime := float64(s.OutputTokens) / e.OutputSpeed * outputRatio
 	c.TimeToFirstToken = seconds(prefillTime)
 	c.TimeToFinish = seconds(prefillTime + outputTime)
 	c.Cost = (float64(s.PromptTokens-c.CachedTokens)*e.PrefillPrice + float64(s.OutputTokens)*e.OutputPrice) / perMillion
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -12,8 +12,8 @@
 	if s.Model == "" {
 		return c
 	}
-	pr, _ := e.slowdown(now)
-	ahead := seconds(float64(e.prefillAhead(now)) / e.PrefillSpeed * pr)
+	prefillRatio, _ := e.slowdown(now)
+	ahead := seconds(float64(e.prefillAhead(now)) / e.PrefillSpeed * prefillRatio)
 	c.TimeToFirstToken -= ahead
 	c.TimeToFinish -= ahead
 	return c
@@ -106,15 +106,15 @@
 
 // countDemand counts the waiting requests that each endpoint could serve.
 func (s *Scheduler) countDemand() {
-	shapes := make(map[requestClass]int)
+	classes := make(map[requestClass]int)
 	s.queue.each(func(w *waiting) {
 		if !w.deferred {
-			shapes[classOf(&w.spec)]++
+			classes[classOf(&w.spec)]++
 		}
 	})
 	clear(s.demand)
-	for sh, n := range shapes {
-		probe := request.Spec{Model: sh.model, Kind: sh.kind}
+	for class, n := range classes {
+		probe := request.Spec{Model: class.model, Kind: class.kind}
 		for _, e := range s.endpoints {
 			if serves(e, &probe) {
 				s.demand[e] += n
