--- a/core/fresh_test.go
+++ b/core/fresh_test.go
@@ -13,9 +13,9 @@
 
 // TestFirstRunRequiresMembers guards against running a request twice. vm1
 // grants claims; vm2 starts and receives vm1's heartbeat; vm1 dies before vm2
-// has joined. The log names only incarnations that vm2 has received messages
-// from, so vm2 treated the domain as never having run before, although vm1's
-// grants were lost with it (found by reading).
+// has joined. Because the log named only incarnations that vm2 had received
+// messages from, vm2 treated the domain as never having run before, although
+// vm1's grants were lost with it (found by reading).
 func TestFirstRunRequiresMembers(t *testing.T) {
 	is := is.New(t)
 	vms := []claim.VM{{ID: 1, Domain: "a"}, {ID: 2, Domain: "a"}}
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -13,9 +13,8 @@
 // # Invariants
 //
 //   - A request is assigned at most once, unless Retry returns it to the queue.
-//   - Among the VMs in contact with each other, a lower tier is never assigned
-//     while a higher tier that could use the capacity waits here or, according to
-//     digests, at another VM.
+//   - At an endpoint, a lower tier is never assigned while a higher tier that
+//     could use the capacity waits here or, according to digests, at another VM.
 //   - A request is refused only when it cannot be completed in time any more.
 //     Before that, while it has slack, lower-tier idempotent requests that use
 //     capacity it could use are stopped here, and the VMs that share such an
