--- a/core/conf.go
+++ b/core/conf.go
@@ -12,8 +12,8 @@
 // configState tracks the configuration read from the log and received from
 // peers.
 type configState struct {
-	ledger *config.Ledger
-	rules  *config.Rules
+	stateMachine *config.Ledger
+	rules        *config.Rules
 	// reachedLogEnd is set once the log has been read to its end since this
 	// process started.
 	reachedLogEnd bool
@@ -40,18 +40,18 @@
 
 func newConfigState(cfg Config, now time.Duration) *configState {
 	return &configState{
-		ledger: config.NewLedger(), peerReady: make(map[uint32]bool),
+		stateMachine: config.NewLedger(), peerReady: make(map[uint32]bool),
 		nextPollAt: now, republishAt: now + cfg.RepublishInterval, startAppendedAt: now - startRetry, startedAt: now,
 	}
 }
 
 func (s *configState) hasConfig() bool {
-	_, known := s.ledger.State()
+	_, known := s.stateMachine.State()
 	return known
 }
 
 func (s *configState) version() uint64 {
-	st, _ := s.ledger.State()
+	st, _ := s.stateMachine.State()
 	return st.Version
 }
 
@@ -64,7 +64,7 @@
 // applyLog applies a batch of log records to the configuration.
 func (n *Node) applyLog(ev LogRead) {
 	s := n.conf
-	s.ledger.Begin(ev.First)
+	s.stateMachine.Begin(ev.First)
 	s.logStart = ev.First
 	end := ev.Next
 	if k := len(ev.Records); k > 0 {
@@ -74,7 +74,7 @@
 		if e.Record == nil {
 			continue
 		}
-		for _, v := range s.ledger.Apply(e.Offset, e.Record) {
+		for _, v := range s.stateMachine.Apply(e.Offset, e.Record) {
 			n.emit(ConfigJudged{Verdict: v})
 		}
 		n.collectStart(e.Record.GetDomainStarted())
@@ -89,7 +89,7 @@
 // applyConfig compiles the document and applies it if its version is newer than
 // the one applied last.
 func (n *Node) applyConfig() {
-	st, known := n.conf.ledger.State()
+	st, known := n.conf.stateMachine.State()
 	if !known || st.Document == nil || n.conf.rules != nil && n.conf.rules.Version >= st.Version {
 		return
 	}
@@ -185,7 +185,7 @@
 func (n *Node) tickConfig() {
 	s := n.conf
 	n.checkFirstRun()
-	st, known := s.ledger.State()
+	st, known := s.stateMachine.State()
 	if n.now >= s.nextPollAt {
 		s.nextPollAt = n.now + n.cfg.ConfigPollInterval
 		n.pollConfig(st, known)
@@ -220,7 +220,7 @@
 // onConfigWant replies with the current configuration of this VM. The document
 // is included only if the peer does not have it.
 func (n *Node) onConfigWant(from uint32, m *schema.ConfigWant) {
-	st, known := n.conf.ledger.State()
+	st, known := n.conf.stateMachine.State()
 	offer := &schema.ConfigOffer{Version: st.Version, Through: st.Through, Ready: n.conf.current()}
 	if known && st.Document != nil && (m.Nothing || st.Version > m.Through) {
 		offer.Document = st.Document
@@ -233,7 +233,7 @@
 func (n *Node) onConfigOffer(from uint32, m *schema.ConfigOffer) {
 	s := n.conf
 	if m.Document != nil {
-		for _, v := range s.ledger.Adopt(config.State{Version: m.Version, Document: m.Document, Through: m.Through}) {
+		for _, v := range s.stateMachine.Adopt(config.State{Version: m.Version, Document: m.Document, Through: m.Through}) {
 			n.emit(ConfigJudged{Verdict: v})
 		}
 		n.applyConfig()
--- a/core/node.go
+++ b/core/node.go
@@ -282,7 +282,7 @@
 	switch {
 	case n.draining:
 		return "draining"
-	case n.conf.ledger.Blocked():
+	case n.conf.stateMachine.Blocked():
 		return "the log has a configuration of a newer schema"
 	case !n.conf.current():
 		return "the configuration is not proven current"
