--- a/claim/asks.go
+++ b/claim/asks.go
@@ -9,108 +9,114 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Intent is what a flight wants of a key.
+// Intent is the purpose of an acquisition.
 type Intent int
 
-// Intents of flights.
+// Intents of acquisitions.
 const (
 	// Run: dispatch the request.
 	Run Intent = iota
 	// Refuse: answer "not run", which must stay true for this attempt.
 	Refuse
-	// Find: learn whether another dispatch has the key.
+	// Find: look up whether another dispatch has the key.
 	Find
 )
 
-// Wish is what a flight asks for.
-type Wish struct {
+// Request holds the parameters of an acquisition.
+type Request struct {
 	Intent  Intent
 	Key     request.Key
 	Digest  uint64
 	Attempt request.Attempt
-	// Repeat: the key may have been sent before; every domain is asked.
-	Repeat bool
-	// Arrived is when the request reached this VM.
+	// MayBeRetry reports whether the key may have been sent before. If so, every
+	// domain is asked.
+	MayBeRetry bool
+	// Arrived is the time at which the request reached this VM.
 	Arrived time.Duration
-	// HomeOnly: every attempt of the key claims in its home domain, so no other
-	// domain has to be asked. It must be the same for all attempts of a key.
+	// HomeOnly makes every attempt of the key claim in its home domain, so that
+	// no other domain has to be asked. It must be the same for all attempts of a
+	// key.
 	HomeOnly bool
-	// Endpoint and Stream let another VM resume the answer.
+	// Endpoint and Stream let another VM resume the response.
 	Endpoint string
 	Stream   string
-	// Replaces is a flight of this VM whose grant was not used.
+	// Replaces is an acquisition of this VM whose grant was not used.
 	Replaces uint64
 }
 
-// flight is one wish under way, over one or more asks.
-type flight struct {
+// acquisition is a pending or granted Request. It consists of one or more
+// domain claims.
+type acquisition struct {
 	id       uint64
-	wish     Wish
+	req      Request
 	hash     uint64
 	deadline time.Duration
-	late     bool
+	expired  bool
 	calls    []uint64
-	// open counts the asks without an answer.
-	open int
-	// home is the ask whose grant is the claim, in domain; 0 before it is sent.
-	home   uint64
-	domain string
-	// owing: the holder may have the claim on record.
-	owing bool
-	// replaces is the claim that this one takes the place of.
+	// unanswered counts the domain claims without a result.
+	unanswered int
+	// homeCall is the call of the domain claim whose grant is the claim, in
+	// domain; 0 before it is sent.
+	homeCall uint64
+	domain   string
+	// mustRelease is set while the holder may have the claim on record.
+	mustRelease bool
+	// replaces is the call of the claim that this one replaces.
 	replaces uint64
 }
 
-// ask is one claim message to one domain, sent again until answered.
-type ask struct {
-	call   uint64
-	flight *flight
-	domain string
-	cell   []uint32
-	intent schema.Intent
-	tries  int
-	hops   int
-	target uint32
-	sentAt time.Duration
+// domainClaim is a claim message to one domain. It is sent again until
+// answered.
+type domainClaim struct {
+	call      uint64
+	acq       *acquisition
+	domain    string
+	cell      []uint32
+	intent    schema.Intent
+	sends     int
+	redirects int
+	target    uint32
+	sentAt    time.Duration
 }
 
-// maxHops bounds the redirects followed between two sendings: two VMs that
-// know different members name each other until they have spoken.
-const maxHops = 2
+// maxRedirects bounds the redirects followed for one send: two VMs with
+// different views of the membership redirect to each other until they have
+// exchanged messages.
+const maxRedirects = 2
 
-// Acquire starts a flight. Its end comes as a Result. The id must be new.
-func (n *Node) Acquire(now time.Duration, id uint64, w Wish) {
+// Acquire starts an acquisition. It ends with a Result. The id must be new.
+func (n *Node) Acquire(now time.Duration, id uint64, req Request) {
 	n.now = now
-	f := &flight{id: id, wish: w, hash: keyHash(w.Key), deadline: now + n.cfg.Timeout}
-	if old := n.flights[w.Replaces]; old != nil {
-		f.replaces = old.home
-		delete(n.flights, w.Replaces)
+	acq := &acquisition{id: id, req: req, hash: keyHash(req.Key), deadline: now + n.cfg.Timeout}
+	if old := n.acquisitions[req.Replaces]; old != nil {
+		acq.replaces = old.homeCall
+		delete(n.acquisitions, req.Replaces)
 	}
-	n.flights[id] = f
-	n.start(f)
-	n.runLocal()
+	n.acquisitions[id] = acq
+	n.start(acq)
+	n.handleLoopback()
 }
 
-func (n *Node) start(f *flight) {
+func (n *Node) start(acq *acquisition) {
 	switch {
-	case f.wish.Intent == Find && f.wish.HomeOnly:
-		n.ask(f, n.homeDomain(f.hash), schema.Intent_FIND)
-	case f.wish.Intent == Find:
+	case acq.req.Intent == Find && acq.req.HomeOnly:
+		n.sendClaim(acq, n.homeDomain(acq.hash), schema.Intent_FIND)
+	case acq.req.Intent == Find:
 		for _, d := range n.domains {
-			n.ask(f, d, schema.Intent_FIND)
+			n.sendClaim(acq, d, schema.Intent_FIND)
 		}
-	case f.wish.Repeat || f.wish.HomeOnly:
-		f.domain = n.homeDomain(f.hash)
-		n.askHome(f)
+	case acq.req.MayBeRetry || acq.req.HomeOnly:
+		acq.domain = n.homeDomain(acq.hash)
+		n.claimHome(acq)
 	default:
-		f.domain = n.cfg.Self.Domain
-		n.askHome(f)
+		acq.domain = n.cfg.Self.Domain
+		n.claimHome(acq)
 	}
 }
 
-func (n *Node) askHome(f *flight) {
-	f.owing = f.wish.Intent == Run
-	f.home = n.ask(f, f.domain, wireIntent(f.wish.Intent))
+func (n *Node) claimHome(acq *acquisition) {
+	acq.mustRelease = acq.req.Intent == Run
+	acq.homeCall = n.sendClaim(acq, acq.domain, wireIntent(acq.req.Intent))
 }
 
 func wireIntent(i Intent) schema.Intent {
@@ -120,29 +126,30 @@
 	return schema.Intent_RUN
 }
 
-func (n *Node) ask(f *flight, domain string, intent schema.Intent) uint64 {
+func (n *Node) sendClaim(acq *acquisition, domain string, intent schema.Intent) uint64 {
 	n.lastCall++
-	a := &ask{call: n.lastCall, flight: f, domain: domain, cell: n.cellOf(domain, f.hash), intent: intent}
-	n.asks[a.call] = a
-	n.askOrder = append(n.askOrder, a.call)
-	f.calls = append(f.calls, a.call)
-	f.open++
-	n.tryAsk(a)
-	return a.call
+	c := &domainClaim{call: n.lastCall, acq: acq, domain: domain, cell: n.cellOf(domain, acq.hash), intent: intent}
+	n.domainClaims[c.call] = c
+	n.domainClaimOrder = append(n.domainClaimOrder, c.call)
+	acq.calls = append(acq.calls, c.call)
+	acq.unanswered++
+	n.transmitClaim(c)
+	return c.call
 }
 
-// target picks whom to ask: in the own cell the holder, or its stand-in when it
-// is silent; elsewhere the VMs in rank order, which redirect.
-func (n *Node) target(cell []uint32, hash uint64, tries int) (uint32, bool) {
+// target returns the VM to send a claim to. In this VM's cell that is the
+// holder, or its stand-in if the holder is silent. In other cells the VMs are
+// tried in rank order; they redirect to the holder.
+func (n *Node) target(cell []uint32, hash uint64, sends int) (uint32, bool) {
 	if slices.Contains(cell, n.cfg.Self.ID) {
 		return n.ownTarget(hash)
 	}
 	ranked := rendezvous.Rank(hash, cell)
-	ranked = slices.DeleteFunc(ranked, func(id uint32) bool { return n.gone[id] })
+	ranked = slices.DeleteFunc(ranked, func(id uint32) bool { return n.removed[id] })
 	if len(ranked) == 0 {
 		return 0, false
 	}
-	return ranked[tries%len(ranked)], true
+	return ranked[sends%len(ranked)], true
 }
 
 func (n *Node) ownTarget(hash uint64) (uint32, bool) {
@@ -150,7 +157,7 @@
 	if !ok || holder == n.cfg.Self.ID {
 		return holder, ok
 	}
-	if n.now < n.peer(holder).heard+n.cfg.Lease {
+	if n.now < n.peer(holder).lastReceived+n.cfg.Lease {
 		return holder, true
 	}
 	next, found := rendezvous.Top(hash, n.cell, func(id uint32) bool { return id != holder && n.isMember(id) })
@@ -160,190 +167,194 @@
 	return next, true
 }
 
-func (n *Node) tryAsk(a *ask) {
-	to, ok := n.target(a.cell, a.flight.hash, a.tries)
-	a.sentAt = n.now
-	a.tries++
+func (n *Node) transmitClaim(c *domainClaim) {
+	to, ok := n.target(c.cell, c.acq.hash, c.sends)
+	c.sentAt = n.now
+	c.sends++
 	if ok {
-		n.sendAsk(a, to)
+		n.sendClaimTo(c, to)
 	}
 }
 
-func (n *Node) sendAsk(a *ask, to uint32) {
-	a.target = to
-	w := &a.flight.wish
+func (n *Node) sendClaimTo(c *domainClaim, to uint32) {
+	c.target = to
+	req := &c.acq.req
 	n.send(to, &schema.Message{Body: &schema.Message_Claim{Claim: &schema.Claim{
-		Call: a.call, Organisation: w.Key.Organisation, Id: w.Key.ID, BodyDigest: w.Digest,
-		Attempt: uint32(w.Attempt), Repeat: w.Repeat, Intent: a.intent,
-		AgeMs: millis(n.now - w.Arrived), Endpoint: w.Endpoint, Stream: w.Stream, Replaces: a.flight.replaces,
+		Call: c.call, Organisation: req.Key.Organisation, Id: req.Key.ID, BodyDigest: req.Digest,
+		Attempt: uint32(req.Attempt), Repeat: req.MayBeRetry, Intent: c.intent,
+		AgeMs: millis(n.now - req.Arrived), Endpoint: req.Endpoint, Stream: req.Stream, Replaces: c.acq.replaces,
 	}}})
 }
 
-// resendAsks asks again with the same call, which the holder recognises, and
-// ends the flights whose time is over.
-func (n *Node) resendAsks() {
-	for _, f := range n.expiredFlights() {
-		n.timeOut(f)
+// resendClaims sends unanswered claims again under the same call, which the
+// holder recognises, and ends the acquisitions that have timed out.
+func (n *Node) resendClaims() {
+	for _, acq := range n.expiredAcquisitions() {
+		n.timeOut(acq)
 	}
-	calls := n.askOrder
-	n.askOrder = nil
+	calls := n.domainClaimOrder
+	n.domainClaimOrder = nil
 	for _, call := range calls {
-		a := n.asks[call]
-		if a == nil {
+		c := n.domainClaims[call]
+		if c == nil {
 			continue
 		}
-		n.askOrder = append(n.askOrder, call)
-		if n.now >= a.sentAt+n.cfg.Retry {
-			a.hops = 0
-			n.tryAsk(a)
+		n.domainClaimOrder = append(n.domainClaimOrder, call)
+		if n.now >= c.sentAt+n.cfg.Retry {
+			c.redirects = 0
+			n.transmitClaim(c)
 		}
 	}
 }
 
-func (n *Node) expiredFlights() []*flight {
-	var late []*flight
-	for _, call := range n.askOrder {
-		a := n.asks[call]
-		if a == nil || n.now < a.flight.deadline || a.flight.late {
+func (n *Node) expiredAcquisitions() []*acquisition {
+	var expired []*acquisition
+	for _, call := range n.domainClaimOrder {
+		c := n.domainClaims[call]
+		if c == nil || n.now < c.acq.deadline || c.acq.expired {
 			continue
 		}
-		a.flight.late = true
-		late = append(late, a.flight)
+		c.acq.expired = true
+		expired = append(expired, c.acq)
 	}
-	return late
+	return expired
 }
 
-// timeOut ends a flight that cannot be settled. A declared first attempt that
-// was not dispatched ran nowhere; a repeat may have.
-func (n *Node) timeOut(f *flight) {
+// timeOut ends an acquisition that was not answered in time. A declared first
+// attempt that was not dispatched ran nowhere; a retry may have run.
+func (n *Node) timeOut(acq *acquisition) {
 	switch {
-	case f.wish.Repeat:
-		n.finish(f, Unknown, request.ReasonDomainUnreachable, nil)
+	case acq.req.MayBeRetry:
+		n.finish(acq, Unknown, request.ReasonDomainUnreachable, nil)
 	default:
-		n.finish(f, NotRun, request.ReasonClaimTimeout, nil)
+		n.finish(acq, NotRun, request.ReasonClaimTimeout, nil)
 	}
 }
 
-// onClaimResult takes one answer into its flight.
+// onClaimResult applies the result of one domain claim to its acquisition.
 func (n *Node) onClaimResult(m *schema.ClaimResult) {
-	a := n.asks[m.Call]
-	if a == nil {
+	c := n.domainClaims[m.Call]
+	if c == nil {
 		return
 	}
 	if m.Verdict == schema.Verdict_REDIRECT {
-		n.redirect(a, m.Redirect)
+		n.redirect(c, m.Redirect)
 		return
 	}
-	delete(n.asks, m.Call)
-	f := a.flight
-	f.open--
-	if a.call == f.home && m.Verdict != schema.Verdict_GRANTED {
-		f.owing = false
+	delete(n.domainClaims, m.Call)
+	acq := c.acq
+	acq.unanswered--
+	if c.call == acq.homeCall && m.Verdict != schema.Verdict_GRANTED {
+		acq.mustRelease = false
 	}
-	if f.wish.Intent == Find {
-		n.found(f, a.domain, m)
+	if acq.req.Intent == Find {
+		n.onFindResult(acq, c.domain, m)
 		return
 	}
 	switch m.Verdict {
 	case schema.Verdict_GRANTED:
-		n.advance(f, a)
+		n.advance(acq, c)
 	case schema.Verdict_HELD:
-		n.held(f, a.domain, m.Record)
+		n.onHeld(acq, c.domain, m.Record)
 	case schema.Verdict_CONFLICT:
-		n.finish(f, Conflict, request.ReasonBodyConflict, nil)
+		n.finish(acq, Conflict, request.ReasonBodyConflict, nil)
 	case schema.Verdict_ALREADY_REFUSED:
-		n.finish(f, NotRun, request.ReasonRefusedBefore, nil)
+		n.finish(acq, NotRun, request.ReasonRefusedBefore, nil)
 	case schema.Verdict_DOUBTFUL:
-		n.finish(f, Unknown, request.ReasonRecordsLost, nil)
+		n.finish(acq, Unknown, request.ReasonRecordsLost, nil)
 	default:
-		n.full(f)
+		n.finishFull(acq)
 	}
 }
 
-// redirect asks the named VM at once.
-func (n *Node) redirect(a *ask, to uint32) {
-	if a.target == to || !slices.Contains(a.cell, to) || a.hops >= maxHops {
+// redirect sends the claim to the named VM immediately.
+func (n *Node) redirect(c *domainClaim, to uint32) {
+	if c.target == to || !slices.Contains(c.cell, to) || c.redirects >= maxRedirects {
 		return
 	}
-	a.hops++
-	n.sendAsk(a, to)
+	c.redirects++
+	n.sendClaimTo(c, to)
 }
 
-// advance goes from the home claim to the seals, and ends with all of them.
-func (n *Node) advance(f *flight, a *ask) {
-	if a.call == f.home && f.wish.Repeat && !f.wish.HomeOnly {
-		n.sealElsewhere(f)
+// advance sends the seals once the home claim is granted, and completes the
+// acquisition once all of them are answered.
+func (n *Node) advance(acq *acquisition, c *domainClaim) {
+	if c.call == acq.homeCall && acq.req.MayBeRetry && !acq.req.HomeOnly {
+		n.sealElsewhere(acq)
 	}
-	if f.open > 0 {
+	if acq.unanswered > 0 {
 		return
 	}
-	if f.wish.Intent == Refuse {
-		n.finish(f, NotRun, request.ReasonRefusedBefore, nil)
+	if acq.req.Intent == Refuse {
+		n.finish(acq, NotRun, request.ReasonRefusedBefore, nil)
 		return
 	}
-	n.out.Results = append(n.out.Results, Result{Flight: f.id, Verdict: Granted})
+	n.out.Results = append(n.out.Results, Result{ID: acq.id, Verdict: Granted})
 }
 
-func (n *Node) sealElsewhere(f *flight) {
+func (n *Node) sealElsewhere(acq *acquisition) {
 	for _, d := range n.domains {
-		if d != f.domain {
-			n.ask(f, d, schema.Intent_SEAL)
+		if d != acq.domain {
+			n.sendClaim(acq, d, schema.Intent_SEAL)
 		}
 	}
 }
 
-// held ends a flight that found another dispatch. A seal only says that the
-// home domain knows: the wish goes on as a repeat there.
-func (n *Node) held(f *flight, domain string, r *schema.Record) {
+// onHeld ends an acquisition whose key is held by another dispatch. If the
+// record is only a seal, the home domain has the claim: the acquisition starts
+// again there as a retry.
+func (n *Node) onHeld(acq *acquisition, domain string, r *schema.Record) {
 	if r.State == schema.RecordState_SEALED {
-		f.wish.Repeat = true
-		n.start(f)
+		acq.req.MayBeRetry = true
+		n.start(acq)
 		return
 	}
-	f.domain = domain
-	n.finish(f, Held, "", r)
+	acq.domain = domain
+	n.finish(acq, Held, "", r)
 }
 
-// found takes one domain's answer to a search.
-func (n *Node) found(f *flight, domain string, m *schema.ClaimResult) {
+// onFindResult applies the result of one domain to an acquisition with intent
+// Find.
+func (n *Node) onFindResult(acq *acquisition, domain string, m *schema.ClaimResult) {
 	switch {
 	case m.Verdict == schema.Verdict_CONFLICT:
-		n.finish(f, Conflict, request.ReasonBodyConflict, nil)
+		n.finish(acq, Conflict, request.ReasonBodyConflict, nil)
 	case m.Verdict == schema.Verdict_HELD && m.Record.State != schema.RecordState_SEALED:
-		f.domain = domain
-		n.finish(f, Held, "", m.Record)
+		acq.domain = domain
+		n.finish(acq, Held, "", m.Record)
 	case m.Verdict == schema.Verdict_DOUBTFUL:
-		n.finish(f, Unknown, request.ReasonRecordsLost, nil)
-	case f.open == 0:
-		n.finish(f, Absent, "", nil)
+		n.finish(acq, Unknown, request.ReasonRecordsLost, nil)
+	case acq.unanswered == 0:
+		n.finish(acq, Absent, "", nil)
 	}
 }
 
-// full ends a flight refused for want of memory: nothing was dispatched.
-func (n *Node) full(f *flight) {
-	if f.wish.Repeat {
-		n.finish(f, Unknown, request.ReasonRecordsFull, nil)
+// finishFull ends an acquisition refused because the holder is out of memory
+// for records. Nothing was dispatched.
+func (n *Node) finishFull(acq *acquisition) {
+	if acq.req.MayBeRetry {
+		n.finish(acq, Unknown, request.ReasonRecordsFull, nil)
 		return
 	}
-	n.finish(f, NotRun, request.ReasonRecordsFull, nil)
+	n.finish(acq, NotRun, request.ReasonRecordsFull, nil)
 }
 
-// finish ends a flight without a grant, and gives back what it had claimed.
-func (n *Node) finish(f *flight, v Verdict, why request.Reason, r *schema.Record) {
-	n.out.Results = append(n.out.Results, Result{Flight: f.id, Verdict: v, Reason: why, Record: r, Domain: f.domain})
-	n.drop(f)
+// finish ends an acquisition without a grant and releases what it had claimed.
+func (n *Node) finish(acq *acquisition, v Verdict, reason request.Reason, r *schema.Record) {
+	n.out.Results = append(n.out.Results, Result{ID: acq.id, Verdict: v, Reason: reason, Record: r, Domain: acq.domain})
+	n.discard(acq)
 }
 
-func (n *Node) drop(f *flight) {
-	delete(n.flights, f.id)
-	for _, call := range f.calls {
-		delete(n.asks, call)
+func (n *Node) discard(acq *acquisition) {
+	delete(n.acquisitions, acq.id)
+	for _, call := range acq.calls {
+		delete(n.domainClaims, call)
 	}
-	if f.owing {
-		n.sendUpdate(f, &schema.Update{Released: true})
+	if acq.mustRelease {
+		n.sendUpdate(acq, &schema.Update{Released: true})
 	}
-	if f.replaces != 0 {
-		old := &flight{wish: f.wish, hash: f.hash, home: f.replaces, domain: f.domain}
+	if acq.replaces != 0 {
+		old := &acquisition{req: acq.req, hash: acq.hash, homeCall: acq.replaces, domain: acq.domain}
 		n.sendUpdate(old, &schema.Update{Released: true})
 	}
 }
--- a/claim/join.go
+++ b/claim/join.go
@@ -7,22 +7,23 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// phase is this VM's own standing in its cell.
+// phase is the membership phase of this VM in its cell.
 type phase int
 
 const (
-	// probing: not every peer has been reached or proven away yet. Joining
-	// now could take keys from a holder and wait for a frozen peer to serve them.
+	// probing: some peers have neither been reached nor proven to be down.
+	// Joining now could take keys from a holder and then wait for a frozen peer
+	// before serving them.
 	probing phase = iota
-	// joining: collecting what the members hold.
+	// joining: collecting the records of the members.
 	joining
 	// active: a member.
 	active
-	// leaving: grants nothing any more.
+	// leaving: grants no more claims.
 	leaving
 )
 
-// progressJoin moves to the next phase once nothing stands against it.
+// progressJoin advances to the next phase once its conditions are met.
 func (n *Node) progressJoin() {
 	switch n.phase {
 	case probing:
@@ -39,10 +40,10 @@
 	}
 }
 
-// everyPeer reports whether each peer is away for certain or meets ok.
+// everyPeer reports whether each peer is proven to be down or satisfies ok.
 func (n *Node) everyPeer(ok func(*peer) bool) bool {
 	for _, p := range n.peers {
-		if !p.absent && !p.dead && !p.left && !ok(p) {
+		if !p.notListening && !p.dead && !p.left && !ok(p) {
 			return false
 		}
 	}
@@ -50,12 +51,12 @@
 }
 
 func (n *Node) reached(p *peer) bool {
-	return p.inc != 0 && p.beatAck > n.cfg.Incarnation && n.now < p.heard+n.cfg.Lease
+	return p.inc != 0 && p.heartbeatAcked > n.cfg.Incarnation && n.now < p.lastReceived+n.cfg.Lease
 }
 
 func (n *Node) sendJoins() {
 	for _, p := range n.peers {
-		if p.joinAcked || p.absent || p.dead || p.left || n.now < p.joinAt {
+		if p.joinAcked || p.notListening || p.dead || p.left || n.now < p.joinAt {
 			continue
 		}
 		p.joinAt = n.now + n.cfg.Retry
@@ -63,49 +64,50 @@
 	}
 }
 
-// activate makes this VM a member. Without an active member to vouch for the
-// past, nobody knows what earlier incarnations of the cell granted.
+// activate makes this VM a member. If no active member sent its records, no VM
+// knows which claims earlier incarnations of the cell granted.
 func (n *Node) activate() {
 	n.phase = active
-	n.doubtUnseen()
-	if !n.vouched && !n.fresh {
-		n.addLost(n.cfg.Self.ID, earlierLife, n.now, n.now+n.cfg.TTL)
+	n.addUnreachedLost()
+	if !n.hasHistory && !n.firstRun {
+		n.addLost(n.cfg.Self.ID, unknownPredecessor, n.now, n.now+n.cfg.TTL)
 	}
 	n.rosterChanged()
 }
 
-// doubtUnseen counts as lost the members that others told of and that this VM
-// never met: nobody here can say that their grants were handed on.
-func (n *Node) doubtUnseen() {
-	for _, m := range n.toldOf {
+// addUnreachedLost marks as lost the members that others reported and that this
+// VM has not reached: no VM can confirm that their grants were handed over.
+func (n *Node) addUnreachedLost() {
+	for _, m := range n.reportedMembers {
 		p := n.peer(m.Vm)
 		if p == nil || p.member && p.inc == m.Incarnation {
 			continue
 		}
 		n.addLost(m.Vm, m.Incarnation, n.now, n.now+n.cfg.TTL)
 	}
-	n.toldOf = nil
+	n.reportedMembers = nil
 }
 
-// earlierLife stands for any incarnation of the cell before the present ones.
-const earlierLife = 0
+// unknownPredecessor represents any incarnation of the cell before the present
+// ones.
+const unknownPredecessor = 0
 
-// SetFresh tells that the platform's log shows no earlier life of the failure
-// domain, so that a key without a record was never granted.
-func (n *Node) SetFresh(now time.Duration) {
+// SetFirstRun records that, according to the platform's log, the failure domain
+// never ran before, so that a key without a record was never granted.
+func (n *Node) SetFirstRun(now time.Duration) {
 	n.now = now
-	n.fresh = true
+	n.firstRun = true
 	kept := n.lost[:0]
 	for _, l := range n.lost {
-		if l.inc != earlierLife {
+		if l.inc != unknownPredecessor {
 			kept = append(kept, l)
 		}
 	}
 	n.lost = kept
 }
 
-// onJoin takes a new incarnation into the roster. From here on its keys are
-// not granted here, so what it is sent is all there will be.
+// onJoin adds a new incarnation to the members. From here on this VM no longer
+// grants the new member's keys, so the records sent to it are complete.
 func (n *Node) onJoin(p *peer) {
 	if p == nil {
 		return
@@ -115,7 +117,7 @@
 	p.member = true
 	if isNew {
 		p.ackedAt = n.now
-		p.solo = false
+		p.bypassed = false
 	}
 	if n.phase == active {
 		ack.Records = n.recordsFor(p.id)
@@ -138,17 +140,18 @@
 	return list
 }
 
-// recordsFor lists the records that rank the given member above this VM. It may
-// know of deaths that are not known here, and so be the holder of any of them.
+// recordsFor returns the records whose keys rank the given member above this
+// VM. The member may have learned of deaths that this VM has not, and may
+// therefore hold any of these keys.
 func (n *Node) recordsFor(id uint32) []*schema.Record {
 	var list []*schema.Record
-	for _, b := range n.order {
+	for _, b := range n.byAge {
 		r := n.records[b.key]
-		if r == nil || r.born != b.at {
+		if r == nil || r.createdAt != b.at {
 			continue
 		}
 		if rendezvous.Weight(r.hash, id) > rendezvous.Weight(r.hash, n.cfg.Self.ID) {
-			list = append(list, n.export(r))
+			list = append(list, n.recordToWire(r))
 		}
 	}
 	return list
@@ -160,49 +163,50 @@
 	}
 	p.joinAcked = true
 	for _, r := range m.Records {
-		n.merge(r)
+		n.mergeRecord(r)
 	}
 	n.mergeLost(m.Lost)
-	n.toldOf = append(n.toldOf, m.Members...)
+	n.reportedMembers = append(n.reportedMembers, m.Members...)
 	if m.Active {
 		p.member = true
 		p.ackedAt = n.now
-		n.vouched = true
+		n.hasHistory = true
 	}
 	n.progressJoin()
 }
 
-// Leave starts to hand over the keys of this VM. Left reports when it is done.
+// Leave starts to hand over this VM's keys. Left reports when that is complete.
 func (n *Node) Leave(now time.Duration) {
 	n.now = now
 	if n.phase == active {
-		n.leaveAsked = true
+		n.leaveRequested = true
 		n.progressLeave()
 		return
 	}
 	n.phase = leaving
 }
 
-// Left reports whether every member knows that this VM grants nothing.
+// Left reports whether every member has acknowledged that this VM grants no
+// more claims.
 func (n *Node) Left() bool {
 	if n.phase != leaving {
 		return false
 	}
 	for _, p := range n.peers {
-		if p.member && !p.goodbyeAcked && !p.solo {
+		if p.member && !p.goodbyeAcked && !p.bypassed {
 			return false
 		}
 	}
 	return true
 }
 
-// progressLeave stops granting once the backups have everything, and tells the
-// members until they ack.
+// progressLeave stops granting once the backups have everything, and sends
+// Goodbye to the members until they acknowledge it.
 func (n *Node) progressLeave() {
-	if n.leaveAsked && n.phase == active && n.copiesDone() {
+	if n.leaveRequested && n.phase == active && n.allCopied() {
 		n.phase = leaving
 	}
-	if n.phase != leaving || !n.leaveAsked {
+	if n.phase != leaving || !n.leaveRequested {
 		return
 	}
 	for _, p := range n.peers {
@@ -214,9 +218,10 @@
 	}
 }
 
-// onGoodbye moves the keys of a peer that leaves in good order. It compares
-// the epoch that the goodbye itself carries: a peer that granted alone and left
-// before its next heartbeat would otherwise pass for one with everything copied.
+// onGoodbye takes over the keys of a peer that leaves gracefully. It compares
+// the epoch carried by the goodbye itself: otherwise a peer that granted alone
+// and left before its next heartbeat would be treated as having everything
+// copied.
 func (n *Node) onGoodbye(p *peer, m *schema.Goodbye) {
 	if p == nil {
 		return
@@ -225,8 +230,8 @@
 	if !p.member {
 		return
 	}
-	p.beatEpoch = m.Epoch
-	clean := n.hasAllOf(p)
+	p.heartbeatEpoch = m.Epoch
+	clean := n.hasAllGrantsOf(p)
 	if !clean {
 		n.addLost(p.id, p.inc, n.now, n.now+n.cfg.TTL)
 	}
--- a/claim/roster.go
+++ b/claim/roster.go
@@ -12,79 +12,87 @@
 )
 
 const (
-	// beatsPerLease is how many heartbeats go out in one lease at least.
-	beatsPerLease = 4
-	// maxBeatInterval keeps a long lease from delaying what heartbeats carry.
-	maxBeatInterval = 250 * time.Millisecond
+	// heartbeatsPerLease is the minimum number of heartbeats sent per lease.
+	heartbeatsPerLease = 4
+	// maxHeartbeatInterval bounds the heartbeat interval, so that a long lease
+	// does not delay the data that heartbeats carry.
+	maxHeartbeatInterval = 250 * time.Millisecond
 )
 
-// clockMargin is the part of a lease by which two clocks may drift in it.
-const clockMargin = 10
+// clockDriftDivisor bounds the drift between two clocks during a lease: it is
+// at most the lease divided by this value.
+const clockDriftDivisor = 10
 
-// peer is another VM of the own cell, as this VM knows it.
+// peer is this VM's view of another VM of its cell.
 type peer struct {
 	id uint32
-	// inc is the newest incarnation heard of; 0 before the first.
+	// inc is the newest known incarnation; 0 before the first message.
 	inc uint64
-	// member: inc has joined and is not proven dead.
+	// member is set if inc has joined and is not proven dead.
 	member bool
-	// dead: inc is proven dead.
+	// dead is set if inc is proven dead.
 	dead bool
-	// absent: nothing listened at its address when this VM joined.
-	absent bool
-	// left: inc said goodbye; it grants nothing and still has requests to end.
+	// notListening is set if nothing listened at the peer's address when this VM
+	// joined.
+	notListening bool
+	// left is set if inc has sent Goodbye; it grants nothing but still completes
+	// its requests.
 	left bool
-	// joinAcked: it handed over what this VM needs to join.
+	// joinAcked is set once the peer has handed over what this VM needs to join.
 	joinAcked bool
-	// joinAt is when the next Join or Goodbye may be sent.
+	// joinAt is the earliest time at which the next Join or Goodbye may be sent.
 	joinAt time.Duration
-	// heard is when the last message of inc came.
-	heard time.Duration
+	// lastReceived is when the last message of inc arrived.
+	lastReceived time.Duration
 
 	// This VM as holder, the peer as backup.
 
-	beatSeq uint64        // last heartbeat sent
-	beatAck uint64        // highest heartbeat it acked
-	ackedAt time.Duration // when that ack came
-	beats   []sentAck     // heartbeats sent and not acked yet
-	// heardUntil is how long the peer heard this VM for certain: until then it
-	// granted nothing in this VM's place.
-	heardUntil time.Duration
-	solo       bool   // its silence outlasted the lease: grant without it
-	epoch      uint64 // grows with each solo period
-	dupSeq     uint64
-	dirty      []request.Key
-	inFlight   []*flightOfCopies
-	syncSent   bool
-	// flushAt is when the queued copies go out.
+	heartbeatSeq      uint64        // sequence number of the last heartbeat sent
+	heartbeatAcked    uint64        // highest heartbeat the peer acknowledged
+	ackedAt           time.Duration // when that ack arrived
+	unackedHeartbeats []sentSeq     // heartbeats sent but not acknowledged
+	// noStandInBefore is the time up to which the peer is certain to have
+	// received messages of this VM recently enough: before it, the peer granted
+	// nothing in this VM's place.
+	noStandInBefore time.Duration
+	bypassed        bool   // the peer was silent for a lease: claims are granted without its copy
+	epoch           uint64 // incremented each time the peer is bypassed
+	dupSeq          uint64
+	dirty           []request.Key
+	inFlight        []*copyBatch
+	syncSent        bool
+	// flushAt is when the queued copies are sent.
 	flushAt time.Duration
 
 	// The peer as holder, this VM as backup.
 
-	acks       []sentAck
-	cleanUntil time.Duration // it granted nothing alone before this
-	syncRoster uint64        // roster of its last complete sync
-	syncEpoch  uint64
-	beatEpoch  uint64 // epoch of its last heartbeat
+	acks           []sentSeq
+	notAloneBefore time.Duration // the peer granted nothing alone before this time
+	syncRoster     uint64        // roster hash of the peer's last complete sync
+	syncEpoch      uint64
+	heartbeatEpoch uint64 // epoch of the peer's last heartbeat
 
-	// estranged: this VM grants first attempts of its keys and acks nothing of
-	// it, until it has taken over the orphans.
-	estranged bool
-	orphans   []request.Key
-	orphanSeq uint64
+	// standingIn is set while this VM grants first attempts of the peer's keys.
+	// It then acknowledges none of the peer's messages, until the peer has taken
+	// over the orphans.
+	standingIn bool
+	orphans    []request.Key
+	orphanSeq  uint64
 
-	// goodbyeAcked: it knows that this VM leaves.
+	// goodbyeAcked is set once the peer has acknowledged that this VM leaves.
 	goodbyeAcked bool
 }
 
-// sentAck is the number of a heartbeat or its ack, and when it was sent.
-type sentAck struct {
+// sentSeq is the sequence number of a heartbeat or heartbeat ack, with the time
+// at which it was sent.
+type sentSeq struct {
 	seq uint64
 	at  time.Duration
 }
 
-// lostIncarnation died at some time before diedBy with grants that nobody
-// alive may know of. No request of its time comes back after until.
+// lostIncarnation represents an incarnation that died before diedBy and whose
+// grants may be unknown to all live VMs. No request from its time can be
+// retried after until.
 type lostIncarnation struct {
 	vm     uint32
 	inc    uint64
@@ -92,54 +100,56 @@
 	until  time.Duration
 }
 
-// admit notes that an incarnation of a peer lives. It reports whether the
-// message may be used: an incarnation proven dead gets no more say.
+// admit records that an incarnation of a peer is alive. It reports whether its
+// message may be processed: messages of an incarnation proven dead are
+// rejected.
 func (n *Node) admit(p *peer, inc uint64) bool {
 	if inc < p.inc || (inc == p.inc && p.dead) {
 		return false
 	}
 	if inc > p.inc {
-		n.bury(p, true)
-		// Sequence numbers go on, so that a late ack of the old incarnation
+		n.markDead(p, true)
+		// Sequence numbers continue, so that a late ack of the old incarnation
 		// matches nothing sent to the new one.
-		*p = peer{id: p.id, inc: inc, ackedAt: n.now - n.cfg.Lease, beatSeq: p.beatSeq, beatAck: p.beatSeq, dupSeq: p.dupSeq}
+		*p = peer{id: p.id, inc: inc, ackedAt: n.now - n.cfg.Lease, heartbeatSeq: p.heartbeatSeq, heartbeatAcked: p.heartbeatSeq, dupSeq: p.dupSeq}
 	}
-	p.absent = false
-	p.heard = n.now
+	p.notListening = false
+	p.lastReceived = n.now
 	return true
 }
 
 // PeerClosed reports that the kernel of the peer's VM closed the connection of
-// an incarnation that never closes it while alive: its process has ended.
+// an incarnation. A live process never closes it, so the process has ended.
 func (n *Node) PeerClosed(now time.Duration, vm uint32, inc uint64) {
 	n.now = now
 	if p := n.peer(vm); p != nil && p.inc <= inc {
 		if p.inc < inc {
 			n.admit(p, inc)
 		}
-		n.bury(p, true)
+		n.markDead(p, true)
 		n.progressJoin()
 	}
-	n.runLocal()
+	n.handleLoopback()
 }
 
-// PeerAbsent reports that nothing listens at the peer's address. inc is the
-// incarnation known, by Incarnation, before the address was tried; 0 for none.
-// A process listens as long as it lives, so that incarnation has ended; a newer
-// one may have been heard since, and is not meant.
-func (n *Node) PeerAbsent(now time.Duration, vm uint32, inc uint64) {
+// PeerNotListening reports that nothing listens at the peer's address. inc is
+// the value that Incarnation returned before the connection attempt; 0 for
+// none. A process listens as long as it runs, so that incarnation has ended. A
+// newer incarnation that has sent messages since is not affected.
+func (n *Node) PeerNotListening(now time.Duration, vm uint32, inc uint64) {
 	n.now = now
 	p := n.peer(vm)
 	if p == nil || p.inc != inc {
 		return
 	}
-	p.absent = inc == 0
-	n.bury(p, true)
+	p.notListening = inc == 0
+	n.markDead(p, true)
 	n.progressJoin()
-	n.runLocal()
+	n.handleLoopback()
 }
 
-// Incarnation returns the newest incarnation heard of a peer, 0 for none.
+// Incarnation returns the newest known incarnation of a peer, or 0 if there is
+// none.
 func (n *Node) Incarnation(vm uint32) uint64 {
 	if p := n.peer(vm); p != nil {
 		return p.inc
@@ -147,30 +157,31 @@
 	return 0
 }
 
-// PeerGone reports that the platform's list has dropped the VM. The list lags
-// and may be wrong, so such a death is never clean.
-func (n *Node) PeerGone(now time.Duration, vm uint32) {
+// PeerRemoved reports that the platform's list no longer contains the VM. The
+// list lags and may be wrong, so such a death is never clean.
+func (n *Node) PeerRemoved(now time.Duration, vm uint32) {
 	n.now = now
-	n.gone[vm] = true
+	n.removed[vm] = true
 	if p := n.peer(vm); p != nil {
-		p.absent = p.inc == 0
-		n.bury(p, false)
+		p.notListening = p.inc == 0
+		n.markDead(p, false)
 		n.progressJoin()
 	}
-	n.runLocal()
+	n.handleLoopback()
 }
 
-// bury notes the death of a peer's incarnation and judges whether every claim
-// it granted is known here: as holder with this VM's copy, and as stand-in for
-// this VM, which it is only after it has not heard this VM for a lease.
+// markDead records the death of a peer's incarnation and determines whether
+// every claim it granted is known here. These are the claims it granted as
+// holder with this VM's copy, and those it granted as stand-in for this VM,
+// which it becomes only after receiving nothing from this VM for a lease.
 //
-// ended says that the process has certainly ended by now.
-func (n *Node) bury(p *peer, ended bool) {
+// hasEnded reports whether the process is certain to have ended by now.
+func (n *Node) markDead(p *peer, hasEnded bool) {
 	if p.dead || p.inc == 0 {
 		return
 	}
 	if p.member {
-		clean := ended && n.wouldBeClean(p)
+		clean := hasEnded && n.deathWouldBeClean(p)
 		if !clean {
 			n.addLost(p.id, p.inc, n.now, n.now+n.cfg.TTL)
 		}
@@ -178,21 +189,21 @@
 	}
 	p.dead = true
 	p.member = false
-	p.estranged = false
+	p.standingIn = false
 	n.rosterChanged()
 }
 
-// wouldBeClean reports whether a proof of the peer's death now would find every
-// claim it granted known here.
-func (n *Node) wouldBeClean(p *peer) bool {
-	return n.hasAllOf(p) && n.now < p.cleanUntil && n.now < p.heardUntil
+// deathWouldBeClean reports whether every claim that the peer granted would be
+// known here if its death were proven now.
+func (n *Node) deathWouldBeClean(p *peer) bool {
+	return n.hasAllGrantsOf(p) && n.now < p.notAloneBefore && n.now < p.noStandInBefore
 }
 
-// hasAllOf reports whether this VM, as backup, has a copy of everything the
-// peer granted with it: the last complete copy was made under the members that
-// both know, and the peer granted nothing alone since.
-func (n *Node) hasAllOf(p *peer) bool {
-	return p.syncRoster == n.rosterHash() && p.syncEpoch == p.beatEpoch
+// hasAllGrantsOf reports whether this VM, as backup, has a copy of everything
+// the peer granted with it: the last complete sync was made under the member
+// list that both VMs have, and the peer has granted nothing alone since.
+func (n *Node) hasAllGrantsOf(p *peer) bool {
+	return p.syncRoster == n.rosterHash() && p.syncEpoch == p.heartbeatEpoch
 }
 
 func (n *Node) addLost(vm uint32, inc uint64, diedBy, until time.Duration) {
@@ -207,13 +218,13 @@
 	n.lost = append(n.lost, lostIncarnation{vm: vm, inc: inc, diedBy: diedBy, until: until})
 }
 
-// doubtful reports whether a key without a record may have been granted by an
-// incarnation whose records are lost. A declared first attempt that arrived
-// after its death cannot: nothing with that key had been sent. One that
-// arrived before may have been overtaken by its own repeat.
-func (n *Node) doubtful(repeat bool, arrived time.Duration) bool {
+// mayHaveBeenGranted reports whether a key without a record may have been
+// granted by an incarnation whose records are lost. A declared first attempt
+// that arrived after its death cannot: nothing with that key had been sent
+// before. One that arrived earlier may have been overtaken by its own retry.
+func (n *Node) mayHaveBeenGranted(mayBeRetry bool, arrived time.Duration) bool {
 	for _, l := range n.lost {
-		if n.now < l.until && (repeat || arrived <= l.diedBy) {
+		if n.now < l.until && (mayBeRetry || arrived <= l.diedBy) {
 			return true
 		}
 	}
@@ -236,7 +247,7 @@
 	}
 }
 
-// rosterHash is a fingerprint of the members of the cell, with incarnations.
+// rosterHash returns a hash of the members of the cell and their incarnations.
 func (n *Node) rosterHash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -267,7 +278,7 @@
 	return n.peer(id).member
 }
 
-// holder returns the member that may grant a key of the own cell.
+// holder returns the member that may grant a key of this VM's cell.
 func (n *Node) holder(hash uint64) (uint32, bool) {
 	return rendezvous.Top(hash, n.cell, n.isMember)
 }
@@ -286,7 +297,7 @@
 	return n.peer(id)
 }
 
-// rosterChanged makes the copies that the new members need.
+// rosterChanged starts the syncs that the new membership requires.
 func (n *Node) rosterChanged() {
 	if n.phase != active {
 		return
@@ -294,54 +305,56 @@
 	for _, p := range n.peers {
 		n.startSync(p)
 	}
-	n.settleWaiting()
+	n.answerWaiting()
 }
 
-// beat sends heartbeats that are due.
-func (n *Node) beat() {
-	if n.now < n.beatAt {
+// sendHeartbeats sends heartbeats if they are due.
+func (n *Node) sendHeartbeats() {
+	if n.now < n.nextHeartbeatAt {
 		return
 	}
-	n.beatAt = n.now + min(n.cfg.Lease/beatsPerLease, maxBeatInterval)
+	n.nextHeartbeatAt = n.now + min(n.cfg.Lease/heartbeatsPerLease, maxHeartbeatInterval)
 	for _, p := range n.peers {
-		if n.gone[p.id] {
+		if n.removed[p.id] {
 			continue
 		}
-		p.beatSeq++
-		p.beats = append(p.beats, sentAck{seq: p.beatSeq, at: n.now})
-		if len(p.beats) > maxSentAcks {
-			p.beats = p.beats[1:]
+		p.heartbeatSeq++
+		p.unackedHeartbeats = append(p.unackedHeartbeats, sentSeq{seq: p.heartbeatSeq, at: n.now})
+		if len(p.unackedHeartbeats) > maxSentAcks {
+			p.unackedHeartbeats = p.unackedHeartbeats[1:]
 		}
 		n.send(p.id, &schema.Message{Body: &schema.Message_Heartbeat{Heartbeat: &schema.Heartbeat{
-			Seq: p.beatSeq, Acked: p.beatAck, Epoch: p.epoch,
+			Seq: p.heartbeatSeq, Acked: p.heartbeatAcked, Epoch: p.epoch,
 		}}})
 	}
 }
 
-// leaseOfOthers is a lease on another VM's clock, at the least.
-func (n *Node) leaseOfOthers() time.Duration { return n.cfg.Lease - n.cfg.Lease/clockMargin }
+// peerLease returns the minimum length of a lease as measured by another VM's
+// clock.
+func (n *Node) peerLease() time.Duration { return n.cfg.Lease - n.cfg.Lease/clockDriftDivisor }
 
-// maxSentAcks bounds the acks remembered for a peer that confirms none.
+// maxSentAcks bounds the acks stored for a peer that confirms none.
 const maxSentAcks = 64
 
-// onHeartbeat acks, unless estranged: the peer must not count this VM's copies
-// while this VM grants the peer's keys.
+// onHeartbeat acknowledges a heartbeat, unless this VM stands in for the peer:
+// the peer must not rely on this VM's copies while this VM grants the peer's
+// keys.
 func (n *Node) onHeartbeat(p *peer, m *schema.Heartbeat) {
 	if p == nil {
 		return
 	}
-	p.beatEpoch = m.Epoch
-	if p.estranged {
+	p.heartbeatEpoch = m.Epoch
+	if p.standingIn {
 		n.sendOrphans(p)
 		return
 	}
-	// What the peer confirms as acked bounds from below when its lease ends:
-	// it heard that ack after it was sent.
+	// An ack that the peer confirms gives a lower bound for the end of its
+	// lease: the peer received that ack after it was sent.
 	for len(p.acks) > 0 && p.acks[0].seq <= m.Acked {
-		p.cleanUntil = max(p.cleanUntil, p.acks[0].at+n.cfg.Lease)
+		p.notAloneBefore = max(p.notAloneBefore, p.acks[0].at+n.cfg.Lease)
 		p.acks = p.acks[1:]
 	}
-	p.acks = append(p.acks, sentAck{seq: m.Seq, at: n.now})
+	p.acks = append(p.acks, sentSeq{seq: m.Seq, at: n.now})
 	if len(p.acks) > maxSentAcks {
 		p.acks = p.acks[1:]
 	}
@@ -349,30 +362,31 @@
 }
 
 func (n *Node) onHeartbeatAck(p *peer, m *schema.HeartbeatAck) {
-	if p == nil || m.Seq <= p.beatAck || m.Seq > p.beatSeq {
+	if p == nil || m.Seq <= p.heartbeatAcked || m.Seq > p.heartbeatSeq {
 		return
 	}
-	p.beatAck = m.Seq
-	for len(p.beats) > 0 && p.beats[0].seq <= m.Seq {
-		p.heardUntil = p.beats[0].at + n.leaseOfOthers()
-		p.beats = p.beats[1:]
+	p.heartbeatAcked = m.Seq
+	for len(p.unackedHeartbeats) > 0 && p.unackedHeartbeats[0].seq <= m.Seq {
+		p.noStandInBefore = p.unackedHeartbeats[0].at + n.peerLease()
+		p.unackedHeartbeats = p.unackedHeartbeats[1:]
 	}
-	n.backupHeard(p)
+	n.renewBackupLease(p)
 	n.progressJoin()
 }
 
-// backupHeard renews the lease that the peer, as backup, gives this holder.
-func (n *Node) backupHeard(p *peer) {
+// renewBackupLease renews the lease that the peer, as backup, gives this
+// holder.
+func (n *Node) renewBackupLease(p *peer) {
 	p.ackedAt = n.now
-	if p.solo {
-		p.solo = false
+	if p.bypassed {
+		p.bypassed = false
 		n.startSync(p)
 	}
 }
 
-// watchBackups ends the wait for backups that were silent for a lease, and
-// stands in for holders that were.
-func (n *Node) watchBackups() {
+// checkLeases bypasses backups that have been silent for a lease, and stands in
+// for holders that have been.
+func (n *Node) checkLeases() {
 	if n.phase < active {
 		return
 	}
@@ -380,15 +394,15 @@
 		if !p.member {
 			continue
 		}
-		if !p.solo && n.now >= p.ackedAt+n.cfg.Lease {
-			p.solo = true
+		if !p.bypassed && n.now >= p.ackedAt+n.cfg.Lease {
+			p.bypassed = true
 			p.epoch++
 			p.inFlight = nil
 			p.dirty = nil
-			n.settleWaiting()
+			n.answerWaiting()
 		}
-		if !p.estranged && n.now >= p.heard+n.cfg.Lease {
-			p.estranged = true
+		if !p.standingIn && n.now >= p.lastReceived+n.cfg.Lease {
+			p.standingIn = true
 		}
 	}
 }
@@ -406,7 +420,8 @@
 
 func fromMillis(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// IsMember reports whether an incarnation of a VM of the cell is a member now.
+// IsMember reports whether an incarnation of a VM of the cell is currently a
+// member.
 func (n *Node) IsMember(vm uint32, inc uint64) bool {
 	if vm == n.cfg.Self.ID {
 		return inc == n.cfg.Incarnation && n.phase == active
@@ -415,8 +430,8 @@
 	return p != nil && p.member && p.inc == inc
 }
 
-// Away reports whether a peer is known not to run.
-func (n *Node) Away(vm uint32) bool {
+// IsDown reports whether a peer is known not to be running.
+func (n *Node) IsDown(vm uint32) bool {
 	p := n.peer(vm)
-	return p == nil || p.absent || p.dead || p.left
+	return p == nil || p.notListening || p.dead || p.left
 }
--- a/claim/search_test.go
+++ b/claim/search_test.go
@@ -15,7 +15,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// TestMain fixes the seed and the number of sequences, so that the verdict is
+// TestMain fixes the seed and the number of sequences, so that the result is
 // the same on every run. CHIVEFIELD_SEARCH=random leaves both to the flags.
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -33,7 +33,7 @@
 	testKeys  = 4
 )
 
-// packet is a message or a proof of death on its way.
+// packet is a message or a proof of death in transit.
 type packet struct {
 	from, to uint32
 	inc      uint64
@@ -41,7 +41,7 @@
 	closed   bool
 }
 
-// vmState is one VM of the search, with the process that runs on it.
+// vmState is the state of one VM of the search and its process.
 type vmState struct {
 	node   *Node
 	inc    uint64
@@ -56,7 +56,7 @@
 	ranAt    []uint32 // attempts that ran
 }
 
-type flightRef struct {
+type acquisitionRef struct {
 	key     int
 	attempt uint32
 	vm      uint32
@@ -64,36 +64,38 @@
 	fenced  bool
 }
 
-// sending is a dispatch on its way to the endpoint, which may have been told
-// never to run it.
-type sending struct {
-	flight uint64
-	stream string
+// pendingDispatch is a dispatch in transit to the endpoint, which may have been
+// told never to run it.
+type pendingDispatch struct {
+	acquisition uint64
+	stream      string
 }
 
-// world is a deployment under search. Everything it does is one of rapid's draws.
+// world is a simulated deployment. Every action in it is drawn by rapid.
 type world struct {
-	vms     []VM
-	state   map[uint32]*vmState
-	now     time.Duration
-	nextInc uint64
-	nextID  uint64
-	bag     []packet
-	cut     map[[2]uint32]bool
-	keys    []*keyState
-	flights map[uint64]flightRef
-	granted []uint64
-	onWay   []sending
-	// met are the streams that the endpoint has run or refuses for good.
-	met   map[string]bool
-	naive func(*Node)
-	// ignoresFencing: the endpoint promises never to run a stream and runs it.
+	vms               []VM
+	state             map[uint32]*vmState
+	now               time.Duration
+	nextInc           uint64
+	nextID            uint64
+	inTransit         []packet
+	partitioned       map[[2]uint32]bool
+	keys              []*keyState
+	acquisitions      map[uint64]acquisitionRef
+	granted           []uint64
+	pendingDispatches []pendingDispatch
+	// settledStreams holds the streams that the endpoint has run or has promised
+	// never to run.
+	settledStreams map[string]bool
+	weaken         func(*Node)
+	// ignoresFencing makes the endpoint run streams that it promised never to
+	// run.
 	ignoresFencing bool
 	stats          map[Verdict]int
 }
 
 func newWorld(layout []string) *world {
-	w := &world{state: map[uint32]*vmState{}, cut: map[[2]uint32]bool{}, flights: map[uint64]flightRef{}, met: map[string]bool{}, stats: map[Verdict]int{}}
+	w := &world{state: map[uint32]*vmState{}, partitioned: map[[2]uint32]bool{}, acquisitions: map[uint64]acquisitionRef{}, settledStreams: map[string]bool{}, stats: map[Verdict]int{}}
 	for i, d := range layout {
 		w.vms = append(w.vms, VM{ID: uint32(i + 1), Domain: d})
 	}
@@ -119,27 +121,28 @@
 		TTL: time.Hour, MaxRecords: 1000,
 	}, w.now)
 	if w.now == 0 {
-		s.node.SetFresh(w.now)
+		s.node.SetFirstRun(w.now)
 	}
 	for _, id := range s.node.CellPeers() {
-		if !w.state[id].up && !w.isCut(id, vm.ID) {
-			s.node.PeerAbsent(w.now, id, 0)
+		if !w.state[id].up && !w.isPartitioned(id, vm.ID) {
+			s.node.PeerNotListening(w.now, id, 0)
 		}
 	}
 }
 
-func (w *world) isCut(a, b uint32) bool { return w.cut[[2]uint32{a, b}] }
+func (w *world) isPartitioned(a, b uint32) bool { return w.partitioned[[2]uint32{a, b}] }
 
-// collect takes a node's output: messages go on their way, grants run at once.
+// collect processes a node's output: messages go in transit, grants are
+// dispatched.
 func (w *world) collect(t *rapid.T, id uint32) {
 	s := w.state[id]
-	if w.naive != nil {
-		w.naive(s.node)
+	if w.weaken != nil {
+		w.weaken(s.node)
 	}
 	out := s.node.Take()
 	for _, m := range out.Messages {
-		if !w.isCut(id, m.To) {
-			w.bag = append(w.bag, packet{from: id, to: m.To, inc: s.inc, m: proto.Clone(m.Message).(*schema.Message)})
+		if !w.isPartitioned(id, m.To) {
+			w.inTransit = append(w.inTransit, packet{from: id, to: m.To, inc: s.inc, m: proto.Clone(m.Message).(*schema.Message)})
 		}
 	}
 	for _, r := range out.Results {
@@ -152,22 +155,22 @@
 
 func (w *world) result(t *rapid.T, r Result) {
 	w.stats[r.Verdict]++
-	ref := w.flights[r.Flight]
+	ref := w.acquisitions[r.ID]
 	k := w.keys[ref.key]
 	switch r.Verdict {
 	case Granted:
 		if rapid.IntRange(0, 7).Draw(t, "give back") == 0 {
-			w.state[ref.vm].node.NotDispatched(w.now, r.Flight)
+			w.state[ref.vm].node.NotDispatched(w.now, r.ID)
 			return
 		}
-		w.onWay = append(w.onWay, sending{flight: r.Flight, stream: fmt.Sprint("s", r.Flight)})
+		w.pendingDispatches = append(w.pendingDispatches, pendingDispatch{acquisition: r.ID, stream: fmt.Sprint("s", r.ID)})
 		if rapid.Bool().Draw(t, "slow way") {
-			w.arrive(len(w.onWay) - 1)
+			w.arrive(len(w.pendingDispatches) - 1)
 		}
 	case Held:
 		w.fence(t, r)
 	case Absent:
-		// What a caller does after a fence: its request goes on.
+		// As in core, the request proceeds after its predecessor is fenced.
 		if s := w.state[ref.vm]; s.up && !s.frozen && ref.fenced {
 			w.send(t, ref.vm, ref.key, false, Run)
 		}
@@ -190,33 +193,35 @@
 	}
 }
 
-// arrive lets a dispatch reach the endpoint, which runs it unless it is fenced.
+// arrive delivers a dispatch to the endpoint, which runs it unless it is
+// fenced.
 func (w *world) arrive(i int) {
-	d := w.onWay[i]
-	w.onWay = slices.Delete(w.onWay, i, i+1)
-	if w.met[d.stream] {
+	d := w.pendingDispatches[i]
+	w.pendingDispatches = slices.Delete(w.pendingDispatches, i, i+1)
+	if w.settledStreams[d.stream] {
 		return
 	}
-	w.met[d.stream] = true
-	ref := w.flights[d.flight]
+	w.settledStreams[d.stream] = true
+	ref := w.acquisitions[d.acquisition]
 	k := w.keys[ref.key]
 	k.ran = append(k.ran, fmt.Sprintf("vm%d attempt %d at %v", ref.vm, ref.attempt, w.now))
 	k.ranAt = append(k.ranAt, ref.attempt)
-	w.granted = append(w.granted, d.flight)
+	w.granted = append(w.granted, d.acquisition)
 }
 
-// fence has the endpoint promise never to run a stream it has not met, and
-// gives its claim back. A VM does so at whatever time it finds the claim.
+// fence makes the endpoint promise never to run a stream that it has not
+// received, and releases the stream's claim. A VM may do so at any time after
+// finding the claim.
 func (w *world) fence(t *rapid.T, r Result) {
-	ref := w.flights[r.Flight]
-	if r.Record.State != schema.RecordState_CLAIMED || w.met[r.Record.Stream] || !rapid.Bool().Draw(t, "fence") {
+	ref := w.acquisitions[r.ID]
+	if r.Record.State != schema.RecordState_CLAIMED || w.settledStreams[r.Record.Stream] || !rapid.Bool().Draw(t, "fence") {
 		return
 	}
-	w.met[r.Record.Stream] = !w.ignoresFencing
+	w.settledStreams[r.Record.Stream] = !w.ignoresFencing
 	w.nextID++
 	ref.fenced = true
-	w.flights[w.nextID] = ref
-	w.state[ref.vm].node.Fence(w.now, w.nextID, r.Record, r.Domain)
+	w.acquisitions[w.nextID] = ref
+	w.state[ref.vm].node.ReleaseFenced(w.now, w.nextID, r.Record, r.Domain)
 }
 
 func (w *world) kill(id uint32) {
@@ -225,24 +230,24 @@
 		return
 	}
 	s.up = false
-	w.bag = slices.DeleteFunc(w.bag, func(p packet) bool { return p.to == id && !p.closed })
+	w.inTransit = slices.DeleteFunc(w.inTransit, func(p packet) bool { return p.to == id && !p.closed })
 	for _, peer := range s.node.CellPeers() {
-		if !w.isCut(id, peer) {
-			w.bag = append(w.bag, packet{from: id, to: peer, inc: s.inc, closed: true})
+		if !w.isPartitioned(id, peer) {
+			w.inTransit = append(w.inTransit, packet{from: id, to: peer, inc: s.inc, closed: true})
 		}
 	}
 }
 
 func (w *world) deliver(t *rapid.T, i int, keep bool) {
-	p := w.bag[i]
+	p := w.inTransit[i]
 	s := w.state[p.to]
 	if s.frozen {
 		return
 	}
 	if !keep || p.closed {
-		w.bag = append(w.bag[:i:i], w.bag[i+1:]...)
+		w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 	}
-	if !s.up || w.isCut(p.from, p.to) {
+	if !s.up || w.isPartitioned(p.from, p.to) {
 		return
 	}
 	if p.closed {
@@ -253,7 +258,7 @@
 	w.collect(t, p.to)
 }
 
-// tick lets time pass at every VM that runs.
+// tick advances time at every VM that is running.
 func (w *world) tick(t *rapid.T, d time.Duration) {
 	w.now += d
 	for _, vm := range w.vms {
@@ -264,10 +269,10 @@
 	}
 }
 
-// settle lets the network work for a while without faults of its own.
+// settle runs the network for a while without introducing faults.
 func (w *world) settle(t *rapid.T, rounds int) {
 	for range rounds {
-		for n := len(w.bag); n > 0 && len(w.bag) > 0; n-- {
+		for n := len(w.inTransit); n > 0 && len(w.inTransit) > 0; n-- {
 			w.deliver(t, 0, false)
 		}
 		w.tick(t, 50*time.Millisecond)
@@ -285,11 +290,11 @@
 		intent = Run
 	}
 	w.nextID++
-	// An undeclared attempt gets a number of its own for the checker.
-	w.flights[w.nextID] = flightRef{key: key, attempt: k.attempts, vm: id, inc: w.state[id].inc}
-	w.state[id].node.Acquire(w.now, w.nextID, Wish{
+	// For the checker, an undeclared attempt gets a number of its own.
+	w.acquisitions[w.nextID] = acquisitionRef{key: key, attempt: k.attempts, vm: id, inc: w.state[id].inc}
+	w.state[id].node.Acquire(w.now, w.nextID, Request{
 		Intent: intent, Key: request.Key{Organisation: "org", ID: fmt.Sprint("k", key)}, Digest: 1,
-		Attempt: request.Attempt(attempt), Repeat: repeat, Arrived: w.now, Endpoint: "e", Stream: fmt.Sprint("s", w.nextID),
+		Attempt: request.Attempt(attempt), MayBeRetry: repeat, Arrived: w.now, Endpoint: "e", Stream: fmt.Sprint("s", w.nextID),
 	})
 	w.collect(t, id)
 }
@@ -311,16 +316,16 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"request": request, "request too": request, "request also": request,
 		"deliver": func(t *rapid.T) {
-			if len(w.bag) > 0 {
-				w.deliver(t, rapid.IntRange(0, len(w.bag)-1).Draw(t, "packet"), rapid.IntRange(0, 5).Draw(t, "twice") == 0)
+			if len(w.inTransit) > 0 {
+				w.deliver(t, rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "packet"), rapid.IntRange(0, 5).Draw(t, "twice") == 0)
 			}
 		},
 		"network":    func(t *rapid.T) { w.settle(t, rapid.IntRange(1, 8).Draw(t, "rounds")) },
 		"long quiet": func(t *rapid.T) { w.settle(t, 30) },
 		"lose": func(t *rapid.T) {
-			if len(w.bag) > 0 {
-				i := rapid.IntRange(0, len(w.bag)-1).Draw(t, "packet")
-				w.bag = append(w.bag[:i:i], w.bag[i+1:]...)
+			if len(w.inTransit) > 0 {
+				i := rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "packet")
+				w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 			}
 		},
 		"pause": func(t *rapid.T) { w.tick(t, time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms"))*time.Millisecond) },
@@ -346,40 +351,40 @@
 		"gone": func(t *rapid.T) {
 			gone, at := pickVM(t), pickVM(t)
 			if s := w.state[at]; gone != at && s.up && !s.frozen && !w.state[gone].up {
-				s.node.PeerGone(w.now, gone)
+				s.node.PeerRemoved(w.now, gone)
 				w.collect(t, at)
 			}
 		},
 		"refused": func(t *rapid.T) {
 			away, at := pickVM(t), pickVM(t)
-			if s := w.state[at]; s.up && !s.frozen && !w.state[away].up && !w.isCut(away, at) {
-				s.node.PeerAbsent(w.now, away, s.node.Incarnation(away))
+			if s := w.state[at]; s.up && !s.frozen && !w.state[away].up && !w.isPartitioned(away, at) {
+				s.node.PeerNotListening(w.now, away, s.node.Incarnation(away))
 				w.collect(t, at)
 			}
 		},
 		"cut": func(t *rapid.T) {
 			a, b := pickVM(t), pickVM(t)
-			w.cut[[2]uint32{a, b}] = true
+			w.partitioned[[2]uint32{a, b}] = true
 			if rapid.Bool().Draw(t, "both ways") {
-				w.cut[[2]uint32{b, a}] = true
+				w.partitioned[[2]uint32{b, a}] = true
 			}
 		},
 		"arrive": func(t *rapid.T) {
-			if len(w.onWay) > 0 {
-				w.arrive(rapid.IntRange(0, len(w.onWay)-1).Draw(t, "dispatch"))
+			if len(w.pendingDispatches) > 0 {
+				w.arrive(rapid.IntRange(0, len(w.pendingDispatches)-1).Draw(t, "dispatch"))
 				w.check(t)
 			}
 		},
-		"heal": func(t *rapid.T) { clear(w.cut) },
+		"heal": func(t *rapid.T) { clear(w.partitioned) },
 		"end": func(t *rapid.T) {
 			if len(w.granted) == 0 {
 				return
 			}
 			id := w.granted[0]
 			w.granted = w.granted[1:]
-			ref := w.flights[id]
+			ref := w.acquisitions[id]
 			if s := w.state[ref.vm]; s.up && !s.frozen && s.inc == ref.inc {
-				s.node.Ended(w.now, id, schema.RecordState_ANSWERED)
+				s.node.RecordEnd(w.now, id, schema.RecordState_ANSWERED)
 				w.collect(t, ref.vm)
 			}
 		},
@@ -387,16 +392,17 @@
 	return w
 }
 
-// layouts are the deployments searched: a pair, a cell of three, two domains.
+// layouts lists the deployments searched: a pair, a cell of three, two domains.
 var layouts = map[string][]string{
 	"pair":        {"a", "a"},
 	"three":       {"a", "a", "a"},
 	"two domains": {"a", "a", "b", "b"},
 }
 
-// TestSearch: a key runs twice, or runs after its attempt was refused, while
-// VMs are killed, restarted, frozen and cut off and messages are lost, doubled,
-// delayed and reordered. The cause would be a hole in the claim protocol.
+// TestSearch checks that no key runs twice, or runs after its attempt was
+// refused, while VMs are killed, restarted, frozen and partitioned and messages
+// are lost, duplicated, delayed and reordered. A failure is a fault of the
+// claim protocol.
 func TestSearch(t *testing.T) {
 	for name, layout := range layouts {
 		t.Run(name, func(t *testing.T) {
@@ -411,8 +417,9 @@
 	}
 }
 
-// TestControls: the search would be blind if it passed whatever the protocol
-// does. Each control takes one guard away and must be found out.
+// TestControls checks that the search detects faults; otherwise its passing
+// would prove nothing. Each control removes one safeguard of the protocol, and
+// the search must find a failure.
 func TestControls(t *testing.T) {
 	controls := map[string]struct {
 		layout string
@@ -422,14 +429,14 @@
 		"every death is clean":  {"pair", func(n *Node) { n.lost = nil }},
 		"silence is death": {"pair", func(n *Node) {
 			for _, p := range n.peers {
-				if p.member && n.now >= p.heard+n.cfg.Lease {
+				if p.member && n.now >= p.lastReceived+n.cfg.Lease {
 					p.member = false
 				}
 			}
 		}},
 		"a silent backup is no backup": {"pair", func(n *Node) {
 			for _, p := range n.peers {
-				p.member = p.member && !p.solo
+				p.member = p.member && !p.bypassed
 			}
 		}},
 		"joins at once": {"three", func(n *Node) {
@@ -441,23 +448,23 @@
 	}
 	for name, c := range controls {
 		t.Run(name, func(t *testing.T) {
-			if !findsFault(t, func(t *rapid.T) { search(t, layouts[c.layout], func(w *world) { w.naive = c.naive }) }) {
-				t.Fatal("the search passed a protocol without its guard")
+			if !findsFault(t, func(t *rapid.T) { search(t, layouts[c.layout], func(w *world) { w.weaken = c.naive }) }) {
+				t.Fatal("search did not detect the removed safeguard")
 			}
 		})
 	}
 }
 
-// TestControlFencing: claims are given back on the word of an endpoint that
-// does not keep it, as engines are that ignore fencing. That must be found out,
-// and is why only endpoints configured to check fencing are asked.
+// TestControlFencing checks that the search finds a failure if claims are
+// released on the promise of an endpoint that breaks it, as engines that ignore
+// fencing do. This is why only endpoints configured to check fencing are asked.
 func TestControlFencing(t *testing.T) {
 	if !findsFault(t, func(t *rapid.T) { search(t, layouts["pair"], func(w *world) { w.ignoresFencing = true }) }) {
-		t.Fatal("the search passed an endpoint that breaks its promise")
+		t.Fatal("search did not detect an endpoint that runs fenced streams")
 	}
 }
 
-// quietTB takes the failure of a property as a result.
+// quietTB records the failure of a property instead of reporting it.
 type quietTB struct {
 	*testing.T
 	failed bool
@@ -471,7 +478,7 @@
 func (q *quietTB) Logf(string, ...any)       {}
 func (q *quietTB) Log(...any)                {}
 
-// findsFault runs a property apart from the test.
+// findsFault reports whether a property fails, without failing the test.
 func findsFault(t *testing.T, prop func(*rapid.T)) (found bool) {
 	_ = flag.Set("rapid.shrinktime", "0s")
 	q := &quietTB{T: t}
--- a/core/calls.go
+++ b/core/calls.go
@@ -10,60 +10,62 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// stage is where a request is on its way.
+// stage is the processing stage of a request.
 type stage int
 
 const (
-	finding  stage = iota // asking whether it ran before
-	queued                // waiting for an endpoint
-	claiming              // assigned, waiting for the claim
-	running               // dispatched
-	attached              // reading another dispatch's answer
-	fencing               // giving back another dispatch's claim
-	refusing              // making "not run" certain
+	lookingUp stage = iota // looking up whether it ran before
+	queued                 // waiting for an endpoint
+	claiming               // assigned, waiting for the claim
+	running                // dispatched
+	attached               // reading the response of another dispatch
+	fencing                // releasing the claim of another, fenced dispatch
+	refusing               // ensuring that "not run" stays true
 )
 
-// call is one request of a caller.
+// call represents one request of a caller.
 type call struct {
 	handle  uint64
 	spec    request.Spec
 	arrived time.Duration
 	stage   stage
-	// flight is the present or granted claim flight; 0 if none.
-	flight  uint64
+	// claimID is the id of the pending or granted claim acquisition; 0 if none.
+	claimID uint64
 	granted bool
-	// assigned is the scheduler's decision that waits for the claim.
+	// assigned is the scheduler's assignment that waits for the claim.
 	assigned sched.Assignment
 	refusal  sched.Refusal
 	retries  int
-	// record and domain are of the dispatch that is attached to.
+	// record and domain describe the dispatch to which the call is attached.
 	record *schema.Record
 	domain string
-	// stopReason is set once a stop was ordered.
+	// stopReason is set once a Stop effect has been emitted.
 	stopReason request.Reason
 }
 
-// maxRetries bounds how often a request that provably ran nowhere is sent again.
+// maxRetries bounds how often a request that provably ran nowhere is dispatched
+// again.
 const maxRetries = 2
 
-func (n *Node) arrive(ev Arrive) {
+func (n *Node) onArrive(ev Arrive) {
 	c := &call{handle: ev.Handle, spec: ev.Spec, arrived: n.now}
 	n.calls[ev.Handle] = c
 	if c.spec.OutputTokens > 0 {
-		c.spec.OutputTokens = n.learned.expect(c.spec.Kind, c.spec.OutputTokens, c.spec.MaxOutputTokens)
+		c.spec.OutputTokens = n.outputEstimates.estimate(c.spec.Kind, c.spec.OutputTokens, c.spec.MaxOutputTokens)
 	}
 	switch {
 	case n.draining:
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonShutdown, RetryAfter: drainRetryAfter})
 	case c.spec.MayBeRetry():
-		c.stage = finding
-		n.fly(c, claim.Find)
+		c.stage = lookingUp
+		n.startClaim(c, claim.Find)
 	default:
 		n.enqueue(c)
 	}
 }
 
-// drainRetryAfter is when a caller of a VM that shuts down may ask another one.
+// drainRetryAfter is the delay after which a caller refused by a draining VM
+// may retry at another VM.
 const drainRetryAfter = 100 * time.Millisecond
 
 func (n *Node) enqueue(c *call) {
@@ -71,36 +73,37 @@
 	n.sched.Submit(n.now, c.handle, c.spec)
 }
 
-// fly starts a claim flight for a call.
-func (n *Node) fly(c *call, intent claim.Intent) {
-	unused := c.flight
-	n.newFlight(c)
-	n.claims.Acquire(n.now, c.flight, claim.Wish{
+// startClaim starts a claim acquisition for a call.
+func (n *Node) startClaim(c *call, intent claim.Intent) {
+	unused := c.claimID
+	n.newClaimID(c)
+	n.claims.Acquire(n.now, c.claimID, claim.Request{
 		Intent: intent, Replaces: unused, HomeOnly: !c.spec.TrustFirstAttempt, Key: c.spec.Key, Digest: c.spec.Digest, Attempt: c.spec.Attempt,
-		Repeat: c.spec.MayBeRetry(), Arrived: c.arrived,
+		MayBeRetry: c.spec.MayBeRetry(), Arrived: c.arrived,
 		Endpoint: c.assigned.Endpoint, Stream: n.stream(c),
 	})
 }
 
-func (n *Node) newFlight(c *call) {
-	delete(n.flights, c.flight)
-	n.lastFlight++
-	c.flight = n.lastFlight
-	n.flights[c.flight] = c
+func (n *Node) newClaimID(c *call) {
+	delete(n.callsByClaim, c.claimID)
+	n.lastClaimID++
+	c.claimID = n.lastClaimID
+	n.callsByClaim[c.claimID] = c
 }
 
-// stream names the dispatch at the endpoint. No other dispatch has the name,
-// not even a retry of the same call: fencing one must not touch the other.
+// stream returns the stream id of the call's dispatch at the endpoint. No other
+// dispatch has the same id, not even a retry of the same call: fencing one must
+// not affect the other.
 func (n *Node) stream(c *call) string {
 	return fmt.Sprintf("%d-%x-%d-%d", n.cfg.Claim.Self.ID, n.cfg.Claim.Incarnation, c.handle, c.retries)
 }
 
-func (n *Node) assigned(a sched.Assignment) {
+func (n *Node) onAssigned(a sched.Assignment) {
 	c := n.calls[a.Handle]
 	c.assigned = a
 	c.granted = false
 	c.stage = claiming
-	n.fly(c, claim.Run)
+	n.startClaim(c, claim.Run)
 }
 
 func (n *Node) dispatch(c *call) {
@@ -108,14 +111,14 @@
 	n.emit(Dispatch{Handle: c.handle, Endpoint: c.assigned.Endpoint, Stream: n.stream(c), Candidates: c.assigned.Candidates})
 }
 
-// claimResult goes on with the call whose flight ended.
-func (n *Node) claimResult(r claim.Result) {
-	c := n.flights[r.Flight]
+// onClaimResult continues the call whose claim acquisition ended.
+func (n *Node) onClaimResult(r claim.Result) {
+	c := n.callsByClaim[r.ID]
 	if c == nil {
 		return
 	}
 	if r.Verdict != claim.Granted {
-		n.endFlight(c)
+		n.clearClaim(c)
 		n.releaseSlot(c)
 	}
 	switch r.Verdict {
@@ -124,7 +127,7 @@
 	case claim.Absent:
 		n.enqueue(c)
 	case claim.Held:
-		n.held(c, r)
+		n.onHeld(c, r)
 	case claim.Conflict:
 		delete(n.calls, c.handle)
 		n.emit(Conflict{Handle: c.handle})
@@ -135,14 +138,15 @@
 	}
 }
 
-// unknownRetryAfter is when asking again may tell more.
+// unknownRetryAfter is the delay after which a retry may get a definite
+// outcome.
 const unknownRetryAfter = 2 * time.Second
 
 func (n *Node) claimGranted(c *call) {
 	c.granted = true
 	if n.now >= c.spec.Deadline {
-		n.claims.NotDispatched(n.now, c.flight)
-		n.endFlight(c)
+		n.claims.NotDispatched(n.now, c.claimID)
+		n.clearClaim(c)
 		n.releaseSlot(c)
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonTooLate, RetryAfter: unknownRetryAfter})
 		return
@@ -150,21 +154,23 @@
 	n.dispatch(c)
 }
 
-func (n *Node) endFlight(c *call) {
-	delete(n.flights, c.flight)
-	c.flight = 0
+func (n *Node) clearClaim(c *call) {
+	delete(n.callsByClaim, c.claimID)
+	c.claimID = 0
 	c.granted = false
 }
 
-// releaseSlot gives the endpoint's room back if the call held it undispatched.
+// releaseSlot releases the endpoint slot of a call that was assigned but not
+// dispatched.
 func (n *Node) releaseSlot(c *call) {
 	if c.stage == claiming {
 		n.sched.Done(n.now, c.handle)
 	}
 }
 
-// held answers from another dispatch of the same key.
-func (n *Node) held(c *call, held claim.Result) {
+// onHeld handles a claim held by another dispatch of the same key: the call
+// attaches to it, or is cancelled if that dispatch was.
+func (n *Node) onHeld(c *call, held claim.Result) {
 	r := held.Record
 	if r.State == schema.RecordState_CANCELLED {
 		n.finish(c, request.Cancelled, request.ReasonRefusedBefore, 0)
@@ -175,18 +181,18 @@
 	n.emit(Attach{Handle: c.handle, Record: r})
 }
 
-// refused handles the scheduler's refusal.
-func (n *Node) refused(r sched.Refusal) {
+// onRefused handles a refusal by the scheduler.
+func (n *Node) onRefused(r sched.Refusal) {
 	c := n.calls[r.Handle]
 	if c.granted {
-		n.claims.NotDispatched(n.now, c.flight)
-		n.endFlight(c)
+		n.claims.NotDispatched(n.now, c.claimID)
+		n.clearClaim(c)
 	}
 	n.refuse(c, r)
 }
 
-// refuse answers "not run". For a request that may have been sent before, that
-// has to be made certain first: no earlier attempt ran, and none will.
+// refuse answers "not run". For a request that may have been sent before, a
+// claim must first ensure that no earlier attempt ran and that none will.
 func (n *Node) refuse(c *call, r sched.Refusal) {
 	c.refusal = r
 	if !c.spec.MayBeRetry() {
@@ -194,24 +200,25 @@
 		return
 	}
 	c.stage = refusing
-	n.fly(c, claim.Refuse)
+	n.startClaim(c, claim.Refuse)
 }
 
-func (n *Node) finishNotRun(c *call, why request.Reason) {
-	after := unknownRetryAfter
+func (n *Node) finishNotRun(c *call, reason request.Reason) {
+	retryAfter := unknownRetryAfter
 	if c.stage == refusing {
-		why, after = c.refusal.Reason, c.refusal.RetryAfter
+		reason, retryAfter = c.refusal.Reason, c.refusal.RetryAfter
 	}
-	n.finish(c, request.NotRun, why, after)
+	n.finish(c, request.NotRun, reason, retryAfter)
 }
 
-func (n *Node) finish(c *call, o request.Outcome, why request.Reason, after time.Duration) {
+func (n *Node) finish(c *call, o request.Outcome, reason request.Reason, retryAfter time.Duration) {
 	delete(n.calls, c.handle)
-	n.emit(Finish{Handle: c.handle, Outcome: o, Reason: why, RetryAfter: after})
+	n.emit(Finish{Handle: c.handle, Outcome: o, Reason: reason, RetryAfter: retryAfter})
 }
 
-// callerGone forgets a request that was not dispatched; one that was goes on.
-func (n *Node) callerGone(handle uint64) {
+// onCallerDisconnected drops a request that has not been dispatched. A
+// dispatched request continues.
+func (n *Node) onCallerDisconnected(handle uint64) {
 	c := n.calls[handle]
 	if c == nil {
 		return
@@ -222,12 +229,13 @@
 	n.abandon(c)
 }
 
-// abandon ends a call that was not dispatched and whose caller needs no answer.
+// abandon removes a call that was not dispatched and whose caller needs no
+// response.
 func (n *Node) abandon(c *call) {
 	n.sched.Withdraw(n.now, c.handle)
-	if c.flight != 0 {
-		n.claims.Forget(n.now, c.flight)
-		n.endFlight(c)
+	if c.claimID != 0 {
+		n.claims.Abandon(n.now, c.claimID)
+		n.clearClaim(c)
 	}
 	n.releaseSlot(c)
 	delete(n.calls, c.handle)
@@ -246,29 +254,30 @@
 	n.emit(Finish{Handle: handle, Outcome: request.Cancelled, Reason: request.ReasonCallerGone})
 }
 
-func (n *Node) stop(c *call, why request.Reason) {
+func (n *Node) stop(c *call, reason request.Reason) {
 	if c.stopReason != "" {
 		return
 	}
-	c.stopReason = why
-	n.emit(Stop{Handle: c.handle, Reason: why})
+	c.stopReason = reason
+	n.emit(Stop{Handle: c.handle, Reason: reason})
 }
 
-// stopForHigherTier stops running work, or drops it if it is not dispatched yet.
+// stopForHigherTier stops a running request, or refuses it if it has not been
+// dispatched yet.
 func (n *Node) stopForHigherTier(handle uint64) {
 	c := n.calls[handle]
 	if c.stage == running {
 		n.stop(c, request.ReasonHigherTier)
 		return
 	}
-	n.claims.Forget(n.now, c.flight)
-	n.endFlight(c)
+	n.claims.Abandon(n.now, c.claimID)
+	n.clearClaim(c)
 	n.releaseSlot(c)
 	n.refuse(c, sched.Refusal{Handle: handle, Reason: request.ReasonHigherTier, RetryAfter: unknownRetryAfter})
 }
 
-// stopLate stops what can no longer be in time.
-func (n *Node) stopLate() {
+// stopExpired stops running idempotent requests whose deadline has passed.
+func (n *Node) stopExpired() {
 	for _, c := range n.sortedCalls() {
 		if c.stage == running && c.spec.Idempotent && n.now >= c.spec.Deadline {
 			n.stop(c, request.ReasonDeadlinePassed)
@@ -276,89 +285,89 @@
 	}
 }
 
-// ended handles the end of a dispatch or attachment.
-func (n *Node) ended(ev Ended) {
+// onEnded handles the end of a dispatch or attachment.
+func (n *Node) onEnded(ev Ended) {
 	c := n.calls[ev.Handle]
 	if c == nil {
 		return
 	}
 	if c.stage == attached {
-		n.endedAttachment(c, ev.End)
+		n.onAttachmentEnded(c, ev.End)
 		return
 	}
-	if ev.End == NotTaken && c.stopReason == "" {
+	if ev.End == NotAccepted && c.stopReason == "" {
 		n.retry(c)
 		return
 	}
 	if ev.End == Fenced {
-		n.startOver(c)
+		n.restartLookup(c)
 		return
 	}
-	n.sched.Tokens(n.now, c.handle, ev.Tokens)
+	n.sched.RecordTokens(n.now, c.handle, ev.Tokens)
 	n.sched.Done(n.now, c.handle)
-	flight := c.flight
-	n.endFlight(c)
+	claimID := c.claimID
+	n.clearClaim(c)
 	switch ev.End {
-	case Whole:
-		n.learned.observe(c.spec.Kind, ev.Tokens)
-		n.claims.Ended(n.now, flight, schema.RecordState_ANSWERED)
+	case Complete:
+		n.outputEstimates.observe(c.spec.Kind, ev.Tokens)
+		n.claims.RecordEnd(n.now, claimID, schema.RecordState_ANSWERED)
 		n.finish(c, request.Answered, request.ReasonDone, 0)
-	case NotTaken:
-		n.claims.NotDispatched(n.now, flight)
+	case NotAccepted:
+		n.claims.NotDispatched(n.now, claimID)
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: c.stopReason, RetryAfter: unknownRetryAfter})
 	case Stopped:
-		n.claims.Ended(n.now, flight, schema.RecordState_CANCELLED)
+		n.claims.RecordEnd(n.now, claimID, schema.RecordState_CANCELLED)
 		n.finish(c, request.Cancelled, c.stopReason, 0)
 	default:
-		n.claims.Ended(n.now, flight, schema.RecordState_UNKNOWN)
+		n.claims.RecordEnd(n.now, claimID, schema.RecordState_UNKNOWN)
 		n.finish(c, request.Unknown, request.ReasonStreamBroken, unknownRetryAfter)
 	}
 }
 
-func (n *Node) endedAttachment(c *call, end End) {
+func (n *Node) onAttachmentEnded(c *call, end End) {
 	switch end {
 	case Fenced:
-		n.fence(c)
-	case Whole:
+		n.releaseFenced(c)
+	case Complete:
 		n.finish(c, request.Answered, request.ReasonDone, 0)
 	case Stopped:
 		n.finish(c, request.Cancelled, request.ReasonCallerGone, 0)
-	case Missing, NotTaken:
+	case NotFound, NotAccepted:
 		n.finish(c, request.Unknown, request.ReasonAnswerExpired, unknownRetryAfter)
 	default:
 		n.finish(c, request.Unknown, request.ReasonStreamBroken, unknownRetryAfter)
 	}
 }
 
-// fence gives back the claim of a dispatch that its endpoint promises never to
-// run; then the request goes its own way.
-func (n *Node) fence(c *call) {
+// releaseFenced releases the claim of a dispatch whose endpoint has promised
+// never to run it. Then the request proceeds on its own.
+func (n *Node) releaseFenced(c *call) {
 	c.stage = fencing
-	n.newFlight(c)
-	n.claims.Fence(n.now, c.flight, c.record, c.domain)
+	n.newClaimID(c)
+	n.claims.ReleaseFenced(n.now, c.claimID, c.record, c.domain)
 }
 
-// startOver asks anew whether the request runs, after another VM had its
-// endpoint refuse this dispatch and gave its claim back.
-func (n *Node) startOver(c *call) {
+// restartLookup looks up the request's claim again after another VM fenced this
+// dispatch at its endpoint and released its claim.
+func (n *Node) restartLookup(c *call) {
 	n.sched.Done(n.now, c.handle)
-	n.claims.NotDispatched(n.now, c.flight)
-	n.endFlight(c)
+	n.claims.NotDispatched(n.now, c.claimID)
+	n.clearClaim(c)
 	c.spec.Attempt = request.UndeclaredAttempt
 	c.retries++
-	c.stage = finding
-	n.fly(c, claim.Find)
+	c.stage = lookingUp
+	n.startClaim(c, claim.Find)
 }
 
-// retry sends a request that provably ran nowhere to another endpoint, within
-// its budget. The new claim takes the place of the one it has.
+// retry moves a request that provably ran nowhere to another endpoint, up to
+// maxRetries times. The new claim replaces the existing one.
 func (n *Node) retry(c *call) {
 	c.retries++
 	if c.retries > maxRetries {
-		n.sched.Rest(n.now, c.assigned.Endpoint)
+		n.sched.Backoff(n.now, c.assigned.Endpoint)
 		n.sched.Done(n.now, c.handle)
-		n.claims.NotDispatched(n.now, c.flight)
-		n.endFlight(c)
+		n.claims.NotDispatched(n.now, c.claimID)
+		n.clearClaim(c)
 		n.refuse(c, sched.Refusal{Handle: c.handle, Reason: request.ReasonEndpointFailed, RetryAfter: unknownRetryAfter})
 		return
 	}
--- a/core/node.go
+++ b/core/node.go
@@ -11,17 +11,19 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Config is fixed for the life of a process.
+// Config holds the settings of a Node. They are fixed for the lifetime of a
+// process.
 type Config struct {
 	Claim claim.Config
 	Sched sched.Config
-	// DigestEvery is the interval of digests to peers.
-	DigestEvery time.Duration
-	// ConfigEvery is the interval at which one peer is asked for newer configuration.
-	ConfigEvery time.Duration
-	// CarryEvery is the interval at which the document in force is repeated on
-	// the log; well under its retention.
-	CarryEvery time.Duration
+	// DigestInterval is the interval at which digests are sent to peers.
+	DigestInterval time.Duration
+	// ConfigPollInterval is the interval at which one peer is asked for newer
+	// configuration.
+	ConfigPollInterval time.Duration
+	// RepublishInterval is the interval at which the current document is
+	// appended to the log again. It must be well below the retention of the log.
+	RepublishInterval time.Duration
 }
 
 // Node is the decision core of one VM. It is not safe for concurrent use.
@@ -32,36 +34,37 @@
 	sched  *sched.Scheduler
 	conf   *configState
 	calls  map[uint64]*call
-	// flights maps claim flights to calls.
-	flights    map[uint64]*call
-	lastFlight uint64
-	learned    estimator
-	digestAt   time.Duration
-	digestSent time.Duration
-	lastDigest *schema.Digest
-	draining   bool
-	drained    bool
-	out        []Effect
+	// callsByClaim maps the ids of claim acquisitions to calls.
+	callsByClaim    map[uint64]*call
+	lastClaimID     uint64
+	outputEstimates estimator
+	nextDigestAt    time.Duration
+	digestSentAt    time.Duration
+	lastDigest      *schema.Digest
+	draining        bool
+	drained         bool
+	effects         []Effect
 }
 
-// New returns a node that has not joined and knows no configuration.
+// New returns a node that has not joined its cell and has no configuration.
 func New(cfg Config, now time.Duration) *Node {
 	n := &Node{
-		cfg:     cfg,
-		now:     now,
-		claims:  claim.New(cfg.Claim, now),
-		sched:   sched.New(cfg.Sched),
-		calls:   make(map[uint64]*call),
-		flights: make(map[uint64]*call),
-		learned: make(estimator),
+		cfg:             cfg,
+		now:             now,
+		claims:          claim.New(cfg.Claim, now),
+		sched:           sched.New(cfg.Sched),
+		calls:           make(map[uint64]*call),
+		callsByClaim:    make(map[uint64]*call),
+		outputEstimates: make(estimator),
 	}
 	n.conf = newConfigState(cfg, now)
-	n.sched.SetPeers(n.sharers())
+	n.sched.SetPeers(n.otherVMs())
 	return n
 }
 
-// sharers are the VMs that use the same endpoints: all others of the deployment.
-func (n *Node) sharers() []uint32 {
+// otherVMs returns all other VMs of the deployment. They share the endpoints
+// with this VM.
+func (n *Node) otherVMs() []uint32 {
 	var ids []uint32
 	for _, vm := range n.cfg.Claim.VMs {
 		if vm.ID != n.cfg.Claim.Self.ID {
@@ -71,13 +74,13 @@
 	return ids
 }
 
-// Step handles one event and returns what to do.
+// Step handles one event and returns the effects to execute.
 func (n *Node) Step(now time.Duration, ev Event) []Effect {
 	n.now = now
 	n.handle(ev)
-	n.settle()
-	out := n.out
-	n.out = nil
+	n.propagate()
+	out := n.effects
+	n.effects = nil
 	return out
 }
 
@@ -86,57 +89,57 @@
 	case Tick:
 		n.tick()
 	case Arrive:
-		n.arrive(ev)
-	case CallerGone:
-		n.callerGone(ev.Handle)
+		n.onArrive(ev)
+	case CallerDisconnected:
+		n.onCallerDisconnected(ev.Handle)
 	case Cancel:
 		n.cancel(ev.Handle)
 	case FirstToken:
-		n.sched.FirstToken(n.now, ev.Handle)
+		n.sched.RecordFirstToken(n.now, ev.Handle)
 	case Progress:
-		n.sched.Tokens(n.now, ev.Handle, ev.Tokens)
+		n.sched.RecordTokens(n.now, ev.Handle, ev.Tokens)
 	case Ended:
-		n.ended(ev)
+		n.onEnded(ev)
 	case PeerMessage:
-		n.receive(ev)
+		n.onPeerMessage(ev)
 	case PeerClosed:
 		n.claims.PeerClosed(n.now, ev.VM, ev.Incarnation)
-	case PeerAbsent:
-		n.claims.PeerAbsent(n.now, ev.VM, ev.Incarnation)
-	case PeerGone:
-		n.claims.PeerGone(n.now, ev.VM)
+	case PeerNotListening:
+		n.claims.PeerNotListening(n.now, ev.VM, ev.Incarnation)
+	case PeerRemoved:
+		n.claims.PeerRemoved(n.now, ev.VM)
 	case LogRead:
-		n.logRead(ev)
+		n.applyLog(ev)
 	case LogFailed:
-		n.conf.sawEnd = n.conf.sawEnd && n.conf.ledgerKnown()
+		n.conf.reachedLogEnd = n.conf.reachedLogEnd && n.conf.hasConfig()
 	case EndpointLeaving:
-		n.sched.Leaving(n.now, ev.Endpoint, ev.Leaving)
+		n.sched.SetLeaving(n.now, ev.Endpoint, ev.Leaving)
 	case CacheEvents:
-		n.cacheEvents(ev)
+		n.applyCacheEvents(ev)
 	case Drain:
 		n.drain()
 	}
 }
 
-func (n *Node) cacheEvents(ev CacheEvents) {
+func (n *Node) applyCacheEvents(ev CacheEvents) {
 	if ev.Gap {
-		n.sched.CacheGap(ev.Endpoint)
+		n.sched.ClearCacheIndex(ev.Endpoint)
 	}
-	n.sched.CacheEvent(ev.Endpoint, ev.Stored, ev.Dropped)
+	n.sched.ApplyCacheEvents(ev.Endpoint, ev.Stored, ev.Dropped)
 }
 
-func (n *Node) receive(ev PeerMessage) {
+func (n *Node) onPeerMessage(ev PeerMessage) {
 	switch b := ev.Message.Body.(type) {
 	case *schema.Message_Digest:
-		n.sched.Digest(n.now, ev.From, b.Digest)
+		n.sched.ApplyDigest(n.now, ev.From, b.Digest)
 	case *schema.Message_Yield:
-		n.sched.Yield(n.now, ev.From, b.Yield)
+		n.sched.HandleYield(n.now, ev.From, b.Yield)
 	case *schema.Message_YieldResult:
-		n.sched.YieldResult(n.now, ev.From, b.YieldResult)
+		n.sched.HandleYieldResult(n.now, ev.From, b.YieldResult)
 	case *schema.Message_ConfigOffer:
-		n.configOffer(ev.From, b.ConfigOffer)
+		n.onConfigOffer(ev.From, b.ConfigOffer)
 	case *schema.Message_ConfigWant:
-		n.configWant(ev.From, b.ConfigWant)
+		n.onConfigWant(ev.From, b.ConfigWant)
 	default:
 		n.claims.Receive(n.now, ev.From, ev.Incarnation, ev.Message)
 	}
@@ -145,52 +148,54 @@
 func (n *Node) tick() {
 	n.claims.Tick(n.now)
 	n.sched.Tick(n.now)
-	n.stopLate()
-	if n.now >= n.digestAt {
-		n.digestAt = n.now + n.cfg.DigestEvery
+	n.stopExpired()
+	if n.now >= n.nextDigestAt {
+		n.nextDigestAt = n.now + n.cfg.DigestInterval
 		n.sendDigest()
 	}
-	n.configTick()
+	n.tickConfig()
 	n.progressDrain()
 }
 
-// digestsKept is how many intervals an unchanged digest is not repeated, well
-// under the time for which peers believe it.
-const digestsKept = 10
+// unchangedDigestIntervals is the number of intervals for which an unchanged
+// digest is not sent again. The resulting time is well below the time for which
+// peers consider a digest valid.
+const unchangedDigestIntervals = 10
 
-// sendDigest tells peers of this VM's use of endpoints when it has changed, and
-// now and then when it has not.
+// sendDigest sends this VM's endpoint usage to its peers if it has changed, and
+// periodically if it has not.
 func (n *Node) sendDigest() {
 	d := n.sched.MakeDigest(n.now)
-	if proto.Equal(d, n.lastDigest) && n.now < n.digestSent+digestsKept*n.cfg.DigestEvery {
+	if proto.Equal(d, n.lastDigest) && n.now < n.digestSentAt+unchangedDigestIntervals*n.cfg.DigestInterval {
 		return
 	}
-	n.lastDigest, n.digestSent = d, n.now
+	n.lastDigest, n.digestSentAt = d, n.now
 	n.broadcast(&schema.Message{Body: &schema.Message_Digest{Digest: d}})
 }
 
 func (n *Node) broadcast(m *schema.Message) {
-	for _, id := range n.sharers() {
+	for _, id := range n.otherVMs() {
 		n.emit(Send{To: id, Message: m})
 	}
 }
 
-func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
+func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
-// settle passes decisions between the parts until none is left.
-func (n *Node) settle() {
+// propagate passes decisions between claims and scheduler until neither
+// produces a new one.
+func (n *Node) propagate() {
 	for {
 		c := n.claims.Take()
 		s := n.sched.Take()
-		n.claimOutput(c)
-		n.schedOutput(s)
+		n.applyClaimOutput(c)
+		n.applySchedOutput(s)
 		if len(c.Results) == 0 && len(s.Assignments)+len(s.Refusals)+len(s.Stops) == 0 {
 			return
 		}
 	}
 }
 
-func (n *Node) claimOutput(o claim.Output) {
+func (n *Node) applyClaimOutput(o claim.Output) {
 	for _, m := range o.Messages {
 		n.emit(Send{To: m.To, Message: m.Message})
 	}
@@ -198,19 +203,19 @@
 		n.emit(Takeover{VM: t.VM, Clean: t.Clean})
 	}
 	for _, r := range o.Results {
-		n.claimResult(r)
+		n.onClaimResult(r)
 	}
 	if o.Fenced {
-		n.emit(Expelled{})
+		n.emit(DeclaredDead{})
 	}
 }
 
-func (n *Node) schedOutput(o sched.Output) {
+func (n *Node) applySchedOutput(o sched.Output) {
 	for _, a := range o.Assignments {
-		n.assigned(a)
+		n.onAssigned(a)
 	}
 	for _, r := range o.Refusals {
-		n.refused(r)
+		n.onRefused(r)
 	}
 	for _, h := range o.Stops {
 		n.stopForHigherTier(h)
@@ -223,7 +228,8 @@
 	}
 }
 
-// drain refuses new requests, ends what is here and hands over the keys.
+// drain refuses new requests, lets the present ones finish and hands over this
+// VM's keys.
 func (n *Node) drain() {
 	if n.draining {
 		return
@@ -239,17 +245,19 @@
 	}
 }
 
-// PeerIncarnation returns the incarnation known of a cell peer, 0 for none.
+// PeerIncarnation returns the newest known incarnation of a cell peer, or 0 if
+// there is none.
 func (n *Node) PeerIncarnation(vm uint32) uint64 { return n.claims.Incarnation(vm) }
 
-// CellPeers returns the VMs whose connections must be watched.
+// CellPeers returns the VMs to which the caller must keep a connection and
+// report when it is closed.
 func (n *Node) CellPeers() []uint32 { return n.claims.CellPeers() }
 
-// Status is what an operator wants to see of a VM.
+// Status is the state of a VM as reported to operators.
 type Status struct {
-	// Ready: the balancer may send requests.
+	// Ready reports whether the load balancer may send requests to this VM.
 	Ready bool
-	// Why says what is missing if not.
+	// Why states why the VM is not ready; it is empty if the VM is ready.
 	Why      string
 	Version  uint64
 	Draining bool
@@ -259,7 +267,7 @@
 	Claims   claim.Stats
 }
 
-// Status returns the present state.
+// Status returns the current status.
 func (n *Node) Status() Status {
 	s := Status{
 		Draining: n.draining, Calls: len(n.calls), Queued: n.sched.Queued(), Running: n.sched.Running(),
@@ -274,7 +282,7 @@
 	switch {
 	case n.draining:
 		return "draining"
-	case n.conf.ledger.Blocked():
+	case n.conf.stateMachine.Blocked():
 		return "the log has a configuration of a newer schema"
 	case !n.conf.current():
 		return "the configuration is not proven current"
@@ -282,13 +290,14 @@
 		return "no configuration was accepted yet"
 	case !c.Active:
 		return "not every VM of the failure domain has been reached"
-	case n.pastPending():
+	case n.historyPending():
 		return "the log has not shown yet whether the failure domain ran before"
 	}
 	return ""
 }
 
-// Rules returns what is in force, or nil while that is not proven.
+// Rules returns the current configuration, or nil while it is not proven
+// current.
 func (n *Node) Rules() *config.Rules {
 	if !n.conf.current() {
 		return nil
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -9,64 +9,67 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Endpoint is one engine or service as configured.
+// Endpoint is the configuration of an engine or service.
 type Endpoint struct {
 	Name string
-	// Models or Kinds it serves; one of the two is empty.
+	// Models or Kinds that it serves; one of the two is empty.
 	Models []string
 	Kinds  []string
 	// Prices per million tokens.
 	PrefillPrice, OutputPrice float64
-	// Slots is how many requests it runs at the same time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Speeds in tokens a second: prompts one after another, output per request.
+	// Speeds in tokens per second. Prefill is sequential across requests;
+	// OutputSpeed is per request.
 	PrefillSpeed, OutputSpeed float64
 	Leaving                   bool
 }
 
 const (
-	// indexBlocks bounds the prompt blocks remembered for one endpoint.
-	indexBlocks = 8192
-	// blockTokens is the length of a block of a prompt.
+	// maxIndexBlocks bounds the prompt blocks indexed per endpoint.
+	maxIndexBlocks = 8192
+	// blockTokens is the length of a prompt block in tokens.
 	blockTokens = 64
-	// learnRate is the weight of a new observation of speed.
-	learnRate = 0.2
-	// forgetAfter is how long an unfavourable observation counts without a
-	// new one; a straggler is then tried again.
-	forgetAfter = 20 * time.Second
-	// digestTTL is how long a peer's digest counts.
+	// ewmaWeight is the weight of a new speed observation in the moving average.
+	ewmaWeight = 0.2
+	// observationTTL is the time over which a speed observation fades out unless
+	// it is repeated; a straggler is then tried again.
+	observationTTL = 20 * time.Second
+	// digestTTL is the time for which a peer's digest is valid.
 	digestTTL = 3 * time.Second
-	// failurePause is how long an endpoint that refused a connection rests.
-	failurePause = 2 * time.Second
+	// failureBackoff is the time for which an endpoint that refused a connection
+	// gets no new requests.
+	failureBackoff = 2 * time.Second
 )
 
-// endpoint is an Endpoint with what this VM knows of it.
+// endpoint is an Endpoint with this VM's state for it.
 type endpoint struct {
 	Endpoint
-	// running are this VM's requests there, prefill their prompt tokens
-	// without a first token yet.
+	// running holds this VM's requests there; prefill is the number of uncached
+	// prompt tokens of those without a first token.
 	running map[uint64]*run
 	prefill int
-	// Observed against nominal time; 1 is as configured, 2 is half as fast.
+	// Observed time relative to the configured speed: 1 is as configured, 2 is
+	// half as fast.
 	prefillRatio, outputRatio float64
 	observedAt                time.Duration
-	restUntil                 time.Duration
+	backoffUntil              time.Duration
 	leaving                   bool
 	peers                     map[uint32]peerUsage
-	// window is how many requests all VMs together should run there. It falls
-	// when first tokens come late though few prompts were ahead: then requests
-	// queue in the engine, where tiers do not count.
+	// window is the number of requests that all VMs together should run there.
+	// It shrinks when first tokens are late although few prompts were ahead:
+	// requests then queue in the engine, which ignores tiers.
 	window   float64
 	shrunkAt time.Duration
 	index    *lru.Cache[uint64, struct{}]
-	// yieldedTo is the tier for which room was made here lately.
+	// yieldedTo is the tier for which capacity was last freed here.
 	yieldedTo    request.Tier
 	yieldedUntil time.Duration
-	// hash identifies the endpoint in rendezvous hashing.
-	hash uint32
+	// rendezvousID identifies the endpoint in rendezvous hashing.
+	rendezvousID uint32
 }
 
-// peerUsage is another VM's share of an endpoint, from its digest.
+// peerUsage is another VM's usage of an endpoint, from its digest.
 type peerUsage struct {
 	running     int
 	waiting     int
@@ -77,18 +80,18 @@
 }
 
 func newEndpoint(e Endpoint) *endpoint {
-	index, _ := lru.New[uint64, struct{}](indexBlocks)
+	index, _ := lru.New[uint64, struct{}](maxIndexBlocks)
 	return &endpoint{
 		Endpoint: e, running: make(map[uint64]*run), prefillRatio: 1, outputRatio: 1,
 		peers: make(map[uint32]peerUsage), index: index, leaving: e.Leaving,
-		window: float64(e.Slots),
-		hash:   uint32(rendezvous.Hash(e.Name, "")),
+		window:       float64(e.Slots),
+		rendezvousID: uint32(rendezvous.Hash(e.Name, "")),
 	}
 }
 
-// share is how many requests this VM may run there: the window split by what
-// each VM runs and wants. A VM without a fresh digest counts with what it last
-// ran until its digest is too old to mean anything.
+// share returns the number of requests this VM may run there: the window, split
+// in proportion to the running and waiting requests of each VM. A VM is counted
+// with its last digest until that digest expires.
 func (e *endpoint) share(now time.Duration, waiting int) int {
 	mine := len(e.running) + waiting
 	others, running := 0, 0
@@ -103,17 +106,18 @@
 	if mine+others > window {
 		fair = (window*mine + mine + others - 1) / (mine + others)
 	}
-	// Room that others use now is not free, whatever would be fair.
+	// Capacity in use by others is not available, even beyond their fair share.
 	free := window - running
 	return max(min(fair, free), 0)
 }
 
-// yieldHold is how long room that was made for a peer's request is kept for it.
+// yieldHold is the time for which capacity freed for a peer's request is held
+// for it.
 const yieldHold = 500 * time.Millisecond
 
-// higherWaits reports whether another VM has work of a higher tier that waits,
-// by its digest or because room was just made for it.
-func (e *endpoint) higherWaits(now time.Duration, t request.Tier) bool {
+// higherTierWaits reports whether another VM has a request of a higher tier
+// waiting, according to its digest or because capacity was just freed for it.
+func (e *endpoint) higherTierWaits(now time.Duration, t request.Tier) bool {
 	if now < e.yieldedUntil && e.yieldedTo < t {
 		return true
 	}
@@ -125,7 +129,8 @@
 	return false
 }
 
-// prefillAhead is the prompt tokens that the engine reads before a new one.
+// prefillAhead returns the number of prompt tokens that the engine processes
+// before those of a new request.
 func (e *endpoint) prefillAhead(now time.Duration) int {
 	ahead := e.prefill
 	for _, p := range e.peers {
@@ -136,21 +141,21 @@
 	return ahead
 }
 
-// ratios returns the observed slowness, which fades unless it is seen again.
-func (e *endpoint) ratios(now time.Duration) (prefill, output float64) {
-	keep := 1 - float64(now-e.observedAt)/float64(forgetAfter)
-	if keep <= 0 {
+// slowdown returns the observed ratios. They fade to 1 unless observed again.
+func (e *endpoint) slowdown(now time.Duration) (prefill, output float64) {
+	remaining := 1 - float64(now-e.observedAt)/float64(observationTTL)
+	if remaining <= 0 {
 		return 1, 1
 	}
-	return 1 + (e.prefillRatio-1)*keep, 1 + (e.outputRatio-1)*keep
+	return 1 + (e.prefillRatio-1)*remaining, 1 + (e.outputRatio-1)*remaining
 }
 
 func (e *endpoint) observePrefill(now time.Duration, expected, took time.Duration) {
 	if expected <= 0 {
 		return
 	}
-	p, o := e.ratios(now)
-	e.prefillRatio = p + learnRate*(clampRatio(float64(took)/float64(expected))-p)
+	p, o := e.slowdown(now)
+	e.prefillRatio = p + ewmaWeight*(clampRatio(float64(took)/float64(expected))-p)
 	e.outputRatio = o
 	e.observedAt = now
 }
@@ -160,41 +165,46 @@
 		return
 	}
 	expected := float64(tokens) / e.OutputSpeed
-	p, o := e.ratios(now)
+	p, o := e.slowdown(now)
 	e.prefillRatio = p
-	e.outputRatio = o + learnRate*(clampRatio(took.Seconds()/expected)-o)
+	e.outputRatio = o + ewmaWeight*(clampRatio(took.Seconds()/expected)-o)
 	e.observedAt = now
 }
 
 const (
-	// lateFactor and lateSlack say when a first token shows a queue in the engine.
+	// A first token later than lateFactor times the expected time plus lateSlack
+	// indicates a queue in the engine.
 	lateFactor = 2
 	lateSlack  = 300 * time.Millisecond
-	// shrink and grow are the steps of the window; it shrinks once in shrinkEvery.
-	shrink      = 0.8
-	grow        = 0.25
-	shrinkEvery = time.Second
+	// windowShrinkFactor and windowStep are the steps of the window; it shrinks
+	// at most once per windowShrinkInterval.
+	windowShrinkFactor   = 0.8
+	windowStep           = 0.25
+	windowShrinkInterval = time.Second
 )
 
-// adapt moves the window by additive increase and multiplicative decrease.
-func (e *endpoint) adapt(now time.Duration, expected, took time.Duration) {
+// adaptWindow adapts the window by additive increase and multiplicative
+// decrease.
+func (e *endpoint) adaptWindow(now time.Duration, expected, took time.Duration) {
 	if took <= lateFactor*expected+lateSlack {
-		e.window = min(e.window+grow, float64(e.Slots))
+		e.window = min(e.window+windowStep, float64(e.Slots))
 		return
 	}
-	if now >= e.shrunkAt+shrinkEvery {
+	if now >= e.shrunkAt+windowShrinkInterval {
 		e.shrunkAt = now
-		e.window = max(1, e.window*shrink)
+		e.window = max(1, e.window*windowShrinkFactor)
 	}
 }
 
-// maxRatio bounds one observation, so that a single pause does not last.
+// maxRatio bounds one observation, so that a single pause has no lasting
+// effect.
 const maxRatio = 20
 
 func clampRatio(r float64) float64 { return min(max(r, 0.2), maxRatio) }
 
-// cached returns how many leading tokens of a prompt the endpoint probably has.
-func (e *endpoint) cached(s *request.Spec) int {
+// cachedTokens returns the number of leading prompt tokens that the endpoint
+// probably has in its cache.
+func (e *endpoint) cachedTokens(s *request.Spec) int {
 	n := 0
 	for _, h := range s.PrefixHashes {
 		if !e.index.Contains(h) {
@@ -205,7 +215,7 @@
 	return min(n*blockTokens, s.PromptTokens)
 }
 
-func (e *endpoint) remember(prefix []uint64) {
+func (e *endpoint) indexBlocks(prefix []uint64) {
 	for _, h := range prefix {
 		e.index.Add(h, struct{}{})
 	}
--- a/sched/filter.go
+++ b/sched/filter.go
@@ -7,35 +7,37 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Why tells why an endpoint did not get a request.
-type Why string
+// Reason states why an endpoint was or was not picked for a request.
+type Reason string
 
-// Reasons of candidates that lost, and of the winner.
+// Reasons of the candidates that were not picked, and of the one that was.
 const (
-	WhyPicked   Why = "picked"
-	WhyCostlier Why = "costlier"
-	WhyFull     Why = "full"
-	WhyTooSlow  Why = "too_slow"
-	WhyLeaving  Why = "leaving"
-	WhyResting  Why = "resting"
-	WhyYields   Why = "higher_tier_waits"
+	ReasonPicked          Reason = "picked"
+	ReasonCostlier        Reason = "costlier"
+	ReasonFull            Reason = "full"
+	ReasonTooSlow         Reason = "too_slow"
+	ReasonLeaving         Reason = "leaving"
+	ReasonBackoff         Reason = "resting"
+	ReasonHigherTierWaits Reason = "higher_tier_waits"
 )
 
-// Candidate is one endpoint as a decision saw it.
+// Candidate is the evaluation of one endpoint for a request.
 type Candidate struct {
 	Endpoint string
-	Why      Why
-	// Finish is the predicted time until the whole answer.
-	Finish time.Duration
-	// FirstToken is the predicted time until the first token.
-	FirstToken time.Duration
-	// Cost is the price of the request there, with the score's penalties.
+	Reason   Reason
+	// TimeToFinish is the predicted time until the response is complete.
+	TimeToFinish time.Duration
+	// TimeToFirstToken is the predicted time until the first token.
+	TimeToFirstToken time.Duration
+	// Cost is the price of the request there, including the penalties of the
+	// score.
 	Cost float64
-	// Cached are the prompt tokens expected in its cache.
-	Cached int
+	// CachedTokens is the number of prompt tokens expected in its cache.
+	CachedTokens int
 }
 
-// serves reports whether an endpoint is of the right sort at all.
+// serves reports whether an endpoint is configured for the model or kind of a
+// request.
 func serves(e *endpoint, s *request.Spec) bool {
 	if s.Model != "" {
 		return slices.Contains(e.Models, s.Model)
@@ -43,38 +45,39 @@
 	return slices.Contains(e.Kinds, s.Kind)
 }
 
-// usable reports whether new work may go to an endpoint, whatever its load.
-func (e *endpoint) usable(now time.Duration) (Why, bool) {
+// usable reports whether an endpoint may get new requests, regardless of its
+// load.
+func (e *endpoint) usable(now time.Duration) (Reason, bool) {
 	if e.leaving {
-		return WhyLeaving, false
+		return ReasonLeaving, false
 	}
-	if now < e.restUntil {
-		return WhyResting, false
+	if now < e.backoffUntil {
+		return ReasonBackoff, false
 	}
 	return "", true
 }
 
-// predict fills in the times and the price of a request at an endpoint if it
-// were sent now.
+// predict returns the predicted times and the price of a request if it were
+// sent to the endpoint now.
 func (e *endpoint) predict(now time.Duration, s *request.Spec) Candidate {
 	c := Candidate{Endpoint: e.Name}
 	if s.Model == "" {
-		c.Finish, c.FirstToken = serviceTime, serviceTime
+		c.TimeToFinish, c.TimeToFirstToken = serviceTime, serviceTime
 		return c
 	}
-	pr, or := e.ratios(now)
-	c.Cached = e.cached(s)
-	read := float64(e.prefillAhead(now)+s.PromptTokens-c.Cached) / e.PrefillSpeed * pr
-	write := float64(s.OutputTokens) / e.OutputSpeed * or
-	c.FirstToken = seconds(read)
-	c.Finish = seconds(read + write)
-	c.Cost = (float64(s.PromptTokens-c.Cached)*e.PrefillPrice + float64(s.OutputTokens)*e.OutputPrice) / perMillion
+	prefillRatio, outputRatio := e.slowdown(now)
+	c.CachedTokens = e.cachedTokens(s)
+	prefillTime := float64(e.prefillAhead(now)+s.PromptTokens-c.CachedTokens) / e.PrefillSpeed * prefillRatio
+	outputTime := float64(s.OutputTokens) / e.OutputSpeed * outputRatio
+	c.TimeToFirstToken = seconds(prefillTime)
+	c.TimeToFinish = seconds(prefillTime + outputTime)
+	c.Cost = (float64(s.PromptTokens-c.CachedTokens)*e.PrefillPrice + float64(s.OutputTokens)*e.OutputPrice) / perMillion
 	return c
 }
 
 const (
 	perMillion = 1e6
-	// serviceTime is taken for a call of a plain service.
+	// serviceTime is the assumed duration of a call to a plain service.
 	serviceTime = 20 * time.Millisecond
 )
 
@@ -82,5 +85,5 @@
 
 // inTime reports whether a candidate would finish by the deadline.
 func inTime(now time.Duration, c *Candidate, s *request.Spec) bool {
-	return now+c.Finish <= s.Deadline
+	return now+c.TimeToFinish <= s.Deadline
 }
