--- a/daemon/answer.go
+++ b/daemon/answer.go
@@ -9,37 +9,37 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// answer is the answer to one dispatch, as far as it has come. Any number of
+// responseBuffer is the responseBuffer to one dispatch, as far as it has come. Any number of
 // readers follow it; a slow one holds up nothing but itself.
-type answer struct {
+type responseBuffer struct {
 	mu      sync.Mutex
 	tokens  [][]byte
-	plain   *plainAnswer
+	plain   *plainResponse
 	done    bool
 	end     core.End
 	changed chan struct{}
 	onToken func(total int)
 }
 
-// plainAnswer is the whole answer of a plain service.
-type plainAnswer struct {
+// plainResponse is the whole answer of a plain service.
+type plainResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-func newAnswer(onToken func(total int)) *answer {
-	return &answer{changed: make(chan struct{}), onToken: onToken}
+func newResponseBuffer(onToken func(total int)) *responseBuffer {
+	return &responseBuffer{changed: make(chan struct{}), onToken: onToken}
 }
 
 // Token implements endpoint.Sink.
-func (a *answer) Token(offset int, data []byte) {
+func (a *responseBuffer) Token(offset int, data []byte) {
 	a.mu.Lock()
 	if offset == len(a.tokens) {
 		a.tokens = append(a.tokens, data)
 	}
 	total := len(a.tokens)
-	a.wake()
+	a.notifyReaders()
 	a.mu.Unlock()
 	if a.onToken != nil {
 		a.onToken(total)
@@ -47,60 +47,60 @@
 }
 
 // Whole implements endpoint.Sink.
-func (a *answer) Whole(status int, contentType string, body []byte) {
+func (a *responseBuffer) Whole(status int, contentType string, body []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.plain = &plainAnswer{Status: status, ContentType: contentType, Body: body}
-	a.wake()
+	a.plain = &plainResponse{Status: status, ContentType: contentType, Body: body}
+	a.notifyReaders()
 }
 
-func (a *answer) finish(end core.End) {
+func (a *responseBuffer) finish(end core.End) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.done = true
 	a.end = end
-	a.wake()
+	a.notifyReaders()
 }
 
-func (a *answer) total() int {
+func (a *responseBuffer) tokenCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.tokens)
 }
 
-func (a *answer) wake() {
+func (a *responseBuffer) notifyReaders() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// part is what a reader has not seen yet.
-type part struct {
+// responseTail is what a reader has not seen yet.
+type responseTail struct {
 	tokens  [][]byte
-	plain   *plainAnswer
+	plain   *plainResponse
 	done    bool
 	end     core.End
 	changed <-chan struct{}
 }
 
-func (a *answer) from(offset int) part {
+func (a *responseBuffer) readFrom(offset int) responseTail {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return part{tokens: a.tokens[min(offset, len(a.tokens)):], plain: a.plain, done: a.done, end: a.end, changed: a.changed}
+	return responseTail{tokens: a.tokens[min(offset, len(a.tokens)):], plain: a.plain, done: a.done, end: a.end, changed: a.changed}
 }
 
-// maxAnswers bounds the finished answers kept for repeats.
-const maxAnswers = 2048
+// maxResponses bounds the finished answers kept for repeats.
+const maxResponses = 2048
 
-// answers finds answers by key, so that repeats at this VM read them here.
-type answers struct {
-	cache *lru.Cache[request.Key, *answer]
+// responseCache finds responseCache by key, so that repeats at this VM read them here.
+type responseCache struct {
+	cache *lru.Cache[request.Key, *responseBuffer]
 }
 
-func newAnswers() *answers {
-	cache, _ := lru.New[request.Key, *answer](maxAnswers)
-	return &answers{cache: cache}
+func newResponseCache() *responseCache {
+	cache, _ := lru.New[request.Key, *responseBuffer](maxResponses)
+	return &responseCache{cache: cache}
 }
 
-func (s *answers) put(k request.Key, a *answer) { s.cache.Add(k, a) }
+func (s *responseCache) put(k request.Key, a *responseBuffer) { s.cache.Add(k, a) }
 
-func (s *answers) get(k request.Key) (*answer, bool) { return s.cache.Get(k) }
+func (s *responseCache) get(k request.Key) (*responseBuffer, bool) { return s.cache.Get(k) }
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -39,8 +39,8 @@
 	requestsPath = "/v1/requests/"
 )
 
-// badRequest is why a request is refused before it becomes one.
-type badRequest struct {
+// requestError is why a request is refused before it becomes one.
+type requestError struct {
 	status int
 	code   string
 	text   string
@@ -48,9 +48,9 @@
 
 func (d *Daemon) callerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", d.serveCall)
-	mux.HandleFunc("POST /v1/chat/completions", d.serveCall)
-	mux.HandleFunc("POST "+servicesPath+"{kind}", d.serveCall)
+	mux.HandleFunc("POST /v1/completions", d.serveRequest)
+	mux.HandleFunc("POST /v1/chat/completions", d.serveRequest)
+	mux.HandleFunc("POST "+servicesPath+"{kind}", d.serveRequest)
 	mux.HandleFunc("DELETE "+requestsPath+"{id}", d.serveCancel)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, struct{}{}) })
 	mux.HandleFunc("GET /readyz", d.serveReady)
@@ -87,22 +87,22 @@
 	writeJSON(w, status, b)
 }
 
-// organisation finds whose key a request carries.
-func (d *Daemon) organisation(r *http.Request) (*config.Rules, *schema.Organisation, *badRequest) {
+// authenticate finds whose key a request carries.
+func (d *Daemon) authenticate(r *http.Request) (*config.Rules, *schema.Organisation, *requestError) {
 	rules := d.rules.Load()
 	if rules == nil {
-		return nil, nil, &badRequest{http.StatusServiceUnavailable, "not_ready", d.status.Load().Why}
+		return nil, nil, &requestError{http.StatusServiceUnavailable, "not_ready", d.status.Load().Why}
 	}
 	org, ok := rules.Organisation(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
 	if !ok {
-		return nil, nil, &badRequest{http.StatusUnauthorized, "unauthenticated", "a valid API key is needed"}
+		return nil, nil, &requestError{http.StatusUnauthorized, "unauthenticated", "a valid API key is needed"}
 	}
 	return rules, org, nil
 }
 
-// parse turns an HTTP request into a call, or says what is wrong with it.
-func (d *Daemon) parse(w http.ResponseWriter, r *http.Request) (*callerCall, *badRequest) {
-	rules, org, bad := d.organisation(r)
+// parseRequest turns an HTTP request into a call, or says what is wrong with it.
+func (d *Daemon) parseRequest(w http.ResponseWriter, r *http.Request) (*callerRequest, *requestError) {
+	rules, org, bad := d.authenticate(r)
 	if bad != nil {
 		return nil, bad
 	}
@@ -110,35 +110,35 @@
 	if bad != nil {
 		return nil, bad
 	}
-	c := &callerCall{rules: rules, body: body, contentType: r.Header.Get("Content-Type"), final: make(chan outcome, 1)}
-	in, kind, bad := c.readKind(r)
+	c := &callerRequest{rules: rules, body: body, contentType: r.Header.Get("Content-Type"), final: make(chan outcome, 1)}
+	in, kind, bad := c.resolveKind(r)
 	if bad != nil {
 		return nil, bad
 	}
 	id, given := requestID(r)
 	if len(id) > maxIDLength {
-		return nil, &badRequest{http.StatusBadRequest, "bad_request_id", "at most 200 characters"}
+		return nil, &requestError{http.StatusBadRequest, "bad_request_id", "at most 200 characters"}
 	}
 	c.spec = rules.Spec(org, kind, id)
 	c.spec.Digest = xxhash.Sum64(body) | 1
-	c.fillModel(in)
+	c.fillPromptInfo(in)
 	if bad := d.fillAttempt(r, c, given); bad != nil {
 		return nil, bad
 	}
 	return c, d.fillDeadline(r, c, kind)
 }
 
-func (d *Daemon) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *badRequest) {
+func (d *Daemon) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *requestError) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(d.set.ReadTimeout))
+	_ = rc.SetReadDeadline(time.Now().Add(d.settings.ReadTimeout))
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(d.set.Limits.MaxBodyBytes)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(d.settings.Limits.MaxBodyBytes)))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &badRequest{http.StatusRequestEntityTooLarge, "body_too_large", "the body is over the limit"}
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "body_too_large", "the body is over the limit"}
 	case err != nil:
-		return nil, &badRequest{http.StatusBadRequest, "bad_body", "the body could not be read"}
+		return nil, &requestError{http.StatusBadRequest, "bad_body", "the body could not be read"}
 	}
 	return body, nil
 }
@@ -154,27 +154,27 @@
 	} `json:"messages"`
 }
 
-// readKind finds the request kind: of the path for plain services, else of the
+// resolveKind finds the request kind: of the path for plain services, else of the
 // header, else the first kind of the model named in the body.
-func (c *callerCall) readKind(r *http.Request) (in completionRequest, k *schema.Kind, bad *badRequest) {
+func (c *callerRequest) resolveKind(r *http.Request) (in completionRequest, k *schema.Kind, bad *requestError) {
 	name := r.PathValue("kind")
 	if name != "" {
 		k, ok := c.rules.Kind(name)
 		if !ok || k.Path == "" {
-			return in, nil, &badRequest{http.StatusNotFound, "unknown_kind", "no such service kind"}
+			return in, nil, &requestError{http.StatusNotFound, "unknown_kind", "no such service kind"}
 		}
 		c.path = k.Path
 		return in, k, nil
 	}
 	if err := json.Unmarshal(c.body, &in); err != nil {
-		return in, nil, &badRequest{http.StatusBadRequest, "bad_body", "the body is not a valid completion request"}
+		return in, nil, &requestError{http.StatusBadRequest, "bad_body", "the body is not a valid completion request"}
 	}
 	c.path, c.stream = r.URL.Path, in.Stream
 	c.chat = strings.Contains(c.path, "chat")
 	if name = r.Header.Get(HeaderKind); name != "" {
 		k, ok := c.rules.Kind(name)
 		if !ok || k.Model == "" || in.Model != "" && in.Model != k.Model {
-			return in, nil, &badRequest{http.StatusBadRequest, "unknown_kind", "no such kind for this model"}
+			return in, nil, &requestError{http.StatusBadRequest, "unknown_kind", "no such kind for this model"}
 		}
 		return in, k, nil
 	}
@@ -183,11 +183,11 @@
 			return in, k, nil
 		}
 	}
-	return in, nil, &badRequest{http.StatusBadRequest, "unknown_kind", "name the kind in " + HeaderKind}
+	return in, nil, &requestError{http.StatusBadRequest, "unknown_kind", "name the kind in " + HeaderKind}
 }
 
-// fillModel fills in the length and blocks of the prompt.
-func (c *callerCall) fillModel(in completionRequest) {
+// fillPromptInfo fills in the length and blocks of the prompt.
+func (c *callerRequest) fillPromptInfo(in completionRequest) {
 	if c.spec.Model == "" {
 		return
 	}
@@ -211,7 +211,7 @@
 	return hex.EncodeToString(b[:]), false
 }
 
-func (d *Daemon) fillAttempt(r *http.Request, c *callerCall, given bool) *badRequest {
+func (d *Daemon) fillAttempt(r *http.Request, c *callerRequest, given bool) *requestError {
 	if !given {
 		c.spec.Attempt = request.FirstAttempt
 		c.spec.TrustFirstAttempt = true
@@ -219,80 +219,80 @@
 	}
 	h := r.Header.Get(HeaderAttempt)
 	if h == "" {
-		if d.set.Claims.UndeclaredAttempt == settings.UndeclaredFirst {
+		if d.settings.Claims.UndeclaredAttempt == settings.UndeclaredFirst {
 			c.spec.Attempt = request.FirstAttempt
 		}
 		return nil
 	}
 	n, err := strconv.ParseUint(h, 10, 32)
 	if err != nil || n == 0 || n > maxAttempt {
-		return &badRequest{http.StatusBadRequest, "bad_attempt", HeaderAttempt + " counts from 1"}
+		return &requestError{http.StatusBadRequest, "bad_attempt", HeaderAttempt + " counts from 1"}
 	}
 	c.spec.Attempt = request.Attempt(n)
 	return nil
 }
 
-func (d *Daemon) fillDeadline(r *http.Request, c *callerCall, k *schema.Kind) *badRequest {
-	left := config.Deadline(k)
+func (d *Daemon) fillDeadline(r *http.Request, c *callerRequest, k *schema.Kind) *requestError {
+	timeout := config.Deadline(k)
 	if h := r.Header.Get(HeaderDeadline); h != "" {
 		var err error
-		left, err = time.ParseDuration(h)
-		if err != nil || left > maxDeadline {
-			return &badRequest{http.StatusBadRequest, "bad_deadline", HeaderDeadline + ` is the time left, such as "30s"`}
+		timeout, err = time.ParseDuration(h)
+		if err != nil || timeout > maxDeadline {
+			return &requestError{http.StatusBadRequest, "bad_deadline", HeaderDeadline + ` is the time left, such as "30s"`}
 		}
 	}
-	if left < minDeadline {
-		return &badRequest{http.StatusBadRequest, "deadline_passed", "no time is left"}
+	if timeout < minDeadline {
+		return &requestError{http.StatusBadRequest, "deadline_passed", "no time is left"}
 	}
-	c.spec.Deadline = d.now() + left
+	c.spec.Deadline = d.now() + timeout
 	return nil
 }
 
-// serveCall serves one request of a caller from arrival to its final outcome.
-func (d *Daemon) serveCall(w http.ResponseWriter, r *http.Request) {
-	c, bad := d.parse(w, r)
+// serveRequest serves one request of a caller from arrival to its final outcome.
+func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request) {
+	c, bad := d.parseRequest(w, r)
 	if bad != nil {
 		d.count("callers.bad." + bad.code)
 		writeError(w, bad.status, bad.code, bad.text)
 		return
 	}
 	handle := d.register(c)
-	defer d.forget(handle)
+	defer d.unregister(handle)
 	w.Header().Set(HeaderID, c.spec.Key.ID)
 	select {
-	case d.events <- item{event: core.Arrive{Handle: handle, Spec: c.spec}}:
+	case d.events <- loopInput{event: core.Arrive{Handle: handle, Spec: c.spec}}:
 	case <-r.Context().Done():
 		return
 	}
 	out := d.deliver(w, r, c)
 	if out == nil {
-		d.pushGone(handle)
+		d.pushDisconnected(handle)
 		return
 	}
 	d.logOutcome(c, out)
-	c.end(w, out)
+	c.writeOutcome(w, out)
 }
 
-// pushGone tells the core that the caller left; its own context is over.
-func (d *Daemon) pushGone(handle uint64) {
+// pushDisconnected tells the core that the caller left; its own context is over.
+func (d *Daemon) pushDisconnected(handle uint64) {
 	select {
-	case d.events <- item{event: core.CallerGone{Handle: handle}}:
+	case d.events <- loopInput{event: core.CallerGone{Handle: handle}}:
 	case <-d.done:
 	}
 }
 
 // deliver passes the answer on until the final outcome; nil if the caller left.
-func (d *Daemon) deliver(w http.ResponseWriter, r *http.Request, c *callerCall) *outcome {
+func (d *Daemon) deliver(w http.ResponseWriter, r *http.Request, c *callerRequest) *outcome {
 	for {
-		a, started := c.current()
+		a, started := c.currentResponse()
 		var changed <-chan struct{}
 		if a != nil {
-			changed = c.pass(w, a)
+			changed = c.writeNewTokens(w, a)
 		}
 		select {
 		case out := <-c.final:
-			if a, _ := c.current(); a != nil && out.Outcome == request.Answered {
-				c.pass(w, a)
+			if a, _ := c.currentResponse(); a != nil && out.Outcome == request.Answered {
+				c.writeNewTokens(w, a)
 			}
 			return &out
 		case <-changed:
@@ -303,7 +303,7 @@
 	}
 }
 
-func (d *Daemon) logOutcome(c *callerCall, out *outcome) {
+func (d *Daemon) logOutcome(c *callerRequest, out *outcome) {
 	d.count("outcomes." + string(out.Outcome))
 	d.log.Info().Str("request", c.spec.Key.String()).Str("kind", c.spec.Kind).Uint32("tier", uint32(c.spec.Tier)).
 		Str("outcome", string(out.Outcome)).Str("reason", string(out.Reason)).Int64("retry_after_ms", out.RetryAfter.Milliseconds()).Msg("outcome")
@@ -311,13 +311,13 @@
 
 // serveCancel stops a request of the same organisation that is served here.
 func (d *Daemon) serveCancel(w http.ResponseWriter, r *http.Request) {
-	_, org, bad := d.organisation(r)
+	_, org, bad := d.authenticate(r)
 	if bad != nil {
 		writeError(w, bad.status, bad.code, bad.text)
 		return
 	}
 	key := request.Key{Organisation: org.Name, ID: r.PathValue("id")}
-	handle, ok := d.handleOf(key)
+	handle, ok := d.handleByKey(key)
 	if !ok {
 		writeError(w, http.StatusNotFound, "unknown_request", "no such request is served here")
 		return
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -19,8 +19,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// callerCall is one request of a caller at this VM.
-type callerCall struct {
+// callerRequest is one request of a caller at this VM.
+type callerRequest struct {
 	spec        request.Spec
 	rules       *config.Rules
 	path        string
@@ -30,17 +30,17 @@
 	chat        bool
 	final       chan outcome
 
-	mu      sync.Mutex
-	answer  *answer
-	changed chan struct{}
-	cancel  context.CancelFunc
-	target  *schema.Endpoint
-	id      string
-	stopped bool
+	mu              sync.Mutex
+	response        *responseBuffer
+	responseChanged chan struct{}
+	cancel          context.CancelFunc
+	target          *schema.Endpoint
+	streamID        string
+	stopRequested   bool
 
-	// sent counts the tokens passed on; only the caller's goroutine uses it.
-	sent    int
-	started bool
+	// sentTokens counts the tokens passed on; only the caller's goroutine uses it.
+	sentTokens    int
+	streamStarted bool
 }
 
 // outcome is the body of a final answer that is not the answer itself.
@@ -53,14 +53,14 @@
 	conflict     bool
 }
 
-func outcomeOf(f core.Finish) outcome {
+func newOutcome(f core.Finish) outcome {
 	return outcome{Outcome: f.Outcome, Reason: f.Reason, RetryAfter: f.RetryAfter, RetryAfterMS: f.RetryAfter.Milliseconds()}
 }
 
 var conflictOutcome = outcome{Reason: request.ReasonBodyConflict, conflict: true}
 
-// status is the HTTP status of a final outcome without an answer.
-func (o *outcome) status() int {
+// httpStatus is the HTTP httpStatus of a final outcome without an answer.
+func (o *outcome) httpStatus() int {
 	switch {
 	case o.conflict:
 		return http.StatusUnprocessableEntity
@@ -72,35 +72,35 @@
 	return http.StatusGatewayTimeout
 }
 
-func (d *Daemon) register(c *callerCall) uint64 {
+func (d *Daemon) register(c *callerRequest) uint64 {
 	handle := d.lastHandle.Add(1)
-	c.changed = make(chan struct{})
+	c.responseChanged = make(chan struct{})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls[handle] = c
+	d.requests[handle] = c
 	return handle
 }
 
-// forget drops a call whose caller was answered. One that still runs for a
+// unregister drops a call whose caller was answered. One that still runs for a
 // caller that left is dropped when it ends.
-func (d *Daemon) forget(handle uint64) {
+func (d *Daemon) unregister(handle uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c := d.calls[handle]; c != nil && !c.runs() {
-		delete(d.calls, handle)
+	if c := d.requests[handle]; c != nil && !c.isRunning() {
+		delete(d.requests, handle)
 	}
 }
 
-func (d *Daemon) callOf(handle uint64) *callerCall {
+func (d *Daemon) requestByHandle(handle uint64) *callerRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls[handle]
+	return d.requests[handle]
 }
 
-func (d *Daemon) handleOf(k request.Key) (uint64, bool) {
+func (d *Daemon) handleByKey(k request.Key) (uint64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for h, c := range d.calls {
+	for h, c := range d.requests {
 		if c.spec.Key == k {
 			return h, true
 		}
@@ -109,7 +109,7 @@
 }
 
 // rulesOf returns the rules a call was admitted under.
-func (d *Daemon) rulesOf(c *callerCall) *config.Rules {
+func (d *Daemon) rulesOf(c *callerRequest) *config.Rules {
 	if c == nil {
 		return &config.Rules{}
 	}
@@ -118,14 +118,14 @@
 
 // finish hands the final outcome to the caller's goroutine.
 func (d *Daemon) finish(handle uint64, out outcome) {
-	c := d.callOf(handle)
+	c := d.requestByHandle(handle)
 	if c == nil {
 		return
 	}
-	c.endRun()
+	c.clearRun()
 	c.final <- out
 	d.mu.Lock()
-	delete(d.calls, handle)
+	delete(d.requests, handle)
 	d.mu.Unlock()
 }
 
@@ -133,71 +133,71 @@
 	metrics.GetOrRegisterCounter(name, d.metrics).Inc(1)
 }
 
-func (c *callerCall) setAnswer(a *answer) {
+func (c *callerRequest) setResponse(a *responseBuffer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answer = a
-	close(c.changed)
-	c.changed = make(chan struct{})
+	c.response = a
+	close(c.responseChanged)
+	c.responseChanged = make(chan struct{})
 }
 
-// current returns the answer, if there is one, and a channel that closes when
+// currentResponse returns the answer, if there is one, and a channel that closes when
 // another takes its place.
-func (c *callerCall) current() (*answer, <-chan struct{}) {
+func (c *callerRequest) currentResponse() (*responseBuffer, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answer, c.changed
+	return c.response, c.responseChanged
 }
 
-func (c *callerCall) setRun(cancel context.CancelFunc, e *schema.Endpoint, stream string) {
+func (c *callerRequest) setRun(cancel context.CancelFunc, e *schema.Endpoint, stream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cancel, c.target, c.id, c.stopped = cancel, e, stream, false
+	c.cancel, c.target, c.streamID, c.stopRequested = cancel, e, stream, false
 }
 
-func (c *callerCall) runs() bool {
+func (c *callerRequest) isRunning() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cancel != nil
 }
 
-func (c *callerCall) endRun() {
+func (c *callerRequest) clearRun() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cancel = nil
 }
 
-func (c *callerCall) stopRun() {
+func (c *callerRequest) stopRun() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cancel != nil {
-		c.stopped = true
+		c.stopRequested = true
 		c.cancel()
 	}
 }
 
-func (c *callerCall) runState() (e *schema.Endpoint, stream string, stopped bool) {
+func (c *callerRequest) runState() (e *schema.Endpoint, stream string, stopped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.target, c.id, c.stopped
+	return c.target, c.streamID, c.stopRequested
 }
 
-// pass writes what is new of a streamed answer and returns the channel that
+// writeNewTokens writes what is new of a streamed answer and returns the channel that
 // tells of more. Whole answers are written at the end.
-func (c *callerCall) pass(w http.ResponseWriter, a *answer) <-chan struct{} {
-	p := a.from(c.sent)
+func (c *callerRequest) writeNewTokens(w http.ResponseWriter, a *responseBuffer) <-chan struct{} {
+	p := a.readFrom(c.sentTokens)
 	if !c.stream || len(p.tokens) == 0 {
 		return p.changed
 	}
-	if !c.started {
-		c.started = true
+	if !c.streamStarted {
+		c.streamStarted = true
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
 	rc := http.NewResponseController(w)
 	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	for _, t := range p.tokens {
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", c.sent, t)
-		c.sent++
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", c.sentTokens, t)
+		c.sentTokens++
 	}
 	_ = rc.Flush()
 	return p.changed
@@ -206,15 +206,15 @@
 // writeTimeout is how long a caller may take to read what is there for it.
 const writeTimeout = 30 * time.Second
 
-// end writes the final outcome. A stream that has begun and is not whole ends
+// writeOutcome writes the final outcome. A stream that has begun and is not whole ends
 // with an error event and a broken connection, never as if it were complete.
-func (c *callerCall) end(w http.ResponseWriter, out *outcome) {
+func (c *callerRequest) writeOutcome(w http.ResponseWriter, out *outcome) {
 	if out.Outcome != request.Answered || out.conflict {
-		c.endWithout(w, out)
+		c.writeFailure(w, out)
 		return
 	}
-	a, _ := c.current()
-	p := a.from(0)
+	a, _ := c.currentResponse()
+	p := a.readFrom(0)
 	switch {
 	case p.plain != nil:
 		w.Header().Set("Content-Type", p.plain.ContentType)
@@ -229,22 +229,22 @@
 	}
 }
 
-func (c *callerCall) endWithout(w http.ResponseWriter, out *outcome) {
-	if c.started {
+func (c *callerRequest) writeFailure(w http.ResponseWriter, out *outcome) {
+	if c.streamStarted {
 		data, _ := json.Marshal(out)
 		_, _ = fmt.Fprintf(w, "event: error\ndata: %s\n\n", data)
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 	if out.conflict {
-		writeError(w, out.status(), string(out.Reason), "the request id was used with another body")
+		writeError(w, out.httpStatus(), string(out.Reason), "the request id was used with another body")
 		return
 	}
 	w.Header().Set(HeaderOutcome, string(out.Outcome))
 	if out.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(out.RetryAfter.Seconds()))))
 	}
-	writeJSON(w, out.status(), out)
+	writeJSON(w, out.httpStatus(), out)
 }
 
 // chunk is the part of a streamed token that a whole answer is made of.
@@ -259,29 +259,29 @@
 
 // Whole answers of the two completion paths.
 type (
-	wholeMessage struct {
+	completionMessage struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
 	}
-	wholeChoice struct {
-		Index        int           `json:"index"`
-		Text         string        `json:"text,omitempty"`
-		Message      *wholeMessage `json:"message,omitempty"`
-		FinishReason string        `json:"finish_reason"`
+	completionChoice struct {
+		Index        int                `json:"index"`
+		Text         string             `json:"text,omitempty"`
+		Message      *completionMessage `json:"message,omitempty"`
+		FinishReason string             `json:"finish_reason"`
 	}
-	wholeAnswer struct {
-		ID      string        `json:"id"`
-		Object  string        `json:"object"`
-		Choices []wholeChoice `json:"choices"`
-		Usage   wholeUsage    `json:"usage"`
+	completionResponse struct {
+		ID      string             `json:"id"`
+		Object  string             `json:"object"`
+		Choices []completionChoice `json:"choices"`
+		Usage   completionUsage    `json:"usage"`
 	}
-	wholeUsage struct {
+	completionUsage struct {
 		PromptTokens     int `json:"prompt_tokens"`
 		CompletionTokens int `json:"completion_tokens"`
 	}
 )
 
-func (c *callerCall) assemble(tokens [][]byte) wholeAnswer {
+func (c *callerRequest) assemble(tokens [][]byte) completionResponse {
 	var text strings.Builder
 	for _, t := range tokens {
 		var ch chunk
@@ -289,12 +289,12 @@
 			text.WriteString(ch.Choices[0].Text + ch.Choices[0].Delta.Content)
 		}
 	}
-	w := wholeAnswer{ID: c.spec.Key.ID, Object: "text_completion", Usage: wholeUsage{c.spec.PromptTokens, len(tokens)}}
-	choice := wholeChoice{FinishReason: "stop", Text: text.String()}
+	w := completionResponse{ID: c.spec.Key.ID, Object: "text_completion", Usage: completionUsage{c.spec.PromptTokens, len(tokens)}}
+	choice := completionChoice{FinishReason: "stop", Text: text.String()}
 	if c.chat {
 		w.Object = "chat.completion"
-		choice.Text, choice.Message = "", &wholeMessage{Role: "assistant", Content: text.String()}
+		choice.Text, choice.Message = "", &completionMessage{Role: "assistant", Content: text.String()}
 	}
-	w.Choices = []wholeChoice{choice}
+	w.Choices = []completionChoice{choice}
 	return w
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -40,42 +40,42 @@
 )
 
 const (
-	tickEvery   = 10 * time.Millisecond
-	digestEvery = 100 * time.Millisecond
-	configEvery = 500 * time.Millisecond
-	carryEvery  = 10 * time.Minute
-	claimRetry  = 50 * time.Millisecond
-	cellSize    = 8
-	recordTTL   = 15 * time.Minute
+	tickInterval       = 10 * time.Millisecond
+	digestInterval     = 100 * time.Millisecond
+	configPollInterval = 500 * time.Millisecond
+	republishInterval  = 10 * time.Minute
+	claimRetryInterval = 50 * time.Millisecond
+	cellSize           = 8
+	recordTTL          = 15 * time.Minute
 )
 
 // Daemon is one VM's process.
 type Daemon struct {
-	opts  Options
-	set   *settings.Settings
-	log   zerolog.Logger
-	start time.Time
-	inc   uint64
+	opts        Options
+	settings    *settings.Settings
+	log         zerolog.Logger
+	startTime   time.Time
+	incarnation uint64
 
-	events  chan item
+	events  chan loopInput
 	appends chan *appendJob
 	links   map[uint32]*link
 
-	rules   atomic.Pointer[config.Rules]
-	status  atomic.Pointer[core.Status]
-	answers *answers
-	metrics metrics.Registry
+	rules     atomic.Pointer[config.Rules]
+	status    atomic.Pointer[core.Status]
+	responses *responseCache
+	metrics   metrics.Registry
 
 	lastHandle atomic.Uint64
 	mu         sync.Mutex
-	calls      map[uint64]*callerCall
-	judged     *verdicts
+	requests   map[uint64]*callerRequest
+	verdicts   *verdictWaiters
 
 	endpoints *endpoint.Client
 	platform  *logservice.Client
-	// peerHTTP holds the watches, each on a connection of its own; exchangeHTTP
+	// watchHTTP holds the watches, each on a connection of its own; exchangeHTTP
 	// carries the calls over HTTP/2, whose headers cost little when repeated.
-	peerHTTP     *http.Client
+	watchHTTP    *http.Client
 	exchangeHTTP *http.Client
 
 	group *errgroup.Group
@@ -84,8 +84,8 @@
 	done <-chan struct{}
 	// drained is closed when the core has nothing left to do.
 	drained chan struct{}
-	// expelled is closed when the peers took this process for dead.
-	expelled chan struct{}
+	// declaredDead is closed when the peers took this process for dead.
+	declaredDead chan struct{}
 }
 
 // New prepares a daemon. The incarnation is the time of start, so a later
@@ -98,21 +98,21 @@
 		opts.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	d := &Daemon{
-		opts: opts, set: opts.Settings, log: opts.Log, start: time.Now(), inc: uint64(time.Now().UnixNano()),
-		events: make(chan item, eventBuffer), appends: make(chan *appendJob, appendBuffer),
-		links: make(map[uint32]*link), answers: newAnswers(), metrics: metrics.NewRegistry(),
-		calls: make(map[uint64]*callerCall), judged: newVerdicts(), drained: make(chan struct{}), expelled: make(chan struct{}),
+		opts: opts, settings: opts.Settings, log: opts.Log, startTime: time.Now(), incarnation: uint64(time.Now().UnixNano()),
+		events: make(chan loopInput, eventBuffer), appends: make(chan *appendJob, appendBuffer),
+		links: make(map[uint32]*link), responses: newResponseCache(), metrics: metrics.NewRegistry(),
+		requests: make(map[uint64]*callerRequest), verdicts: newVerdictWaiters(), drained: make(chan struct{}), declaredDead: make(chan struct{}),
 	}
-	d.endpoints = &endpoint.Client{HTTP: d.client(maxIdlePerEndpoint), ResumeEvery: resumeEvery, ResumeTries: resumeTries}
-	d.platform = &logservice.Client{Base: "http://" + d.set.Platform.Address, HTTP: d.client(maxIdlePerPeer)}
-	d.peerHTTP = d.countedClient()
-	d.exchangeHTTP = d.countedClient()
+	d.endpoints = &endpoint.Client{HTTP: d.newHTTPClient(maxIdlePerEndpoint), ResumeEvery: resumeInterval, ResumeTries: maxResumeAttempts}
+	d.platform = &logservice.Client{Base: "http://" + d.settings.Platform.Address, HTTP: d.newHTTPClient(maxIdlePerPeer)}
+	d.watchHTTP = d.newCountingHTTPClient()
+	d.exchangeHTTP = d.newCountingHTTPClient()
 	var h2 http.Protocols
 	h2.SetUnencryptedHTTP2(true)
 	h2.SetHTTP2(true)
 	d.exchangeHTTP.Transport.(*http.Transport).Protocols = &h2
 	d.status.Store(&core.Status{Why: "starting"})
-	for _, p := range d.set.Peers {
+	for _, p := range d.settings.Peers {
 		d.links[p.Id] = newLink(p)
 	}
 	return d
@@ -122,43 +122,43 @@
 	dialTimeout        = 500 * time.Millisecond
 	maxIdlePerEndpoint = 64
 	maxIdlePerPeer     = 4
-	resumeEvery        = 50 * time.Millisecond
-	resumeTries        = 20
+	resumeInterval     = 50 * time.Millisecond
+	maxResumeAttempts  = 20
 )
 
-func (d *Daemon) client(idle int) *http.Client {
+func (d *Daemon) newHTTPClient(idle int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: d.opts.Dial, MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, DisableCompression: true,
 	}}
 }
 
-// countedClient is a client whose bytes count as traffic between VMs.
-func (d *Daemon) countedClient() *http.Client {
-	c := d.client(maxIdlePerPeer)
+// newCountingHTTPClient is a client whose bytes count as traffic between VMs.
+func (d *Daemon) newCountingHTTPClient() *http.Client {
+	c := d.newHTTPClient(maxIdlePerPeer)
 	c.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := d.opts.Dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return d.counted(conn), nil
+		return d.countTraffic(conn), nil
 	}
 	return c
 }
 
 // coreConfig turns settings into the core's configuration.
 func (d *Daemon) coreConfig() core.Config {
-	vms := []claim.VM{{ID: d.set.Vm.Id, Domain: d.set.Vm.FailureDomain}}
-	for _, p := range d.set.Peers {
+	vms := []claim.VM{{ID: d.settings.Vm.Id, Domain: d.settings.Vm.FailureDomain}}
+	for _, p := range d.settings.Peers {
 		vms = append(vms, claim.VM{ID: p.Id, Domain: p.FailureDomain})
 	}
 	return core.Config{
 		Claim: claim.Config{
-			Self: vms[0], Incarnation: d.inc, VMs: vms, CellSize: cellSize,
-			Lease: d.set.Lease, Retry: claimRetry, Timeout: d.set.ClaimTimeout,
-			TTL: recordTTL, MaxRecords: int(d.set.Claims.MaxRecords),
+			Self: vms[0], Incarnation: d.incarnation, VMs: vms, CellSize: cellSize,
+			Lease: d.settings.Lease, Retry: claimRetryInterval, Timeout: d.settings.ClaimTimeout,
+			TTL: recordTTL, MaxRecords: int(d.settings.Claims.MaxRecords),
 		},
-		Sched:       sched.Config{MaxQueued: int(d.set.Limits.MaxQueuedRequests)},
-		DigestEvery: digestEvery, ConfigEvery: configEvery, CarryEvery: carryEvery,
+		Sched:       sched.Config{MaxQueued: int(d.settings.Limits.MaxQueuedRequests)},
+		DigestEvery: digestInterval, ConfigEvery: configPollInterval, CarryEvery: republishInterval,
 	}
 }
 
@@ -166,51 +166,51 @@
 // for peers stay open to the very end of the process: closing them while alive
 // would be taken for its death.
 func (d *Daemon) Run(ctx context.Context) error {
-	peers, err := d.listen(d.set.Listen.Peers)
+	peers, err := d.listen(d.settings.Listen.Peers)
 	if err != nil {
 		return err
 	}
-	callers, err := d.listen(d.set.Listen.Callers)
+	callers, err := d.listen(d.settings.Listen.Callers)
 	if err != nil {
 		return err
 	}
-	operators, err := d.listen(d.set.Listen.Operators)
+	operators, err := d.listen(d.settings.Listen.Operators)
 	if err != nil {
 		return err
 	}
-	trust, err := d.peerTLS()
+	tlsConfig, err := d.peerTLSConfig()
 	if err != nil {
 		return err
 	}
 	// Each transport writes into its configuration, so each has its own.
-	d.peerHTTP.Transport.(*http.Transport).TLSClientConfig = trust.Clone()
-	d.exchangeHTTP.Transport.(*http.Transport).TLSClientConfig = trust.Clone()
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	d.watchHTTP.Transport.(*http.Transport).TLSClientConfig = tlsConfig.Clone()
+	d.exchangeHTTP.Transport.(*http.Transport).TLSClientConfig = tlsConfig.Clone()
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	d.stop = stop
 	defer stop()
-	d.group, work = errgroup.WithContext(work)
-	d.done = work.Done()
-	callerServer := d.serve(work, callers, d.callerHandler())
-	d.serve(work, operators, d.operatorHandler())
+	d.group, workCtx = errgroup.WithContext(workCtx)
+	d.done = workCtx.Done()
+	callerServer := d.serve(workCtx, callers, d.callerHandler())
+	d.serve(workCtx, operators, d.operatorHandler())
 	d.servePeers(peers)
-	d.group.Go(func() error { return d.loop(work) })
-	d.group.Go(func() error { return d.tick(work) })
-	d.startPeers(work)
-	d.startPlatform(work)
-	d.group.Go(func() error { return d.reports(work) })
-	d.group.Go(func() error { return d.shutdown(ctx, work, callerServer) })
-	d.log.Info().Uint32("vm", d.set.Vm.Id).Str("failure_domain", d.set.Vm.FailureDomain).
-		Str("callers", d.set.Listen.Callers).Uint64("incarnation", d.inc).Msg("started")
+	d.group.Go(func() error { return d.loop(workCtx) })
+	d.group.Go(func() error { return d.tick(workCtx) })
+	d.startPeers(workCtx)
+	d.startPlatform(workCtx)
+	d.group.Go(func() error { return d.pollEngines(workCtx) })
+	d.group.Go(func() error { return d.shutdown(ctx, workCtx, callerServer) })
+	d.log.Info().Uint32("vm", d.settings.Vm.Id).Str("failure_domain", d.settings.Vm.FailureDomain).
+		Str("callers", d.settings.Listen.Callers).Uint64("incarnation", d.incarnation).Msg("started")
 	err = d.group.Wait()
-	d.log.Info().Uint32("vm", d.set.Vm.Id).Msg("stopped")
+	d.log.Info().Uint32("vm", d.settings.Vm.Id).Msg("stopped")
 	return err
 }
 
 // now is the core's time.
-func (d *Daemon) now() time.Duration { return time.Since(d.start) }
+func (d *Daemon) now() time.Duration { return time.Since(d.startTime) }
 
 func (d *Daemon) tick(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -225,34 +225,34 @@
 // shutdown waits for the signal, for the end of an operator's drain, or for the
 // word of the peers that this process is dead to them, then for the core to be drained, and ends the
 // process's duties. A bound ends it with truthful outcomes in any case.
-func (d *Daemon) shutdown(signal, work context.Context, callers *http.Server) error {
+func (d *Daemon) shutdown(signalCtx, workCtx context.Context, callers *http.Server) error {
 	select {
-	case <-work.Done():
+	case <-workCtx.Done():
 		return nil
-	case <-signal.Done():
-	case <-d.expelled:
+	case <-signalCtx.Done():
+	case <-d.declaredDead:
 	case <-d.drained:
 	}
 	d.log.Info().Msg("draining")
-	d.push(work, core.Drain{})
+	d.push(workCtx, core.Drain{})
 	select {
 	case <-d.drained:
 		d.log.Info().Msg("drained")
-	case <-time.After(d.set.ShutdownBound):
+	case <-time.After(d.settings.ShutdownBound):
 		d.log.Warn().Msg("drain_bound_reached")
-	case <-work.Done():
+	case <-workCtx.Done():
 	}
-	bound, cancel := context.WithTimeout(work, flushBound)
+	bound, cancel := context.WithTimeout(workCtx, flushTimeout)
 	defer cancel()
 	_ = callers.Shutdown(bound)
 	d.stop()
 	select {
-	case <-d.expelled:
-		return &FencedError{VM: d.set.Vm.Id}
+	case <-d.declaredDead:
+		return &FencedError{VM: d.settings.Vm.Id}
 	default:
 		return nil
 	}
 }
 
-// flushBound is how long answers that are complete may take to reach callers.
-const flushBound = 10 * time.Second
+// flushTimeout is how long answers that are complete may take to reach callers.
+const flushTimeout = 10 * time.Second
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -30,8 +30,8 @@
 	otherAPIKey     = "api-key-of-other"
 )
 
-// oneVM is a daemon with its outside systems, in this process.
-type oneVM struct {
+// testVM is a daemon with its outside systems, in this process.
+type testVM struct {
 	t                         testing.TB
 	callers, peers, operators string
 	service                   string
@@ -59,8 +59,8 @@
 	return l.b.String()
 }
 
-func startVM(t testing.TB) *oneVM {
-	v := &oneVM{t: t, log: &lockedBuffer{}}
+func startVM(t testing.TB) *testVM {
+	v := &testVM{t: t, log: &lockedBuffer{}}
 	listeners := map[string]net.Listener{}
 	listen := func() string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,14 +121,14 @@
 }
 
 // outputSpeed makes a benchmark's tokens cost nothing but their passing on.
-func (v *oneVM) outputSpeed() float64 {
+func (v *testVM) outputSpeed() float64 {
 	if _, ok := v.t.(*testing.B); ok {
 		return 1e9
 	}
 	return 500
 }
 
-func (v *oneVM) configure(engineAddr string) {
+func (v *testVM) configure(engineAddr string) {
 	sum := func(key string) string { s := sha256.Sum256([]byte(key)); return hex.EncodeToString(s[:]) }
 	doc := fmt.Sprintf(`
 schema_version = 1
@@ -153,7 +153,7 @@
 	}
 }
 
-func (v *oneVM) do(addr, method, path, key string, headers map[string]string, body string) (int, string) {
+func (v *testVM) do(addr, method, path, key string, headers map[string]string, body string) (int, string) {
 	req, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
 	if err != nil {
 		v.t.Fatal(err)
@@ -222,9 +222,9 @@
 	is.Equal(len(v.engine.Ran()), 0) // nothing was dispatched
 }
 
-// TestOrganisationsApart: an organisation that guesses another's id neither
+// TestOrganisationsIsolated: an organisation that guesses another's id neither
 // reads, attaches to nor stops its request.
-func TestOrganisationsApart(t *testing.T) {
+func TestOrganisationsIsolated(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
 	id := map[string]string{HeaderID: "same", HeaderAttempt: "1"}
@@ -243,9 +243,9 @@
 	is.Equal(len(v.engine.Ran()), 2)
 }
 
-// TestDrainEnds: an operator's drain left a process that served nothing and never
+// TestDrainEndsProcess: an operator's drain left a process that served nothing and never
 // ended. Cause: only a signal was waited for, not the end of the work.
-func TestDrainEnds(t *testing.T) {
+func TestDrainEndsProcess(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
 	status, _ := v.do(v.operators, "POST", "/drain", testOperatorKey, nil, "")
@@ -253,8 +253,8 @@
 	<-v.ended
 }
 
-// TestKeysStayOut: a key in a log line would be a key for whoever reads logs.
-func TestKeysStayOut(t *testing.T) {
+// TestKeysNotLogged: a key in a log line would be a key for whoever reads logs.
+func TestKeysNotLogged(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
 	status, _ := v.do(v.callers, "POST", completions, testAPIKey, nil, goodBody)
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -16,26 +16,26 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// progressEvery is the least time between two progress events of a stream.
-const progressEvery = 250 * time.Millisecond
+// progressInterval is the least time between two progress events of a stream.
+const progressInterval = 250 * time.Millisecond
 
 // dispatch sends a granted request to its endpoint, once.
 func (d *Daemon) dispatch(ctx context.Context, ef core.Dispatch) {
-	c := d.callOf(ef.Handle)
+	c := d.requestByHandle(ef.Handle)
 	rules := d.rulesOf(c)
-	e := endpointNamed(rules.Document, ef.Endpoint)
+	e := findEndpoint(rules.Document, ef.Endpoint)
 	if c == nil || e == nil {
-		d.later(ctx, core.Ended{Handle: ef.Handle, End: core.NotTaken})
+		d.pushAsync(ctx, core.Ended{Handle: ef.Handle, End: core.NotTaken})
 		return
 	}
 	d.log.Info().Str("request", c.spec.Key.String()).Uint32("tier", uint32(c.spec.Tier)).
-		Str("endpoint", ef.Endpoint).Str("stream", ef.Stream).Str("candidates", explain(ef)).Msg("dispatch")
+		Str("endpoint", ef.Endpoint).Str("stream", ef.Stream).Str("candidates", formatCandidates(ef)).Msg("dispatch")
 	d.count("dispatches")
 	runCtx, cancel := context.WithCancel(ctx)
 	c.setRun(cancel, e, ef.Stream)
-	a := newAnswer(d.tokenEvents(ctx, ef.Handle))
-	c.setAnswer(a)
-	d.answers.put(c.spec.Key, a)
+	a := newResponseBuffer(d.tokenObserver(ctx, ef.Handle))
+	c.setResponse(a)
+	d.responses.put(c.spec.Key, a)
 	call := endpoint.Call{
 		Base: "http://" + e.Address, Path: c.path, Key: c.spec.Key.String(), Body: c.body, ContentType: c.contentType,
 	}
@@ -45,31 +45,31 @@
 	d.group.Go(func() error {
 		defer cancel()
 		res := d.endpoints.Run(runCtx, call, a)
-		end := d.endOf(ctx, c, res, call.Stream != "")
+		end := d.endFromResult(ctx, c, res, call.Stream != "")
 		a.finish(end)
-		d.push(ctx, core.Ended{Handle: ef.Handle, End: end, Tokens: a.total()})
+		d.push(ctx, core.Ended{Handle: ef.Handle, End: end, Tokens: a.tokenCount()})
 		return nil
 	})
 }
 
-// later pushes an event from a goroutine of its own: the loop must not wait
+// pushAsync pushes an event from a goroutine of its own: the loop must not wait
 // for its own channel.
-func (d *Daemon) later(ctx context.Context, ev core.Event) {
+func (d *Daemon) pushAsync(ctx context.Context, ev core.Event) {
 	d.group.Go(func() error {
 		d.push(ctx, ev)
 		return nil
 	})
 }
 
-// tokenEvents tells the core of the first token and of progress.
-func (d *Daemon) tokenEvents(ctx context.Context, handle uint64) func(int) {
+// tokenObserver tells the core of the first token and of progress.
+func (d *Daemon) tokenObserver(ctx context.Context, handle uint64) func(int) {
 	var last time.Time
 	return func(total int) {
 		now := time.Now()
 		switch {
 		case total == 1:
 			d.push(ctx, core.FirstToken{Handle: handle})
-		case now.Sub(last) >= progressEvery:
+		case now.Sub(last) >= progressInterval:
 			d.push(ctx, core.Progress{Handle: handle, Tokens: total})
 		default:
 			return
@@ -78,9 +78,9 @@
 	}
 }
 
-// endOf turns a call's result into the core's terms. A run that was stopped is
+// endFromResult turns a call's result into the core's terms. A run that was stopped is
 // cancelled only if the endpoint confirms it.
-func (d *Daemon) endOf(ctx context.Context, c *callerCall, res endpoint.Result, model bool) core.End {
+func (d *Daemon) endFromResult(ctx context.Context, c *callerRequest, res endpoint.Result, model bool) core.End {
 	switch res {
 	case endpoint.Complete:
 		return core.Whole
@@ -93,7 +93,7 @@
 	}
 	e, stream, stopped := c.runState()
 	if stopped && model {
-		bound, cancel := context.WithTimeout(ctx, d.set.PlatformTimeout)
+		bound, cancel := context.WithTimeout(ctx, d.settings.PlatformTimeout)
 		defer cancel()
 		if d.endpoints.Cancel(bound, "http://"+e.Address, stream) {
 			return core.Stopped
@@ -102,9 +102,9 @@
 	return core.Broken
 }
 
-// stopCall ends a run; its goroutine then reports how it ended.
-func (d *Daemon) stopCall(ef core.Stop) {
-	if c := d.callOf(ef.Handle); c != nil {
+// stopRun ends a run; its goroutine then reports how it ended.
+func (d *Daemon) stopRun(ef core.Stop) {
+	if c := d.requestByHandle(ef.Handle); c != nil {
 		d.log.Info().Str("request", c.spec.Key.String()).Str("reason", string(ef.Reason)).Msg("stop")
 		c.stopRun()
 	}
@@ -113,9 +113,9 @@
 // attach reads the answer of another dispatch: here if this VM made it, from
 // the engine's stream, or from the VM that called a plain service.
 func (d *Daemon) attach(ctx context.Context, ef core.Attach) {
-	c := d.callOf(ef.Handle)
+	c := d.requestByHandle(ef.Handle)
 	if c == nil {
-		d.later(ctx, core.Ended{Handle: ef.Handle, End: core.Missing})
+		d.pushAsync(ctx, core.Ended{Handle: ef.Handle, End: core.Missing})
 		return
 	}
 	d.log.Info().Str("request", c.spec.Key.String()).Uint32("dispatcher", ef.Record.Dispatcher).
@@ -128,22 +128,22 @@
 	})
 }
 
-func (d *Daemon) readAttached(ctx context.Context, c *callerCall, r *schema.Record) core.End {
-	if a, ok := d.answers.get(c.spec.Key); ok && r.Dispatcher == d.set.Vm.Id && r.DispatcherIncarnation == d.inc {
-		c.setAnswer(a)
+func (d *Daemon) readAttached(ctx context.Context, c *callerRequest, r *schema.Record) core.End {
+	if a, ok := d.responses.get(c.spec.Key); ok && r.Dispatcher == d.settings.Vm.Id && r.DispatcherIncarnation == d.incarnation {
+		c.setResponse(a)
 		return a.waitDone(ctx)
 	}
-	a := newAnswer(nil)
+	a := newResponseBuffer(nil)
 	if c.spec.Model == "" {
-		return d.fetchPlain(ctx, c, r, a)
+		return d.fetchPlainResponse(ctx, c, r, a)
 	}
-	e := endpointNamed(d.rulesOf(c).Document, r.Endpoint)
+	e := findEndpoint(d.rulesOf(c).Document, r.Endpoint)
 	if e == nil {
 		return core.Missing
 	}
-	c.setAnswer(a)
+	c.setResponse(a)
 	next := 0
-	for range attachTries {
+	for range maxAttachAttempts {
 		var res endpoint.Result
 		next, res = d.endpoints.Resume(ctx, "http://"+e.Address, r.Stream, next, a)
 		switch res {
@@ -155,7 +155,7 @@
 		select {
 		case <-ctx.Done():
 			return core.Broken
-		case <-time.After(resumeEvery):
+		case <-time.After(resumeInterval):
 		}
 	}
 	if next > 0 {
@@ -168,12 +168,12 @@
 	return core.Missing
 }
 
-// attachTries bounds how often a stream is asked for that the endpoint does not
+// maxAttachAttempts bounds how often a stream is asked for that the endpoint does not
 // know: its dispatch may be on the way.
-const attachTries = 10
+const maxAttachAttempts = 10
 
-// fetchPlain asks the VM that called a plain service for its answer.
-func (d *Daemon) fetchPlain(ctx context.Context, c *callerCall, r *schema.Record, a *answer) core.End {
+// fetchPlainResponse asks the VM that called a plain service for its answer.
+func (d *Daemon) fetchPlainResponse(ctx context.Context, c *callerRequest, r *schema.Record, a *responseBuffer) core.End {
 	l := d.links[r.Dispatcher]
 	if l == nil {
 		return core.Missing
@@ -183,7 +183,7 @@
 	if err != nil {
 		return core.Missing
 	}
-	resp, err := (&keyedClient{http: d.peerHTTP, key: d.set.Keys.Peer}).Do(req)
+	resp, err := (&keyedClient{http: d.watchHTTP, key: d.settings.Keys.Peer}).Do(req)
 	if err != nil {
 		return core.Missing
 	}
@@ -197,14 +197,14 @@
 		return core.Broken
 	}
 	a.Whole(status, resp.Header.Get("Content-Type"), body)
-	c.setAnswer(a)
+	c.setResponse(a)
 	return core.Whole
 }
 
 // waitDone waits until the dispatch of an answer has ended here.
-func (a *answer) waitDone(ctx context.Context) core.End {
+func (a *responseBuffer) waitDone(ctx context.Context) core.End {
 	for {
-		p := a.from(0)
+		p := a.readFrom(0)
 		if p.done {
 			return p.end
 		}
@@ -216,7 +216,7 @@
 	}
 }
 
-func endpointNamed(doc *schema.Document, name string) *schema.Endpoint {
+func findEndpoint(doc *schema.Document, name string) *schema.Endpoint {
 	if doc == nil {
 		return nil
 	}
@@ -228,8 +228,8 @@
 	return nil
 }
 
-// explain lists the candidates of a decision for the log.
-func explain(ef core.Dispatch) string {
+// formatCandidates lists the candidates of a decision for the log.
+func formatCandidates(ef core.Dispatch) string {
 	s := ""
 	for i, c := range ef.Candidates {
 		if i > 0 {
@@ -241,34 +241,34 @@
 }
 
 const (
-	// reportEvery is the interval at which engines are asked for their reports.
-	reportEvery = 500 * time.Millisecond
-	// reportsAtOnce bounds the questions under way, so that one engine that does
+	// reportInterval is the interval at which engines are asked for their reports.
+	reportInterval = 500 * time.Millisecond
+	// maxConcurrentReports bounds the questions under way, so that one engine that does
 	// not answer holds up no other.
-	reportsAtOnce = 32
+	maxConcurrentReports = 32
 )
 
-// reports follows what the engines say of themselves: whether they leave, and
+// pollEngines follows what the engines say of themselves: whether they leave, and
 // what their caches hold.
-func (d *Daemon) reports(ctx context.Context) error {
+func (d *Daemon) pollEngines(ctx context.Context) error {
 	next := make(map[string]*int)
 	for {
-		d.reportRound(ctx, next)
+		d.pollEnginesOnce(ctx, next)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(reportEvery):
+		case <-time.After(reportInterval):
 		}
 	}
 }
 
-func (d *Daemon) reportRound(ctx context.Context, next map[string]*int) {
+func (d *Daemon) pollEnginesOnce(ctx context.Context, next map[string]*int) {
 	rules := d.rules.Load()
 	if rules == nil {
 		return
 	}
 	var g errgroup.Group
-	g.SetLimit(reportsAtOnce)
+	g.SetLimit(maxConcurrentReports)
 	for _, e := range rules.Document.Endpoints {
 		if len(e.Models) == 0 {
 			continue
@@ -278,16 +278,16 @@
 		}
 		after := next[e.Name]
 		g.Go(func() error {
-			d.report(ctx, e, after)
+			d.pollEngine(ctx, e, after)
 			return nil
 		})
 	}
 	_ = g.Wait()
 }
 
-// report asks one engine. after is the number of its next cache event.
-func (d *Daemon) report(ctx context.Context, e *schema.Endpoint, after *int) {
-	bound, cancel := context.WithTimeout(ctx, reportEvery)
+// pollEngine asks one engine. after is the number of its next cache event.
+func (d *Daemon) pollEngine(ctx context.Context, e *schema.Endpoint, after *int) {
+	bound, cancel := context.WithTimeout(ctx, reportInterval)
 	defer cancel()
 	base := "http://" + e.Address
 	load, err := d.endpoints.Load(bound, base)
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -7,25 +7,25 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// item is what the loop takes: one event, or a peer's batch whose replies go
+// loopInput is what the loop takes: one event, or a peer's batch whose replies go
 // back with the same call.
-type item struct {
+type loopInput struct {
 	event core.Event
-	batch *batch
+	batch *peerBatch
 }
 
-// batch is one envelope of a peer.
-type batch struct {
-	from     uint32
-	inc      uint64
-	messages []*schema.Message
-	reply    chan []*schema.Message
+// peerBatch is one envelope of a peer.
+type peerBatch struct {
+	from        uint32
+	incarnation uint64
+	messages    []*schema.Message
+	reply       chan []*schema.Message
 }
 
 // push hands an event to the loop, waiting if it is behind.
 func (d *Daemon) push(ctx context.Context, ev core.Event) {
 	select {
-	case d.events <- item{event: ev}:
+	case d.events <- loopInput{event: ev}:
 	case <-ctx.Done():
 	}
 }
@@ -42,16 +42,16 @@
 				d.stepBatch(ctx, node, it.batch)
 				continue
 			}
-			d.apply(ctx, node.Step(d.now(), it.event), nil)
+			d.applyEffects(ctx, node.Step(d.now(), it.event), nil)
 			if _, ok := it.event.(core.Tick); ok {
-				d.publish(node)
+				d.publishState(node)
 			}
 		}
 	}
 }
 
-// publish lets the other duties see the state.
-func (d *Daemon) publish(node *core.Node) {
+// publishState lets the other duties see the state.
+func (d *Daemon) publishState(node *core.Node) {
 	s := node.Status()
 	if old := d.status.Load(); old.Ready != s.Ready || old.Why != s.Why {
 		d.log.Info().Bool("ready", s.Ready).Str("why", s.Why).Uint64("version", s.Version).Msg("readiness")
@@ -65,38 +65,38 @@
 
 // stepBatch steps through a peer's messages; what they cause for that peer
 // travels in the reply.
-func (d *Daemon) stepBatch(ctx context.Context, node *core.Node, b *batch) {
-	var back []*schema.Message
+func (d *Daemon) stepBatch(ctx context.Context, node *core.Node, b *peerBatch) {
+	var replies []*schema.Message
 	for _, m := range b.messages {
-		effects := node.Step(d.now(), core.PeerMessage{From: b.from, Incarnation: b.inc, Message: m})
-		d.apply(ctx, effects, func(s core.Send) bool {
+		effects := node.Step(d.now(), core.PeerMessage{From: b.from, Incarnation: b.incarnation, Message: m})
+		d.applyEffects(ctx, effects, func(s core.Send) bool {
 			if s.To != b.from {
 				return false
 			}
-			back = append(back, s.Message)
+			replies = append(replies, s.Message)
 			return true
 		})
 	}
-	b.reply <- back
+	b.reply <- replies
 }
 
-// apply carries out effects. Nothing here waits: a duty that is behind loses
+// applyEffects carries out effects. Nothing here waits: a duty that is behind loses
 // messages, which the core expects of a network.
-func (d *Daemon) apply(ctx context.Context, effects []core.Effect, take func(core.Send) bool) {
+func (d *Daemon) applyEffects(ctx context.Context, effects []core.Effect, intercept func(core.Send) bool) {
 	for _, ef := range effects {
 		switch ef := ef.(type) {
 		case core.Send:
-			if take == nil || !take(ef) {
-				d.send(ef)
+			if intercept == nil || !intercept(ef) {
+				d.queueMessage(ef)
 			}
 		case core.Dispatch:
 			d.dispatch(ctx, ef)
 		case core.Attach:
 			d.attach(ctx, ef)
 		case core.Stop:
-			d.stopCall(ef)
+			d.stopRun(ef)
 		case core.Finish:
-			d.finish(ef.Handle, outcomeOf(ef))
+			d.finish(ef.Handle, newOutcome(ef))
 		case core.Conflict:
 			d.finish(ef.Handle, conflictOutcome)
 		case core.Append:
@@ -104,25 +104,25 @@
 		case core.InForce:
 			d.log.Info().Uint64("version", ef.Rules.Version).Str("author", ef.Rules.Document.Author).Msg("configuration_in_force")
 		case core.Judged:
-			d.noteVerdict(ef.Verdict)
+			d.handleVerdict(ef.Verdict)
 		case core.Takeover:
 			d.log.Warn().Uint32("vm", ef.VM).Bool("clean", ef.Clean).Msg("takeover")
 		case core.Expelled:
 			d.log.Error().Msg("fenced")
-			close(d.expelled)
+			close(d.declaredDead)
 		case core.Drained:
 			close(d.drained)
 		}
 	}
 }
 
-func (d *Daemon) send(s core.Send) {
+func (d *Daemon) queueMessage(s core.Send) {
 	l := d.links[s.To]
 	if l == nil {
 		return
 	}
 	select {
-	case l.out <- s.Message:
+	case l.outgoing <- s.Message:
 	default:
 		d.count("peer.dropped")
 	}
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -28,32 +28,32 @@
 		w.Header().Set("Content-Type", "application/json")
 		metrics.WriteJSONOnce(d.metrics, w)
 	})
-	mux.HandleFunc("GET /config", d.showConfig)
+	mux.HandleFunc("GET /config", d.serveConfig)
 	mux.HandleFunc("POST /config", d.submitConfig)
 	mux.HandleFunc("POST /drain", func(w http.ResponseWriter, r *http.Request) {
 		d.push(r.Context(), core.Drain{})
 		writeJSON(w, http.StatusAccepted, struct{}{})
 	})
-	return guard(d.set.Keys.Operator, mux)
+	return requireKey(d.settings.Keys.Operator, mux)
 }
 
-// shownConfig is the configuration in force.
-type shownConfig struct {
+// configView is the configuration in force.
+type configView struct {
 	Version  uint64
 	Document string
 }
 
-func (d *Daemon) showConfig(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveConfig(w http.ResponseWriter, _ *http.Request) {
 	rules := d.rules.Load()
 	if rules == nil {
 		writeError(w, http.StatusServiceUnavailable, "not_ready", d.status.Load().Why)
 		return
 	}
-	writeJSON(w, http.StatusOK, shownConfig{Version: rules.Version, Document: protojson.Format(rules.Document)})
+	writeJSON(w, http.StatusOK, configView{Version: rules.Version, Document: protojson.Format(rules.Document)})
 }
 
-// Submitted tells an operator what became of a document.
-type Submitted struct {
+// SubmitResult tells an operator what became of a document.
+type SubmitResult struct {
 	// Verdict is accepted, stale_base, invalid or unknown.
 	Verdict string   `json:"verdict"`
 	Version uint64   `json:"version,omitempty"`
@@ -63,9 +63,9 @@
 }
 
 const (
-	maxDocument = 8 << 20
-	// verdictWait is how long a submitter is kept waiting for the log's order.
-	verdictWait    = 5 * time.Second
+	maxDocumentBytes = 8 << 20
+	// verdictTimeout is how long a submitter is kept waiting for the log's order.
+	verdictTimeout = 5 * time.Second
 	unknownVerdict = "unknown"
 )
 
@@ -73,7 +73,7 @@
 // it. An append whose answer is lost is settled by reading the log; if that
 // cannot be done in time the verdict is unknown.
 func (d *Daemon) submitConfig(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocument))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocumentBytes))
 	if err != nil {
 		writeError(w, http.StatusBadRequest, "bad_body", "the document could not be read")
 		return
@@ -83,7 +83,7 @@
 	if len(faults) == 0 {
 		faults = config.Check(doc)
 	}
-	sub := Submitted{AppendID: newAppendID()}
+	sub := SubmitResult{AppendID: newAppendID()}
 	if len(faults) > 0 {
 		sub.Verdict = string(config.Invalid)
 		sub.Faults = faultTexts(faults)
@@ -102,13 +102,13 @@
 	writeJSON(w, status, sub)
 }
 
-func (d *Daemon) appendAndWait(ctx context.Context, doc *schema.Document, sub *Submitted) {
-	verdict := d.judged.wait(sub.AppendID)
-	defer d.judged.forget(sub.AppendID)
+func (d *Daemon) appendAndWait(ctx context.Context, doc *schema.Document, sub *SubmitResult) {
+	verdict := d.verdicts.wait(sub.AppendID)
+	defer d.verdicts.remove(sub.AppendID)
 	rec := &schema.LogRecord{AppendId: sub.AppendID, Author: doc.Author, Body: &schema.LogRecord_Document{Document: doc}}
 	done := make(chan error, 1)
 	d.queueAppend(&appendJob{record: rec, done: done})
-	bound, cancel := context.WithTimeout(ctx, verdictWait)
+	bound, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	select {
 	case v := <-verdict:
@@ -132,44 +132,44 @@
 	if err != nil {
 		return nil, &ListenError{Address: addr, Err: err}
 	}
-	l = netutil.LimitListener(l, int(d.set.Limits.MaxConnections))
-	if d.set.Tls.CertificateFile == "" {
+	l = netutil.LimitListener(l, int(d.settings.Limits.MaxConnections))
+	if d.settings.Tls.CertificateFile == "" {
 		return l, nil
 	}
-	cert, err := tls.LoadX509KeyPair(d.set.Tls.CertificateFile, d.set.Tls.KeyFile)
+	cert, err := tls.LoadX509KeyPair(d.settings.Tls.CertificateFile, d.settings.Tls.KeyFile)
 	if err != nil {
 		return nil, &TLSError{Err: err}
 	}
 	return tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS13}), nil
 }
 
-// peerTLS is what peers' certificates are checked against.
-func (d *Daemon) peerTLS() (*tls.Config, error) {
-	if d.set.Tls.AuthorityFile == "" {
+// peerTLSConfig is what peers' certificates are checked against.
+func (d *Daemon) peerTLSConfig() (*tls.Config, error) {
+	if d.settings.Tls.AuthorityFile == "" {
 		return nil, nil
 	}
-	pem, err := os.ReadFile(d.set.Tls.AuthorityFile)
+	pem, err := os.ReadFile(d.settings.Tls.AuthorityFile)
 	if err != nil {
 		return nil, &TLSError{Err: err}
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, &TLSError{Err: &NoCertificateError{Path: d.set.Tls.AuthorityFile}}
+		return nil, &TLSError{Err: &NoCertificateError{Path: d.settings.Tls.AuthorityFile}}
 	}
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}, nil
 }
 
-func (d *Daemon) server(h http.Handler) *http.Server {
+func (d *Daemon) newServer(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: d.set.ReadTimeout, IdleTimeout: d.set.IdleTimeout,
-		MaxHeaderBytes: int(d.set.Limits.MaxHeaderBytes),
+		Handler: h, ReadHeaderTimeout: d.settings.ReadTimeout, IdleTimeout: d.settings.IdleTimeout,
+		MaxHeaderBytes: int(d.settings.Limits.MaxHeaderBytes),
 	}
 }
 
 // serve runs one server until the process's work ends. It sets no write
 // timeout: streams are long.
 func (d *Daemon) serve(ctx context.Context, l net.Listener, h http.Handler) *http.Server {
-	s := d.server(h)
+	s := d.newServer(h)
 	d.group.Go(func() error {
 		_ = s.Serve(l)
 		return nil
@@ -184,12 +184,12 @@
 // servePeers runs the peers' server to the very end of the process. Only the
 // kernel may close a watch, since its end is taken for the process's death.
 func (d *Daemon) servePeers(l net.Listener) {
-	s := d.server(d.peerHandler())
+	s := d.newServer(d.peerHandler())
 	var both http.Protocols
 	both.SetHTTP1(true)
 	both.SetHTTP2(true)
 	both.SetUnencryptedHTTP2(true)
 	s.Protocols = &both
-	l = countedListener{Listener: l, d: d}
+	l = countingListener{Listener: l, d: d}
 	go func() { _ = s.Serve(l) }()
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -22,58 +22,58 @@
 )
 
 const (
-	// maxBatch bounds the messages of one call.
-	maxBatch        = 512
-	exchangeTimeout = 500 * time.Millisecond
-	watchRetry      = 50 * time.Millisecond
+	// maxBatchMessages bounds the messages of one call.
+	maxBatchMessages   = 512
+	exchangeTimeout    = 500 * time.Millisecond
+	watchRetryInterval = 50 * time.Millisecond
 )
 
 // link is the way to one peer.
 type link struct {
-	peer *schema.Peer
-	out  chan *schema.Message
+	peer     *schema.Peer
+	outgoing chan *schema.Message
 	// incarnation is what the core knows of the peer.
 	incarnation atomic.Uint64
 }
 
 func newLink(p *schema.Peer) *link {
-	return &link{peer: p, out: make(chan *schema.Message, linkBuffer)}
+	return &link{peer: p, outgoing: make(chan *schema.Message, linkBuffer)}
 }
 
 func (d *Daemon) startPeers(ctx context.Context) {
 	for _, l := range d.links {
-		d.group.Go(func() error { return d.exchange(ctx, l) })
-		if l.peer.FailureDomain == d.set.Vm.FailureDomain {
+		d.group.Go(func() error { return d.exchangeLoop(ctx, l) })
+		if l.peer.FailureDomain == d.settings.Vm.FailureDomain {
 			d.group.Go(func() error { return d.watch(ctx, l) })
 		}
 	}
 }
 
-// exchange sends what waits for a peer, one call at a time, so that messages
+// exchangeLoop sends what waits for a peer, one call at a time, so that messages
 // gather into batches by themselves while a call is under way.
-func (d *Daemon) exchange(ctx context.Context, l *link) error {
-	client := schema.NewPeerServiceProtobufClient(d.peerURL(l), &keyedClient{http: d.exchangeHTTP, key: d.set.Keys.Peer})
+func (d *Daemon) exchangeLoop(ctx context.Context, l *link) error {
+	client := schema.NewPeerServiceProtobufClient(d.peerURL(l), &keyedClient{http: d.exchangeHTTP, key: d.settings.Keys.Peer})
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case m := <-l.out:
-			env := &schema.Envelope{From: d.set.Vm.Id, Incarnation: d.inc, Messages: gather(ctx, l, m)}
-			d.call(ctx, client, l, env)
+		case m := <-l.outgoing:
+			env := &schema.Envelope{From: d.settings.Vm.Id, Incarnation: d.incarnation, Messages: gatherBatch(ctx, l, m)}
+			d.exchangeOnce(ctx, client, l, env)
 		}
 	}
 }
 
-// gather takes what waits for a peer. Messages that nobody waits for are held
+// gatherBatch takes what waits for a peer. Messages that nobody waits for are held
 // back a little, for company: what a call costs is mostly the call itself.
-func gather(ctx context.Context, l *link, first *schema.Message) []*schema.Message {
+func gatherBatch(ctx context.Context, l *link, first *schema.Message) []*schema.Message {
 	batch := []*schema.Message{first}
-	hold := time.NewTimer(holdBack)
+	hold := time.NewTimer(batchDelay)
 	defer hold.Stop()
-	for urgent := !canWait(first); len(batch) < maxBatch; {
+	for urgent := !isDeferrable(first); len(batch) < maxBatchMessages; {
 		if urgent {
 			select {
-			case m := <-l.out:
+			case m := <-l.outgoing:
 				batch = append(batch, m)
 				continue
 			default:
@@ -81,9 +81,9 @@
 			}
 		}
 		select {
-		case m := <-l.out:
+		case m := <-l.outgoing:
 			batch = append(batch, m)
-			urgent = !canWait(m)
+			urgent = !isDeferrable(m)
 		case <-hold.C:
 			return batch
 		case <-ctx.Done():
@@ -93,11 +93,11 @@
 	return batch
 }
 
-// holdBack is how long messages that can wait do so, well under a heartbeat's interval.
-const holdBack = 40 * time.Millisecond
+// batchDelay is how long messages that can wait do so, well under a heartbeat's interval.
+const batchDelay = 40 * time.Millisecond
 
-// canWait reports whether nobody waits for a message.
-func canWait(m *schema.Message) bool {
+// isDeferrable reports whether nobody waits for a message.
+func isDeferrable(m *schema.Message) bool {
 	switch m.Body.(type) {
 	case *schema.Message_Heartbeat, *schema.Message_Update, *schema.Message_UpdateAck,
 		*schema.Message_Digest, *schema.Message_ConfigWant:
@@ -106,7 +106,7 @@
 	return false
 }
 
-func (d *Daemon) call(ctx context.Context, client schema.PeerService, l *link, env *schema.Envelope) {
+func (d *Daemon) exchangeOnce(ctx context.Context, client schema.PeerService, l *link, env *schema.Envelope) {
 	bound, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	d.count("peer.calls")
@@ -121,7 +121,7 @@
 }
 
 func (d *Daemon) peerURL(l *link) string {
-	if d.set.Tls.CertificateFile != "" {
+	if d.settings.Tls.CertificateFile != "" {
 		return "https://" + l.peer.Address
 	}
 	return "http://" + l.peer.Address
@@ -144,15 +144,15 @@
 	if d.links[env.From] == nil {
 		return nil, twirp.NewError(twirp.PermissionDenied, "unknown VM")
 	}
-	b := &batch{from: env.From, inc: env.Incarnation, messages: env.Messages, reply: make(chan []*schema.Message, 1)}
+	b := &peerBatch{from: env.From, incarnation: env.Incarnation, messages: env.Messages, reply: make(chan []*schema.Message, 1)}
 	select {
-	case d.events <- item{batch: b}:
+	case d.events <- loopInput{batch: b}:
 	case <-ctx.Done():
 		return nil, twirp.NewError(twirp.Unavailable, "stopping")
 	}
 	select {
-	case back := <-b.reply:
-		return &schema.Envelope{From: d.set.Vm.Id, Incarnation: d.inc, Messages: back}, nil
+	case replies := <-b.reply:
+		return &schema.Envelope{From: d.settings.Vm.Id, Incarnation: d.incarnation, Messages: replies}, nil
 	case <-ctx.Done():
 		return nil, twirp.NewError(twirp.Unavailable, "stopping")
 	}
@@ -164,7 +164,7 @@
 	return subtle.ConstantTimeCompare([]byte(got), []byte(key)) == 1
 }
 
-func guard(key string, next http.Handler) http.Handler {
+func requireKey(key string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !hasKey(r, key) {
 			writeError(w, http.StatusUnauthorized, "unauthenticated", "a valid key is needed")
@@ -178,15 +178,15 @@
 	mux := http.NewServeMux()
 	mux.Handle(schema.PeerServicePathPrefix, schema.NewPeerServiceServer(d))
 	mux.HandleFunc("GET /watch", d.serveWatch)
-	mux.HandleFunc("GET /answer", d.serveAnswer)
-	return guard(d.set.Keys.Peer, mux)
+	mux.HandleFunc("GET /answer", d.servePlainResponse)
+	return requireKey(d.settings.Keys.Peer, mux)
 }
 
 // serveWatch names this incarnation and then holds the connection for the life
 // of the process. Its end, which only the kernel brings about, is the proof of
 // this process's death; so this handler returns only if the peer is gone.
 func (d *Daemon) serveWatch(w http.ResponseWriter, r *http.Request) {
-	_, _ = fmt.Fprintf(w, "%d\n", d.inc)
+	_, _ = fmt.Fprintf(w, "%d\n", d.incarnation)
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
 }
@@ -197,7 +197,7 @@
 		d.watchOnce(ctx, l)
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryInterval):
 		}
 	}
 	return nil
@@ -209,10 +209,10 @@
 	if err != nil {
 		return
 	}
-	client := &keyedClient{http: d.peerHTTP, key: d.set.Keys.Peer}
+	client := &keyedClient{http: d.watchHTTP, key: d.settings.Keys.Peer}
 	resp, err := client.Do(req)
 	if err != nil {
-		if errors.Is(err, syscall.ECONNREFUSED) && d.set.Claims.TrustConnectionClose {
+		if errors.Is(err, syscall.ECONNREFUSED) && d.settings.Claims.TrustConnectionClose {
 			d.push(ctx, core.PeerAbsent{VM: l.peer.Id, Incarnation: before})
 		}
 		return
@@ -224,7 +224,7 @@
 		return
 	}
 	_, err = rd.ReadByte()
-	if ctx.Err() == nil && closedByKernel(err) && d.set.Claims.TrustConnectionClose {
+	if ctx.Err() == nil && closedByKernel(err) && d.settings.Claims.TrustConnectionClose {
 		d.log.Warn().Uint32("vm", l.peer.Id).Uint64("incarnation", inc).Msg("peer_closed")
 		d.push(ctx, core.PeerClosed{VM: l.peer.Id, Incarnation: inc})
 	}
@@ -240,10 +240,10 @@
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// serveAnswer gives a peer the answer of a plain service that was called here.
-func (d *Daemon) serveAnswer(w http.ResponseWriter, r *http.Request) {
+// servePlainResponse gives a peer the answer of a plain service that was called here.
+func (d *Daemon) servePlainResponse(w http.ResponseWriter, r *http.Request) {
 	key := request.Key{Organisation: r.URL.Query().Get("organisation"), ID: r.URL.Query().Get("id")}
-	a, ok := d.answers.get(key)
+	a, ok := d.responses.get(key)
 	if !ok {
 		http.NotFound(w, r)
 		return
@@ -262,9 +262,9 @@
 const headerStatus = "X-Answer-Status"
 
 // waitPlain waits for the whole answer of a plain service; nil if there is none.
-func (a *answer) waitPlain(ctx context.Context) *plainAnswer {
+func (a *responseBuffer) waitPlain(ctx context.Context) *plainResponse {
 	for {
-		p := a.from(0)
+		p := a.readFrom(0)
 		if p.plain != nil || p.done {
 			return p.plain
 		}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// readLimit is how many records one read of the log asks for.
-	readLimit = 256
-	listEvery = time.Second
+	// maxReadRecords is how many records one read of the log asks for.
+	maxReadRecords = 256
+	vmListInterval = time.Second
 )
 
 func (d *Daemon) startPlatform(ctx context.Context) {
-	d.group.Go(func() error { return d.readLog(ctx) })
-	d.group.Go(func() error { return d.readList(ctx) })
-	d.group.Go(func() error { return d.appendAll(ctx) })
+	d.group.Go(func() error { return d.followLog(ctx) })
+	d.group.Go(func() error { return d.followVMList(ctx) })
+	d.group.Go(func() error { return d.appendLoop(ctx) })
 }
 
-// readLog follows the log. While it fails the core is told, and serves by what
+// followLog follows the log. While it fails the core is told, and serves by what
 // it has.
-func (d *Daemon) readLog(ctx context.Context) error {
+func (d *Daemon) followLog(ctx context.Context) error {
 	var next uint64
 	for {
-		b, err := d.readOnce(ctx, next)
+		b, err := d.readBatch(ctx, next)
 		if err != nil {
 			d.count("log.errors")
 			d.push(ctx, core.LogFailed{})
 		} else {
-			next = d.passOn(ctx, b, next)
+			next = d.pushRecords(ctx, b, next)
 		}
 		if err == nil && next < b.Next {
 			continue
@@ -45,18 +45,18 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(d.set.PollInterval):
+		case <-time.After(d.settings.PollInterval):
 		}
 	}
 }
 
-func (d *Daemon) readOnce(ctx context.Context, from uint64) (logservice.Batch, error) {
-	bound, cancel := context.WithTimeout(ctx, d.set.PlatformTimeout)
+func (d *Daemon) readBatch(ctx context.Context, from uint64) (logservice.Batch, error) {
+	bound, cancel := context.WithTimeout(ctx, d.settings.PlatformTimeout)
 	defer cancel()
-	return d.platform.Read(bound, from, readLimit)
+	return d.platform.Read(bound, from, maxReadRecords)
 }
 
-func (d *Daemon) passOn(ctx context.Context, b logservice.Batch, next uint64) uint64 {
+func (d *Daemon) pushRecords(ctx context.Context, b logservice.Batch, next uint64) uint64 {
 	ev := core.LogRead{First: b.First, Next: b.Next}
 	next = max(next, b.First)
 	for _, r := range b.Records {
@@ -71,11 +71,11 @@
 	return next
 }
 
-// readList follows the platform's list of VMs.
-func (d *Daemon) readList(ctx context.Context) error {
+// followVMList follows the platform's list of VMs.
+func (d *Daemon) followVMList(ctx context.Context) error {
 	gone := make(map[uint32]bool)
 	for {
-		bound, cancel := context.WithTimeout(ctx, d.set.PlatformTimeout)
+		bound, cancel := context.WithTimeout(ctx, d.settings.PlatformTimeout)
 		list, err := d.platform.VMs(bound)
 		cancel()
 		if err == nil {
@@ -89,7 +89,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(listEvery):
+		case <-time.After(vmListInterval):
 		}
 	}
 }
@@ -117,13 +117,13 @@
 // Error describes the failure.
 func (e *QueueFullError) Error() string { return "too many appends wait" }
 
-func (d *Daemon) appendAll(ctx context.Context) error {
+func (d *Daemon) appendLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case j := <-d.appends:
-			err := d.appendOne(ctx, j.record)
+			err := d.appendRecord(ctx, j.record)
 			if j.done != nil {
 				j.done <- err
 			}
@@ -131,7 +131,7 @@
 	}
 }
 
-func (d *Daemon) appendOne(ctx context.Context, r *schema.LogRecord) error {
+func (d *Daemon) appendRecord(ctx context.Context, r *schema.LogRecord) error {
 	if r.AppendId == "" {
 		r.AppendId = newAppendID()
 	}
@@ -140,7 +140,7 @@
 	if err != nil {
 		return &config.DecodeError{Err: err}
 	}
-	bound, cancel := context.WithTimeout(ctx, d.set.PlatformTimeout)
+	bound, cancel := context.WithTimeout(ctx, d.settings.PlatformTimeout)
 	defer cancel()
 	d.count("log.appends")
 	_, err = d.platform.Append(bound, data)
@@ -153,15 +153,17 @@
 	return hex.EncodeToString(b[:])
 }
 
-// verdicts lets submitters wait for the judgement of their append.
-type verdicts struct {
+// verdictWaiters lets submitters wait for the judgement of their append.
+type verdictWaiters struct {
 	mu      sync.Mutex
 	waiters map[string]chan config.Verdict
 }
 
-func newVerdicts() *verdicts { return &verdicts{waiters: make(map[string]chan config.Verdict)} }
+func newVerdictWaiters() *verdictWaiters {
+	return &verdictWaiters{waiters: make(map[string]chan config.Verdict)}
+}
 
-func (v *verdicts) wait(id string) <-chan config.Verdict {
+func (v *verdictWaiters) wait(id string) <-chan config.Verdict {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	c := make(chan config.Verdict, 1)
@@ -169,13 +171,13 @@
 	return c
 }
 
-func (v *verdicts) forget(id string) {
+func (v *verdictWaiters) remove(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.waiters, id)
 }
 
-func (v *verdicts) note(verdict config.Verdict) {
+func (v *verdictWaiters) deliver(verdict config.Verdict) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if c := v.waiters[verdict.AppendID]; c != nil {
@@ -184,10 +186,10 @@
 	}
 }
 
-func (d *Daemon) noteVerdict(v config.Verdict) {
+func (d *Daemon) handleVerdict(v config.Verdict) {
 	if v.Judgement != config.Other && v.Judgement != config.Carry {
 		d.log.Info().Uint64("offset", v.Offset).Str("author", v.Author).Uint64("base", v.Base).
 			Str("judgement", string(v.Judgement)).Uint64("version", v.Version).Msg("configuration_judged")
 	}
-	d.judged.note(v)
+	d.verdicts.deliver(v)
 }
