--- a/cmd/chivefield/operate.go
+++ b/cmd/chivefield/operate.go
@@ -177,14 +177,14 @@
 	client := &logservice.Client{Base: "http://" + c.Platform, HTTP: http.DefaultClient}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	trail := config.NewTrail()
+	trail := config.NewAuditTrail()
 	var next uint64
 	for {
 		b, err := client.Read(ctx, next, auditBatch)
 		if err != nil {
 			return err
 		}
-		trail.Begin(b.First)
+		trail.SetLogStart(b.First)
 		for _, r := range b.Records {
 			rec, err := config.Decode(r.Data)
 			if err != nil {
@@ -201,7 +201,7 @@
 	}
 }
 
-func printAuditLine(l config.Line) {
+func printAuditLine(l config.AuditEntry) {
 	out := auditLine{
 		Offset: l.Offset, At: time.UnixMilli(l.UnixMs).UTC().Format(time.RFC3339), Author: l.Author, Comment: l.Comment,
 		Base: l.Base, Judgement: string(l.Judgement), Version: l.Version, Changed: l.Changed,
--- a/config/check.go
+++ b/config/check.go
@@ -57,7 +57,7 @@
 	tiers  map[uint32]bool
 }
 
-func (c *checker) fault(problem, path string, args ...any) {
+func (c *checker) addFault(problem, path string, args ...any) {
 	c.faults = append(c.faults, Fault{Path: fmt.Sprintf(path, args...), Problem: problem})
 }
 
@@ -65,150 +65,150 @@
 func Check(d *schema.Document) []Fault {
 	c := &checker{kinds: map[string]*schema.Kind{}, orgs: map[string]bool{}, tiers: map[uint32]bool{}}
 	if d.SchemaVersion == 0 || d.SchemaVersion > SchemaVersion {
-		c.fault(fmt.Sprintf("must be 1 to %d", SchemaVersion), "schema_version")
+		c.addFault(fmt.Sprintf("must be 1 to %d", SchemaVersion), "schema_version")
 	}
 	if d.Author == "" {
-		c.fault("is missing", "author")
-	}
-	c.tierList(d.Tiers)
-	c.organisations(d.Organisations)
-	c.kindList(d.Kinds)
-	c.assignments(d)
-	c.endpoints(d.Endpoints)
-	ttl := c.duration(d.RecordTtl, "record_ttl")
+		c.addFault("is missing", "author")
+	}
+	c.checkTiers(d.Tiers)
+	c.checkOrganisations(d.Organisations)
+	c.checkKinds(d.Kinds)
+	c.checkAssignments(d)
+	c.checkEndpoints(d.Endpoints)
+	ttl := c.checkDuration(d.RecordTtl, "record_ttl")
 	if ttl != 0 && (ttl < minTTL || ttl > maxTTL) {
-		c.fault("must be between "+minTTL.String()+" and "+maxTTL.String(), "record_ttl")
+		c.addFault("must be between "+minTTL.String()+" and "+maxTTL.String(), "record_ttl")
 	}
 	return c.faults
 }
 
-func (c *checker) duration(s, path string, args ...any) time.Duration {
+func (c *checker) checkDuration(s, path string, args ...any) time.Duration {
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		c.fault(`must be a duration with a unit, such as "250ms"`, path, args...)
+		c.addFault(`must be a duration with a unit, such as "250ms"`, path, args...)
 		return 0
 	}
 	if d <= 0 {
-		c.fault("must be positive", path, args...)
+		c.addFault("must be positive", path, args...)
 		return 0
 	}
 	return d
 }
 
-func (c *checker) tierList(tiers []*schema.Tier) {
+func (c *checker) checkTiers(tiers []*schema.Tier) {
 	if len(tiers) == 0 || len(tiers) > maxTiers {
-		c.fault(fmt.Sprintf("must be 1 to %d", maxTiers), "tiers")
+		c.addFault(fmt.Sprintf("must be 1 to %d", maxTiers), "tiers")
 	}
 	for i, t := range tiers {
 		if int(t.Number) != i {
-			c.fault("tiers must be numbered from 0 without gaps", "tiers[%d].number", i)
+			c.addFault("tiers must be numbered from 0 without gaps", "tiers[%d].number", i)
 		}
 		c.tiers[t.Number] = true
 		if t.FirstTokenTarget != "" {
-			c.duration(t.FirstTokenTarget, "tiers[%d].first_token_target", i)
+			c.checkDuration(t.FirstTokenTarget, "tiers[%d].first_token_target", i)
 		}
 		if t.TokenGapTarget != "" {
-			c.duration(t.TokenGapTarget, "tiers[%d].token_gap_target", i)
+			c.checkDuration(t.TokenGapTarget, "tiers[%d].token_gap_target", i)
 		}
 	}
 }
 
-func (c *checker) organisations(orgs []*schema.Organisation) {
+func (c *checker) checkOrganisations(orgs []*schema.Organisation) {
 	if len(orgs) == 0 {
-		c.fault("is missing", "organisations")
+		c.addFault("is missing", "organisations")
 	}
 	keys := make(map[string]bool, len(orgs))
 	for i, o := range orgs {
 		if o.Name == "" || o.Name == Any || c.orgs[o.Name] {
-			c.fault("must be a unique name", "organisations[%d].name", i)
+			c.addFault("must be a unique name", "organisations[%d].name", i)
 		}
 		c.orgs[o.Name] = true
 		raw, err := hex.DecodeString(o.KeySha256)
 		if err != nil || len(raw) != sha256Bytes || keys[o.KeySha256] {
-			c.fault("must be a unique SHA-256 in lower-case hex", "organisations[%d].key_sha256", i)
+			c.addFault("must be a unique SHA-256 in lower-case hex", "organisations[%d].key_sha256", i)
 		}
 		keys[o.KeySha256] = true
 	}
 }
 
-func (c *checker) kindList(kinds []*schema.Kind) {
+func (c *checker) checkKinds(kinds []*schema.Kind) {
 	if len(kinds) == 0 {
-		c.fault("is missing", "kinds")
+		c.addFault("is missing", "kinds")
 	}
 	for i, k := range kinds {
 		if k.Name == "" || k.Name == Any || c.kinds[k.Name] != nil {
-			c.fault("must be a unique name", "kinds[%d].name", i)
+			c.addFault("must be a unique name", "kinds[%d].name", i)
 		}
 		c.kinds[k.Name] = k
-		c.duration(k.Deadline, "kinds[%d].deadline", i)
+		c.checkDuration(k.Deadline, "kinds[%d].deadline", i)
 		if (k.Model == "") == (k.Path == "") {
-			c.fault("exactly one of model and path must be set", "kinds[%d]", i)
+			c.addFault("exactly one of model and path must be set", "kinds[%d]", i)
 		}
 		if k.Model != "" && k.ExpectedOutput == 0 {
-			c.fault("must be positive for a model", "kinds[%d].expected_output", i)
+			c.addFault("must be positive for a model", "kinds[%d].expected_output", i)
 		}
 	}
 }
 
-func (c *checker) assignments(d *schema.Document) {
+func (c *checker) checkAssignments(d *schema.Document) {
 	for i, a := range d.Assignments {
 		if a.Organisation != Any && !c.orgs[a.Organisation] {
-			c.fault("names no organisation", "assignments[%d].organisation", i)
+			c.addFault("names no organisation", "assignments[%d].organisation", i)
 		}
 		if a.Kind != Any && c.kinds[a.Kind] == nil {
-			c.fault("names no kind", "assignments[%d].kind", i)
+			c.addFault("names no kind", "assignments[%d].kind", i)
 		}
 		if !c.tiers[a.Tier] {
-			c.fault("names no tier", "assignments[%d].tier", i)
+			c.addFault("names no tier", "assignments[%d].tier", i)
 		}
 	}
 	if n := len(d.Assignments); n == 0 || d.Assignments[n-1].Organisation != Any || d.Assignments[n-1].Kind != Any {
-		c.fault(`the last must be for organisation "*" and kind "*"`, "assignments")
+		c.addFault(`the last must be for organisation "*" and kind "*"`, "assignments")
 	}
 }
 
-func (c *checker) endpoints(list []*schema.Endpoint) {
+func (c *checker) checkEndpoints(list []*schema.Endpoint) {
 	names := make(map[string]bool, len(list))
 	for i, e := range list {
 		if e.Name == "" || names[e.Name] {
-			c.fault("must be a unique name", "endpoints[%d].name", i)
+			c.addFault("must be a unique name", "endpoints[%d].name", i)
 		}
 		names[e.Name] = true
 		if e.Address == "" {
-			c.fault("is missing", "endpoints[%d].address", i)
+			c.addFault("is missing", "endpoints[%d].address", i)
 		}
 		if e.FailureDomain == "" {
-			c.fault("is missing", "endpoints[%d].failure_domain", i)
+			c.addFault("is missing", "endpoints[%d].failure_domain", i)
 		}
 		if e.Slots == 0 {
-			c.fault("must be positive", "endpoints[%d].slots", i)
+			c.addFault("must be positive", "endpoints[%d].slots", i)
 		}
-		c.served(i, e)
+		c.checkServed(i, e)
 	}
 }
 
-func (c *checker) served(i int, e *schema.Endpoint) {
+func (c *checker) checkServed(i int, e *schema.Endpoint) {
 	if (len(e.Models) == 0) == (len(e.Kinds) == 0) {
-		c.fault("exactly one of models and kinds must be set", "endpoints[%d]", i)
+		c.addFault("exactly one of models and kinds must be set", "endpoints[%d]", i)
 	}
 	if len(e.Models) > 0 && (e.PrefillTokensPerS <= 0 || e.OutputTokensPerS <= 0) {
-		c.fault("speeds must be positive for a model engine", "endpoints[%d]", i)
+		c.addFault("speeds must be positive for a model engine", "endpoints[%d]", i)
 	}
 	if e.PrefillPrice < 0 || e.OutputPrice < 0 {
-		c.fault("prices must not be negative", "endpoints[%d]", i)
+		c.addFault("prices must not be negative", "endpoints[%d]", i)
 	}
 	for j, name := range e.Kinds {
 		if k := c.kinds[name]; k == nil || k.Path == "" {
-			c.fault("names no kind of a plain service", "endpoints[%d].kinds[%d]", i, j)
+			c.addFault("names no kind of a plain service", "endpoints[%d].kinds[%d]", i, j)
 		}
 	}
 }
 
-// HasUnknown reports whether a message carries fields this program does not
+// HasUnknownFields reports whether a message carries fields this program does not
 // know. Such a record was written by a newer program and cannot be judged here.
-func HasUnknown(m proto.Message) bool { return hasUnknown(m.ProtoReflect()) }
+func HasUnknownFields(m proto.Message) bool { return hasUnknownFields(m.ProtoReflect()) }
 
-func hasUnknown(m protoreflect.Message) bool {
+func hasUnknownFields(m protoreflect.Message) bool {
 	if len(m.GetUnknown()) > 0 {
 		return true
 	}
@@ -218,10 +218,10 @@
 		case fd.Message() == nil || fd.IsMap():
 		case fd.IsList():
 			for i := range v.List().Len() {
-				found = found || hasUnknown(v.List().Get(i).Message())
+				found = found || hasUnknownFields(v.List().Get(i).Message())
 			}
 		default:
-			found = found || hasUnknown(v.Message())
+			found = found || hasUnknownFields(v.Message())
 		}
 		return !found
 	})
--- a/config/ledger.go
+++ b/config/ledger.go
@@ -24,14 +24,14 @@
 // Judgements. Only Accepted changes what is in force.
 const (
 	Accepted Judgement = "accepted"
-	// Stale: another change of the same base came first.
-	Stale Judgement = "stale_base"
+	// StaleBase: another change of the same base came first.
+	StaleBase Judgement = "stale_base"
 	// Invalid: the document has faults.
 	Invalid Judgement = "invalid"
-	// Carry: the record repeats a document against retention.
-	Carry Judgement = "carried"
-	// Newer: written by a newer program; this one can judge nothing any more.
-	Newer Judgement = "newer_schema"
+	// Carried: the record repeats a document against retention.
+	Carried Judgement = "carried"
+	// NewerSchema: written by a newer program; this one can judge nothing any more.
+	NewerSchema Judgement = "newer_schema"
 	// Other: not about configuration.
 	Other Judgement = "other"
 	// Pending: the log before the record is not known.
@@ -50,141 +50,141 @@
 	Version uint64
 }
 
-// Ledger follows the log and keeps what is in force. What is in force is the
+// StateMachine follows the log and keeps what is in force. What is in force is the
 // later of what this VM judged from the log itself and what others vouched for,
 // so it never goes back; every record is still judged in the log's order, so
 // that a submitter here learns the verdict. It is not safe for concurrent use.
-type Ledger struct {
-	force State
-	known bool
-	// log is the state at the position up to which this VM judged the log;
+type StateMachine struct {
+	current State
+	known   bool
+	// replayed is the state at the position up to which this VM judged the replayed;
 	// logKnown is false while records before it are missing.
-	log      State
-	logKnown bool
+	replayed    State
+	replayValid bool
 	// blocked is set by a record of a newer schema.
 	blocked bool
-	held    []entry
-	// first is the lowest offset that the log keeps.
-	first   uint64
-	started bool
+	pending []logEntry
+	// logStart is the lowest offset that the log keeps.
+	logStart uint64
+	started  bool
 }
 
-type entry struct {
+type logEntry struct {
 	offset uint64
 	record *schema.LogRecord
 }
 
-// NewLedger returns a ledger that knows nothing.
-func NewLedger() *Ledger { return &Ledger{} }
+// NewStateMachine returns a ledger that knows nothing.
+func NewStateMachine() *StateMachine { return &StateMachine{} }
 
 // State returns what is in force and whether that is known.
-func (l *Ledger) State() (State, bool) { return l.force, l.known && !l.blocked }
+func (m *StateMachine) State() (State, bool) { return m.current, m.known && !m.blocked }
 
 // Blocked reports whether a record of a newer schema was met.
-func (l *Ledger) Blocked() bool { return l.blocked }
+func (m *StateMachine) Blocked() bool { return m.blocked }
 
-// Begin tells before each batch from which offset the log can be read. From 0
+// SetLogStart tells before each batch from which offset the log can be read. From 0
 // nothing was in force before; otherwise a carried record or a peer has to say.
 // If retention took records that were not judged here, judging starts anew from
 // what others vouched for; what is in force stays.
-func (l *Ledger) Begin(first uint64) {
-	l.first = first
-	if !l.started {
-		l.started = true
-		l.logKnown = first == 0
-		l.known = l.known || l.logKnown
+func (m *StateMachine) SetLogStart(first uint64) {
+	m.logStart = first
+	if !m.started {
+		m.started = true
+		m.replayValid = first == 0
+		m.known = m.known || m.replayValid
 	}
-	if l.logKnown && first > l.log.Through {
-		l.logKnown = false
+	if m.replayValid && first > m.replayed.Through {
+		m.replayValid = false
 	}
-	l.catchUp()
+	m.resumeReplay()
 }
 
-// catchUp lets judging go on from what is in force, if no record is missing.
-func (l *Ledger) catchUp() []Verdict {
-	if l.logKnown || !l.known || !l.started || l.force.Through < l.first {
+// resumeReplay lets judging go on from what is in force, if no record is missing.
+func (m *StateMachine) resumeReplay() []Verdict {
+	if m.replayValid || !m.known || !m.started || m.current.Through < m.logStart {
 		return nil
 	}
-	l.log, l.logKnown = l.force, true
-	held := l.held
-	l.held = nil
+	m.replayed, m.replayValid = m.current, true
+	held := m.pending
+	m.pending = nil
 	var out []Verdict
 	for _, e := range held {
-		out = append(out, l.Apply(e.offset, e.record)...)
+		out = append(out, m.Apply(e.offset, e.record)...)
 	}
 	return out
 }
 
 // Apply judges one record. Records must come in the order of their offsets.
-func (l *Ledger) Apply(offset uint64, r *schema.LogRecord) []Verdict {
-	if l.logKnown {
-		if offset < l.log.Through {
+func (m *StateMachine) Apply(offset uint64, r *schema.LogRecord) []Verdict {
+	if m.replayValid {
+		if offset < m.replayed.Through {
 			return nil
 		}
-		v := l.judge(offset, r)
-		if l.log.Through > l.force.Through {
-			l.force, l.known = l.log, true
+		v := m.judge(offset, r)
+		if m.replayed.Through > m.current.Through {
+			m.current, m.known = m.replayed, true
 		}
 		return []Verdict{v}
 	}
-	l.held = append(l.held, entry{offset: offset, record: r})
-	if c := r.GetCarried(); c != nil && c.Through >= l.first && c.Document != nil {
-		return l.Adopt(State{Version: c.Version, Document: c.Document, Through: c.Through})
+	m.pending = append(m.pending, logEntry{offset: offset, record: r})
+	if c := r.GetCarried(); c != nil && c.Through >= m.logStart && c.Document != nil {
+		return m.Adopt(State{Version: c.Version, Document: c.Document, Through: c.Through})
 	}
 	return []Verdict{{Offset: offset, AppendID: r.AppendId, Judgement: Pending}}
 }
 
 // Adopt puts a state in force that a peer or a carried record vouches for, if
 // it is of a later position.
-func (l *Ledger) Adopt(s State) []Verdict {
-	if l.known && s.Through <= l.force.Through {
-		return l.catchUp()
+func (m *StateMachine) Adopt(s State) []Verdict {
+	if m.known && s.Through <= m.current.Through {
+		return m.resumeReplay()
 	}
-	if HasUnknown(s.Document) || s.Document.SchemaVersion > SchemaVersion {
-		l.blocked = true
+	if HasUnknownFields(s.Document) || s.Document.SchemaVersion > SchemaVersion {
+		m.blocked = true
 		return nil
 	}
-	l.force, l.known = s, true
-	return l.catchUp()
+	m.current, m.known = s, true
+	return m.resumeReplay()
 }
 
-func (l *Ledger) judge(offset uint64, r *schema.LogRecord) Verdict {
+func (m *StateMachine) judge(offset uint64, r *schema.LogRecord) Verdict {
 	v := Verdict{Offset: offset, AppendID: r.AppendId, Author: r.Author, Judgement: Other}
-	l.log.Through = offset + 1
+	m.replayed.Through = offset + 1
 	d := r.GetDocument()
 	switch {
-	case HasUnknown(r) || d != nil && d.SchemaVersion > SchemaVersion:
-		l.blocked = true
-		v.Judgement = Newer
+	case HasUnknownFields(r) || d != nil && d.SchemaVersion > SchemaVersion:
+		m.blocked = true
+		v.Judgement = NewerSchema
 	case d != nil:
 		v.Base = d.BaseVersion
-		v.Judgement, v.Faults = l.judgeDocument(d)
+		v.Judgement, v.Faults = m.judgeDocument(d)
 		if v.Judgement == Accepted {
-			l.log.Version, l.log.Document = offset+1, d
+			m.replayed.Version, m.replayed.Document = offset+1, d
 		}
 	case r.GetCarried() != nil:
-		v.Judgement = Carry
+		v.Judgement = Carried
 	}
-	v.Version = l.log.Version
+	v.Version = m.replayed.Version
 	return v
 }
 
 // judgeDocument needs no memory of earlier appends: one that is repeated after
 // a lost answer no longer has the base in force.
-func (l *Ledger) judgeDocument(d *schema.Document) (Judgement, []Fault) {
-	if d.BaseVersion != l.log.Version {
-		return Stale, []Fault{{Path: "base_version", Problem: fmt.Sprintf("is %d, in force is %d", d.BaseVersion, l.log.Version)}}
+func (m *StateMachine) judgeDocument(d *schema.Document) (Judgement, []Fault) {
+	if d.BaseVersion != m.replayed.Version {
+		return StaleBase, []Fault{{Path: "base_version", Problem: fmt.Sprintf("is %d, in force is %d", d.BaseVersion, m.replayed.Version)}}
 	}
-	if faults := append(Check(d), changedModes(l.log.Document, d)...); len(faults) > 0 {
+	if faults := append(Check(d), changedClaimModes(m.replayed.Document, d)...); len(faults) > 0 {
 		return Invalid, faults
 	}
 	return Accepted, nil
 }
 
-// changedModes finds kinds whose claims would move. Where a kind's keys are
+// changedClaimModes finds kinds whose claims would move. Where a kind's keys are
 // claimed follows from its mode; an attempt claimed under the old mode would not
 // be found by its repeat under the new one, and the request would run twice.
-func changedModes(old, d *schema.Document) []Fault {
+func changedClaimModes(old, d *schema.Document) []Fault {
 	modes := make(map[string]bool)
 	for _, k := range old.GetKinds() {
 		modes[k.Name] = homeOnly(k)
--- a/config/ledger_test.go
+++ b/config/ledger_test.go
@@ -11,8 +11,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// doc is a document without faults.
-func doc(base uint64, author string) *schema.Document {
+// validDocument is a document without faults.
+func validDocument(base uint64, author string) *schema.Document {
 	return &schema.Document{
 		SchemaVersion: 1, BaseVersion: base, Author: author, RecordTtl: "15m",
 		Tiers:         []*schema.Tier{{Number: 0, Name: "high"}},
@@ -22,32 +22,32 @@
 	}
 }
 
-// TestLedger runs golden sessions of several VMs that read one log, race,
+// TestStateMachine runs golden sessions of several VMs that read one log, race,
 // outages and retention included. Each line of output is what a VM decided.
-func TestLedger(t *testing.T) {
+func TestStateMachine(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		vms := map[string]*Ledger{}
-		high := map[string]uint64{}
+		vms := map[string]*StateMachine{}
+		highest := map[string]uint64{}
 		var log []*schema.LogRecord
 		first := 0
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var out strings.Builder
 			switch d.Cmd {
 			case "append":
-				log = append(log, record(t, d, uint64(len(log))))
+				log = append(log, newRecord(t, d, uint64(len(log))))
 				return fmt.Sprintf("offset %d", len(log)-1)
 			case "retain":
 				d.ScanArgs(t, "from", &first)
 			case "read":
 				for _, name := range strings.Fields(d.Input) {
 					l := vm(vms, name)
-					l.Begin(uint64(first))
+					l.SetLogStart(uint64(first))
 					for i := first; i < len(log); i++ {
 						for _, v := range l.Apply(uint64(i), log[i]) {
 							fmt.Fprintf(&out, "%s: offset %d by %s base %d: %s, in force %d\n", name, v.Offset, v.Author, v.Base, v.Judgement, v.Version)
 						}
 					}
-					never(t, high, name, l)
+					checkNoRollback(t, highest, name, l)
 				}
 			case "offer":
 				var from, to string
@@ -56,7 +56,7 @@
 				if s, ok := vm(vms, from).State(); ok {
 					vm(vms, to).Adopt(s)
 				}
-				never(t, high, to, vm(vms, to))
+				checkNoRollback(t, highest, to, vm(vms, to))
 				show(&out, to, vm(vms, to))
 			case "show":
 				for _, name := range strings.Fields(d.Input) {
@@ -68,20 +68,20 @@
 	})
 }
 
-func vm(vms map[string]*Ledger, name string) *Ledger {
+func vm(vms map[string]*StateMachine, name string) *StateMachine {
 	if vms[name] == nil {
-		vms[name] = NewLedger()
+		vms[name] = NewStateMachine()
 	}
 	return vms[name]
 }
 
-func show(out *strings.Builder, name string, l *Ledger) {
+func show(out *strings.Builder, name string, l *StateMachine) {
 	s, known := l.State()
 	fmt.Fprintf(out, "%s: in force %d through %d known %t\n", name, s.Version, s.Through, known)
 }
 
-// never fails if what is in force at a VM went back.
-func never(t *testing.T, high map[string]uint64, name string, l *Ledger) {
+// checkNoRollback fails if what is in force at a VM went back.
+func checkNoRollback(t *testing.T, high map[string]uint64, name string, l *StateMachine) {
 	s, _ := l.State()
 	if s.Version < high[name] {
 		t.Fatalf("config: %s went back from %d to %d", name, high[name], s.Version)
@@ -89,13 +89,13 @@
 	high[name] = s.Version
 }
 
-func record(t *testing.T, d *datadriven.TestData, offset uint64) *schema.LogRecord {
+func newRecord(t *testing.T, d *datadriven.TestData, offset uint64) *schema.LogRecord {
 	var author string
 	var base, version, through uint64
 	d.MaybeScanArgs(t, "author", &author)
 	d.MaybeScanArgs(t, "base", &base)
 	r := &schema.LogRecord{AppendId: fmt.Sprint("id", offset), Author: author}
-	body := doc(base, author)
+	body := validDocument(base, author)
 	switch {
 	case d.MaybeScanArgs(t, "carry", &version):
 		d.ScanArgs(t, "through", &through)
--- a/config/rules.go
+++ b/config/rules.go
@@ -24,7 +24,7 @@
 		Version: version, Document: d,
 		orgs:  make(map[string]*schema.Organisation, len(d.Organisations)),
 		kinds: make(map[string]*schema.Kind, len(d.Kinds)),
-		TTL:   parsed(d.RecordTtl),
+		TTL:   parseDuration(d.RecordTtl),
 	}
 	for _, o := range d.Organisations {
 		r.orgs[o.KeySha256] = o
@@ -35,15 +35,15 @@
 	return r
 }
 
-// parsed reads a duration that Check has accepted; empty is 0.
-func parsed(s string) time.Duration {
+// parseDuration reads a duration that Check has accepted; empty is 0.
+func parseDuration(s string) time.Duration {
 	d, _ := time.ParseDuration(s)
 	return d
 }
 
-// Organisation finds the owner of an API key. Keys are looked up by their
+// OrganisationByKey finds the owner of an API key. Keys are looked up by their
 // SHA-256, so the time taken tells nothing about them.
-func (r *Rules) Organisation(key string) (*schema.Organisation, bool) {
+func (r *Rules) OrganisationByKey(key string) (*schema.Organisation, bool) {
 	sum := sha256.Sum256([]byte(key))
 	o, ok := r.orgs[hex.EncodeToString(sum[:])]
 	return o, ok
@@ -77,9 +77,9 @@
 		TrustFirstAttempt: !homeOnly(kind),
 		Model:             kind.Model,
 		OutputTokens:      int(kind.ExpectedOutput),
-		FirstTokenTarget:  parsed(tier.FirstTokenTarget),
+		FirstTokenTarget:  parseDuration(tier.FirstTokenTarget),
 	}
 }
 
-// Deadline is the time a request of a kind has if its caller names none.
-func Deadline(k *schema.Kind) time.Duration { return parsed(k.Deadline) }
+// DefaultDeadline is the time a request of a kind has if its caller names none.
+func DefaultDeadline(k *schema.Kind) time.Duration { return parseDuration(k.Deadline) }
--- a/config/trail.go
+++ b/config/trail.go
@@ -7,8 +7,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Line is one change of configuration in the audit trail.
-type Line struct {
+// AuditEntry is one change of configuration in the audit trail.
+type AuditEntry struct {
 	Verdict
 	UnixMs  int64
 	Comment string
@@ -17,44 +17,44 @@
 	Changed []string
 }
 
-// Trail judges the log as every VM does and tells what each change was.
-type Trail struct {
-	ledger *Ledger
-	held   map[uint64]*schema.LogRecord
-	last   *schema.Document
+// AuditTrail judges the log as every VM does and tells what each change was.
+type AuditTrail struct {
+	machine *StateMachine
+	pending map[uint64]*schema.LogRecord
+	last    *schema.Document
 }
 
-// NewTrail returns a trail at the start of the log.
-func NewTrail() *Trail {
-	return &Trail{ledger: NewLedger(), held: make(map[uint64]*schema.LogRecord), last: &schema.Document{}}
+// NewAuditTrail returns a trail at the start of the log.
+func NewAuditTrail() *AuditTrail {
+	return &AuditTrail{machine: NewStateMachine(), pending: make(map[uint64]*schema.LogRecord), last: &schema.Document{}}
 }
 
-// Begin tells from which offset the log could be read.
-func (t *Trail) Begin(first uint64) { t.ledger.Begin(first) }
+// SetLogStart tells from which offset the log could be read.
+func (t *AuditTrail) SetLogStart(first uint64) { t.machine.SetLogStart(first) }
 
 // Apply returns the lines that a record completes.
-func (t *Trail) Apply(offset uint64, r *schema.LogRecord) []Line {
-	t.held[offset] = r
-	var lines []Line
-	for _, v := range t.ledger.Apply(offset, r) {
-		rec := t.held[v.Offset]
+func (t *AuditTrail) Apply(offset uint64, r *schema.LogRecord) []AuditEntry {
+	t.pending[offset] = r
+	var entries []AuditEntry
+	for _, v := range t.machine.Apply(offset, r) {
+		rec := t.pending[v.Offset]
 		if v.Judgement == Pending || rec.GetDocument() == nil {
 			continue
 		}
-		delete(t.held, v.Offset)
-		l := Line{Verdict: v, UnixMs: rec.UnixMs, Comment: rec.GetDocument().Comment}
+		delete(t.pending, v.Offset)
+		l := AuditEntry{Verdict: v, UnixMs: rec.UnixMs, Comment: rec.GetDocument().Comment}
 		if v.Judgement == Accepted {
-			l.Changed = Difference(t.last, rec.GetDocument())
+			l.Changed = ChangedSections(t.last, rec.GetDocument())
 			t.last = rec.GetDocument()
 		}
-		lines = append(lines, l)
+		entries = append(entries, l)
 	}
-	return lines
+	return entries
 }
 
-// Difference names the top-level fields in which two documents differ, apart
+// ChangedSections names the top-level fields in which two documents differ, apart
 // from those that say who changed what.
-func Difference(a, b *schema.Document) []string {
+func ChangedSections(a, b *schema.Document) []string {
 	var names []string
 	fields := a.ProtoReflect().Descriptor().Fields()
 	for i := range fields.Len() {
@@ -63,15 +63,15 @@
 		case "author", "comment", "base_version":
 			continue
 		}
-		if !proto.Equal(only(a, fd), only(b, fd)) {
+		if !proto.Equal(withOnlyField(a, fd), withOnlyField(b, fd)) {
 			names = append(names, string(fd.Name()))
 		}
 	}
 	return names
 }
 
-// only returns a document with just one field of d.
-func only(d *schema.Document, fd protoreflect.FieldDescriptor) *schema.Document {
+// withOnlyField returns a document with just one field of d.
+func withOnlyField(d *schema.Document, fd protoreflect.FieldDescriptor) *schema.Document {
 	out := &schema.Document{}
 	if d.ProtoReflect().Has(fd) {
 		out.ProtoReflect().Set(fd, d.ProtoReflect().Get(fd))
--- a/core/conf.go
+++ b/core/conf.go
@@ -11,7 +11,7 @@
 
 // configState follows the configuration from the log and from peers.
 type configState struct {
-	ledger *config.Ledger
+	ledger *config.StateMachine
 	rules  *config.Rules
 	// sawEnd: the log was read to its end since this process started.
 	sawEnd bool
@@ -34,7 +34,7 @@
 
 func newConfigState(cfg Config, now time.Duration) *configState {
 	return &configState{
-		ledger: config.NewLedger(), offers: make(map[uint32]bool),
+		ledger: config.NewStateMachine(), offers: make(map[uint32]bool),
 		askAt: now, carryAt: now + cfg.CarryEvery, startAsked: now - startRetry, startedAt: now,
 	}
 }
@@ -58,7 +58,7 @@
 // logRead judges a batch of the log.
 func (n *Node) logRead(ev LogRead) {
 	s := n.conf
-	s.ledger.Begin(ev.First)
+	s.ledger.SetLogStart(ev.First)
 	s.logStart = ev.First
 	end := ev.Next
 	if k := len(ev.Records); k > 0 {
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -93,7 +93,7 @@
 	if rules == nil {
 		return nil, nil, &requestError{http.StatusServiceUnavailable, "not_ready", d.status.Load().Why}
 	}
-	org, ok := rules.Organisation(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
+	org, ok := rules.OrganisationByKey(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
 	if !ok {
 		return nil, nil, &requestError{http.StatusUnauthorized, "unauthenticated", "a valid API key is needed"}
 	}
@@ -233,7 +233,7 @@
 }
 
 func (d *Daemon) fillDeadline(r *http.Request, c *callerRequest, k *schema.Kind) *requestError {
-	timeout := config.Deadline(k)
+	timeout := config.DefaultDeadline(k)
 	if h := r.Header.Get(HeaderDeadline); h != "" {
 		var err error
 		timeout, err = time.ParseDuration(h)
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -187,7 +187,7 @@
 }
 
 func (d *Daemon) handleVerdict(v config.Verdict) {
-	if v.Judgement != config.Other && v.Judgement != config.Carry {
+	if v.Judgement != config.Other && v.Judgement != config.Carried {
 		d.log.Info().Uint64("offset", v.Offset).Str("author", v.Author).Uint64("base", v.Base).
 			Str("judgement", string(v.Judgement)).Uint64("version", v.Version).Msg("configuration_judged")
 	}
