--- a/daemon/answer.go
+++ b/daemon/answer.go
@@ -33,44 +33,44 @@
 }
 
 // Token implements endpoint.Sink.
-func (a *responseBuffer) Token(offset int, data []byte) {
-	a.mu.Lock()
-	if offset == len(a.tokens) {
-		a.tokens = append(a.tokens, data)
+func (b *responseBuffer) Token(offset int, data []byte) {
+	b.mu.Lock()
+	if offset == len(b.tokens) {
+		b.tokens = append(b.tokens, data)
 	}
-	total := len(a.tokens)
-	a.notifyReaders()
-	a.mu.Unlock()
-	if a.onToken != nil {
-		a.onToken(total)
+	total := len(b.tokens)
+	b.notifyReaders()
+	b.mu.Unlock()
+	if b.onToken != nil {
+		b.onToken(total)
 	}
 }
 
 // Whole implements endpoint.Sink.
-func (a *responseBuffer) Whole(status int, contentType string, body []byte) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.plain = &plainResponse{Status: status, ContentType: contentType, Body: body}
-	a.notifyReaders()
+func (b *responseBuffer) Whole(status int, contentType string, body []byte) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.plain = &plainResponse{Status: status, ContentType: contentType, Body: body}
+	b.notifyReaders()
 }
 
-func (a *responseBuffer) finish(end core.End) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.done = true
-	a.end = end
-	a.notifyReaders()
+func (b *responseBuffer) finish(end core.End) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.done = true
+	b.end = end
+	b.notifyReaders()
 }
 
-func (a *responseBuffer) tokenCount() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return len(a.tokens)
+func (b *responseBuffer) tokenCount() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return len(b.tokens)
 }
 
-func (a *responseBuffer) notifyReaders() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+func (b *responseBuffer) notifyReaders() {
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // responseTail is what a reader has not seen yet.
@@ -82,10 +82,10 @@
 	changed <-chan struct{}
 }
 
-func (a *responseBuffer) readFrom(offset int) responseTail {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return responseTail{tokens: a.tokens[min(offset, len(a.tokens)):], plain: a.plain, done: a.done, end: a.end, changed: a.changed}
+func (b *responseBuffer) readFrom(offset int) responseTail {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return responseTail{tokens: b.tokens[min(offset, len(b.tokens)):], plain: b.plain, done: b.done, end: b.end, changed: b.changed}
 }
 
 // maxResponses bounds the finished answers kept for repeats.
@@ -101,6 +101,6 @@
 	return &responseCache{cache: cache}
 }
 
-func (s *responseCache) put(k request.Key, a *responseBuffer) { s.cache.Add(k, a) }
+func (s *responseCache) put(k request.Key, b *responseBuffer) { s.cache.Add(k, b) }
 
 func (s *responseCache) get(k request.Key) (*responseBuffer, bool) { return s.cache.Get(k) }
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -284,15 +284,15 @@
 // deliver passes the answer on until the final outcome; nil if the caller left.
 func (d *Daemon) deliver(w http.ResponseWriter, r *http.Request, c *callerRequest) *outcome {
 	for {
-		a, started := c.currentResponse()
+		resp, started := c.currentResponse()
 		var changed <-chan struct{}
-		if a != nil {
-			changed = c.writeNewTokens(w, a)
+		if resp != nil {
+			changed = c.writeNewTokens(w, resp)
 		}
 		select {
 		case out := <-c.final:
-			if a, _ := c.currentResponse(); a != nil && out.Outcome == request.Answered {
-				c.writeNewTokens(w, a)
+			if resp, _ := c.currentResponse(); resp != nil && out.Outcome == request.Answered {
+				c.writeNewTokens(w, resp)
 			}
 			return &out
 		case <-changed:
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -133,10 +133,10 @@
 	metrics.GetOrRegisterCounter(name, d.metrics).Inc(1)
 }
 
-func (c *callerRequest) setResponse(a *responseBuffer) {
+func (c *callerRequest) setResponse(resp *responseBuffer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.response = a
+	c.response = resp
 	close(c.responseChanged)
 	c.responseChanged = make(chan struct{})
 }
@@ -184,8 +184,8 @@
 
 // writeNewTokens writes what is new of a streamed answer and returns the channel that
 // tells of more. Whole answers are written at the end.
-func (c *callerRequest) writeNewTokens(w http.ResponseWriter, a *responseBuffer) <-chan struct{} {
-	p := a.readFrom(c.sentTokens)
+func (c *callerRequest) writeNewTokens(w http.ResponseWriter, resp *responseBuffer) <-chan struct{} {
+	p := resp.readFrom(c.sentTokens)
 	if !c.stream || len(p.tokens) == 0 {
 		return p.changed
 	}
@@ -213,8 +213,8 @@
 		c.writeFailure(w, out)
 		return
 	}
-	a, _ := c.currentResponse()
-	p := a.readFrom(0)
+	resp, _ := c.currentResponse()
+	p := resp.readFrom(0)
 	switch {
 	case p.plain != nil:
 		w.Header().Set("Content-Type", p.plain.ContentType)
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -33,9 +33,9 @@
 	d.count("dispatches")
 	runCtx, cancel := context.WithCancel(ctx)
 	c.setRun(cancel, e, ef.Stream)
-	a := newResponseBuffer(d.tokenObserver(ctx, ef.Handle))
-	c.setResponse(a)
-	d.responses.put(c.spec.Key, a)
+	resp := newResponseBuffer(d.tokenObserver(ctx, ef.Handle))
+	c.setResponse(resp)
+	d.responses.put(c.spec.Key, resp)
 	call := endpoint.Call{
 		Base: "http://" + e.Address, Path: c.path, Key: c.spec.Key.String(), Body: c.body, ContentType: c.contentType,
 	}
@@ -44,10 +44,10 @@
 	}
 	d.group.Go(func() error {
 		defer cancel()
-		res := d.endpoints.Run(runCtx, call, a)
+		res := d.endpoints.Run(runCtx, call, resp)
 		end := d.endFromResult(ctx, c, res, call.Stream != "")
-		a.finish(end)
-		d.push(ctx, core.Ended{Handle: ef.Handle, End: end, Tokens: a.tokenCount()})
+		resp.finish(end)
+		d.push(ctx, core.Ended{Handle: ef.Handle, End: end, Tokens: resp.tokenCount()})
 		return nil
 	})
 }
@@ -129,23 +129,23 @@
 }
 
 func (d *Daemon) readAttached(ctx context.Context, c *callerRequest, r *schema.Record) core.End {
-	if a, ok := d.responses.get(c.spec.Key); ok && r.Dispatcher == d.settings.Vm.Id && r.DispatcherIncarnation == d.incarnation {
-		c.setResponse(a)
-		return a.waitDone(ctx)
+	if resp, ok := d.responses.get(c.spec.Key); ok && r.Dispatcher == d.settings.Vm.Id && r.DispatcherIncarnation == d.incarnation {
+		c.setResponse(resp)
+		return resp.waitDone(ctx)
 	}
-	a := newResponseBuffer(nil)
+	resp := newResponseBuffer(nil)
 	if c.spec.Model == "" {
-		return d.fetchPlainResponse(ctx, c, r, a)
+		return d.fetchPlainResponse(ctx, c, r, resp)
 	}
 	e := findEndpoint(d.rulesOf(c).Document, r.Endpoint)
 	if e == nil {
 		return core.Missing
 	}
-	c.setResponse(a)
+	c.setResponse(resp)
 	next := 0
 	for range maxAttachAttempts {
 		var res endpoint.Result
-		next, res = d.endpoints.Resume(ctx, "http://"+e.Address, r.Stream, next, a)
+		next, res = d.endpoints.Resume(ctx, "http://"+e.Address, r.Stream, next, resp)
 		switch res {
 		case endpoint.Complete:
 			return core.Whole
@@ -173,7 +173,7 @@
 const maxAttachAttempts = 10
 
 // fetchPlainResponse asks the VM that called a plain service for its answer.
-func (d *Daemon) fetchPlainResponse(ctx context.Context, c *callerRequest, r *schema.Record, a *responseBuffer) core.End {
+func (d *Daemon) fetchPlainResponse(ctx context.Context, c *callerRequest, r *schema.Record, buf *responseBuffer) core.End {
 	l := d.links[r.Dispatcher]
 	if l == nil {
 		return core.Missing
@@ -196,15 +196,15 @@
 	if err != nil {
 		return core.Broken
 	}
-	a.Whole(status, resp.Header.Get("Content-Type"), body)
-	c.setResponse(a)
+	buf.Whole(status, resp.Header.Get("Content-Type"), body)
+	c.setResponse(buf)
 	return core.Whole
 }
 
 // waitDone waits until the dispatch of an answer has ended here.
-func (a *responseBuffer) waitDone(ctx context.Context) core.End {
+func (b *responseBuffer) waitDone(ctx context.Context) core.End {
 	for {
-		p := a.readFrom(0)
+		p := b.readFrom(0)
 		if p.done {
 			return p.end
 		}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -243,12 +243,12 @@
 // servePlainResponse gives a peer the answer of a plain service that was called here.
 func (d *Daemon) servePlainResponse(w http.ResponseWriter, r *http.Request) {
 	key := request.Key{Organisation: r.URL.Query().Get("organisation"), ID: r.URL.Query().Get("id")}
-	a, ok := d.responses.get(key)
+	resp, ok := d.responses.get(key)
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
-	p := a.waitPlain(r.Context())
+	p := resp.waitPlain(r.Context())
 	if p == nil {
 		http.NotFound(w, r)
 		return
@@ -262,9 +262,9 @@
 const headerStatus = "X-Answer-Status"
 
 // waitPlain waits for the whole answer of a plain service; nil if there is none.
-func (a *responseBuffer) waitPlain(ctx context.Context) *plainResponse {
+func (b *responseBuffer) waitPlain(ctx context.Context) *plainResponse {
 	for {
-		p := a.readFrom(0)
+		p := b.readFrom(0)
 		if p.plain != nil || p.done {
 			return p.plain
 		}
