--- a/daemon/answer.go
+++ b/daemon/answer.go
@@ -9,8 +9,8 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// responseBuffer is the responseBuffer to one dispatch, as far as it has come. Any number of
-// readers follow it; a slow one holds up nothing but itself.
+// responseBuffer collects the response of one dispatch as it arrives. Any
+// number of readers can follow it; a slow reader delays no other.
 type responseBuffer struct {
 	mu      sync.Mutex
 	tokens  [][]byte
@@ -21,7 +21,7 @@
 	onToken func(total int)
 }
 
-// plainResponse is the whole answer of a plain service.
+// plainResponse is the complete response of a plain service.
 type plainResponse struct {
 	Status      int
 	ContentType string
@@ -73,7 +73,7 @@
 	b.changed = make(chan struct{})
 }
 
-// responseTail is what a reader has not seen yet.
+// responseTail is the part of a response that a reader has not read yet.
 type responseTail struct {
 	tokens  [][]byte
 	plain   *plainResponse
@@ -88,10 +88,11 @@
 	return responseTail{tokens: b.tokens[min(offset, len(b.tokens)):], plain: b.plain, done: b.done, end: b.end, changed: b.changed}
 }
 
-// maxResponses bounds the finished answers kept for repeats.
+// maxResponses bounds the finished responses kept for retries.
 const maxResponses = 2048
 
-// responseCache finds responseCache by key, so that repeats at this VM read them here.
+// responseCache holds the responses to dispatches of this VM by request key, so
+// that a retry that arrives here reads the same response.
 type responseCache struct {
 	cache *lru.Cache[request.Key, *responseBuffer]
 }
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -21,7 +21,7 @@
 	"github.com/chivefield/chivefield/settings"
 )
 
-// Headers of callers.
+// Headers of caller requests and of the responses to them.
 const (
 	HeaderKind     = "Chivefield-Kind"
 	HeaderID       = "Chivefield-Request-Id"
@@ -39,7 +39,8 @@
 	requestsPath = "/v1/requests/"
 )
 
-// requestError is why a request is refused before it becomes one.
+// requestError is the HTTP error for a request that is rejected before it
+// reaches the core.
 type requestError struct {
 	status int
 	code   string
@@ -57,7 +58,7 @@
 	return mux
 }
 
-// serveReady tells the balancer whether to send requests here.
+// serveReady reports to the load balancer whether this VM accepts requests.
 func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	s := d.status.Load()
 	if !s.Ready {
@@ -73,7 +74,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// errorBody is the body of every refusal.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
@@ -87,7 +88,8 @@
 	writeJSON(w, status, b)
 }
 
-// authenticate finds whose key a request carries.
+// authenticate returns the current rules and the organisation whose API key the
+// request carries.
 func (d *Daemon) authenticate(r *http.Request) (*config.Rules, *schema.Organisation, *requestError) {
 	rules := d.rules.Load()
 	if rules == nil {
@@ -100,7 +102,7 @@
 	return rules, org, nil
 }
 
-// parseRequest turns an HTTP request into a call, or says what is wrong with it.
+// parseRequest reads and validates an HTTP request.
 func (d *Daemon) parseRequest(w http.ResponseWriter, r *http.Request) (*callerRequest, *requestError) {
 	rules, org, bad := d.authenticate(r)
 	if bad != nil {
@@ -143,7 +145,8 @@
 	return body, nil
 }
 
-// completionRequest is what is read of a request to a model.
+// completionRequest holds the fields of a completion request that are used
+// here.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -154,8 +157,9 @@
 	} `json:"messages"`
 }
 
-// resolveKind finds the request kind: of the path for plain services, else of the
-// header, else the first kind of the model named in the body.
+// resolveKind determines the request kind: for a plain service from the path,
+// otherwise from the header, otherwise the first kind of the model named in the
+// body.
 func (c *callerRequest) resolveKind(r *http.Request) (in completionRequest, k *schema.Kind, bad *requestError) {
 	name := r.PathValue("kind")
 	if name != "" {
@@ -186,7 +190,8 @@
 	return in, nil, &requestError{http.StatusBadRequest, "unknown_kind", "name the kind in " + HeaderKind}
 }
 
-// fillPromptInfo fills in the length and blocks of the prompt.
+// fillPromptInfo sets the prompt's length, its block hashes and the output
+// limit.
 func (c *callerRequest) fillPromptInfo(in completionRequest) {
 	if c.spec.Model == "" {
 		return
@@ -200,8 +205,8 @@
 	c.spec.MaxOutputTokens = max(0, in.MaxTokens)
 }
 
-// requestID returns the caller's id; without one the request cannot be
-// repeated, and gets an id of its own.
+// requestID returns the caller's request id. Without one it generates an id;
+// such a request cannot be retried.
 func requestID(r *http.Request) (id string, given bool) {
 	if id = r.Header.Get(HeaderID); id != "" {
 		return id, true
@@ -248,7 +253,7 @@
 	return nil
 }
 
-// serveRequest serves one request of a caller from arrival to its final outcome.
+// serveRequest serves a caller's request from arrival to its final outcome.
 func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request) {
 	c, bad := d.parseRequest(w, r)
 	if bad != nil {
@@ -273,7 +278,8 @@
 	c.writeOutcome(w, out)
 }
 
-// pushDisconnected tells the core that the caller left; its own context is over.
+// pushDisconnected reports to the core that the caller disconnected. It does
+// not use the request's context, which is already cancelled.
 func (d *Daemon) pushDisconnected(handle uint64) {
 	select {
 	case d.events <- loopInput{event: core.CallerGone{Handle: handle}}:
@@ -281,7 +287,8 @@
 	}
 }
 
-// deliver passes the answer on until the final outcome; nil if the caller left.
+// deliver streams the response until the final outcome and returns that, or nil
+// if the caller disconnected.
 func (d *Daemon) deliver(w http.ResponseWriter, r *http.Request, c *callerRequest) *outcome {
 	for {
 		resp, started := c.currentResponse()
@@ -309,7 +316,8 @@
 		Str("outcome", string(out.Outcome)).Str("reason", string(out.Reason)).Int64("retry_after_ms", out.RetryAfter.Milliseconds()).Msg("outcome")
 }
 
-// serveCancel stops a request of the same organisation that is served here.
+// serveCancel cancels a request of the same organisation that is served by this
+// VM.
 func (d *Daemon) serveCancel(w http.ResponseWriter, r *http.Request) {
 	_, org, bad := d.authenticate(r)
 	if bad != nil {
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -19,7 +19,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// callerRequest is one request of a caller at this VM.
+// callerRequest is a caller's request that is served by this VM.
 type callerRequest struct {
 	spec        request.Spec
 	rules       *config.Rules
@@ -38,17 +38,19 @@
 	streamID        string
 	stopRequested   bool
 
-	// sentTokens counts the tokens passed on; only the caller's goroutine uses it.
+	// sentTokens counts the tokens written to the caller. It and streamStarted
+	// are used only by the caller's goroutine.
 	sentTokens    int
 	streamStarted bool
 }
 
-// outcome is the body of a final answer that is not the answer itself.
+// outcome is the JSON body of a final outcome other than a successful response.
 type outcome struct {
 	Outcome    request.Outcome `json:"outcome"`
 	Reason     request.Reason  `json:"reason"`
 	RetryAfter time.Duration   `json:"-"`
-	// RetryAfterMS repeats the Retry-After header, which counts whole seconds.
+	// RetryAfterMS is the Retry-After header in milliseconds; the header has
+	// whole seconds only.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	conflict     bool
 }
@@ -59,7 +61,7 @@
 
 var conflictOutcome = outcome{Reason: request.ReasonBodyConflict, conflict: true}
 
-// httpStatus is the HTTP httpStatus of a final outcome without an answer.
+// httpStatus returns the HTTP status of a final outcome without a response.
 func (o *outcome) httpStatus() int {
 	switch {
 	case o.conflict:
@@ -81,8 +83,8 @@
 	return handle
 }
 
-// unregister drops a call whose caller was answered. One that still runs for a
-// caller that left is dropped when it ends.
+// unregister removes a request whose caller has its response or disconnected.
+// If it still runs, it stays registered until the run ends.
 func (d *Daemon) unregister(handle uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,7 +110,7 @@
 	return 0, false
 }
 
-// rulesOf returns the rules a call was admitted under.
+// rulesOf returns the rules under which a request was admitted.
 func (d *Daemon) rulesOf(c *callerRequest) *config.Rules {
 	if c == nil {
 		return &config.Rules{}
@@ -116,7 +118,8 @@
 	return c.rules
 }
 
-// finish hands the final outcome to the caller's goroutine.
+// finish passes the final outcome to the caller's goroutine and removes the
+// request.
 func (d *Daemon) finish(handle uint64, out outcome) {
 	c := d.requestByHandle(handle)
 	if c == nil {
@@ -141,8 +144,8 @@
 	c.responseChanged = make(chan struct{})
 }
 
-// currentResponse returns the answer, if there is one, and a channel that closes when
-// another takes its place.
+// currentResponse returns the response, nil if there is none yet, and a channel
+// that is closed when it is replaced.
 func (c *callerRequest) currentResponse() (*responseBuffer, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,8 +185,9 @@
 	return c.target, c.streamID, c.stopRequested
 }
 
-// writeNewTokens writes what is new of a streamed answer and returns the channel that
-// tells of more. Whole answers are written at the end.
+// writeNewTokens writes the tokens of a streamed response that have not been
+// written yet and returns a channel that is closed when more arrive. Responses
+// that are not streamed are written at the end.
 func (c *callerRequest) writeNewTokens(w http.ResponseWriter, resp *responseBuffer) <-chan struct{} {
 	p := resp.readFrom(c.sentTokens)
 	if !c.stream || len(p.tokens) == 0 {
@@ -203,11 +207,12 @@
 	return p.changed
 }
 
-// writeTimeout is how long a caller may take to read what is there for it.
+// writeTimeout is how long a caller may take to read the data written to it.
 const writeTimeout = 30 * time.Second
 
-// writeOutcome writes the final outcome. A stream that has begun and is not whole ends
-// with an error event and a broken connection, never as if it were complete.
+// writeOutcome writes the final outcome. A stream that has begun and is
+// incomplete ends with an error event and an aborted connection, so that it
+// cannot be mistaken for a complete one.
 func (c *callerRequest) writeOutcome(w http.ResponseWriter, out *outcome) {
 	if out.Outcome != request.Answered || out.conflict {
 		c.writeFailure(w, out)
@@ -247,7 +252,8 @@
 	writeJSON(w, out.httpStatus(), out)
 }
 
-// chunk is the part of a streamed token that a whole answer is made of.
+// chunk holds the fields of a streamed token from which a whole response is
+// assembled.
 type chunk struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -257,7 +263,7 @@
 	} `json:"choices"`
 }
 
-// Whole answers of the two completion paths.
+// Responses of the two completion paths when they are not streamed.
 type (
 	completionMessage struct {
 		Role    string `json:"role"`
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon runs the decision core of one VM: a goroutine for each duty,
-// joined by bounded channels. Only the loop goroutine touches the core.
+// Package daemon runs the decision core of one VM together with its servers and
+// clients. Its goroutines communicate over bounded channels; only the loop
+// goroutine accesses the core.
 package daemon
 
 import (
@@ -23,16 +24,16 @@
 	"github.com/chivefield/chivefield/settings"
 )
 
-// Options are what a daemon takes from outside.
+// Options configure a Daemon.
 type Options struct {
 	Settings *settings.Settings
 	Log      zerolog.Logger
-	// Listen and Dial default to the net package's.
+	// Listen and Dial default to those of package net.
 	Listen func(addr string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Sizes of the channels that join the duties.
+// Capacities of the channels between goroutines.
 const (
 	eventBuffer  = 4096
 	linkBuffer   = 1024
@@ -49,7 +50,7 @@
 	recordTTL          = 15 * time.Minute
 )
 
-// Daemon is one VM's process.
+// Daemon is the process of one VM.
 type Daemon struct {
 	opts        Options
 	settings    *settings.Settings
@@ -73,23 +74,24 @@
 
 	endpoints *endpoint.Client
 	platform  *logservice.Client
-	// watchHTTP holds the watches, each on a connection of its own; exchangeHTTP
-	// carries the calls over HTTP/2, whose headers cost little when repeated.
+	// watchHTTP holds the watches, each on its own connection; exchangeHTTP
+	// carries the exchanges between VMs over HTTP/2, whose header compression
+	// makes repeated headers cheap.
 	watchHTTP    *http.Client
 	exchangeHTTP *http.Client
 
 	group *errgroup.Group
 	stop  context.CancelFunc
-	// done is closed when the process's duties end.
+	// done is closed when the daemon's goroutines are to stop.
 	done <-chan struct{}
-	// drained is closed when the core has nothing left to do.
+	// drained is closed when the core has no work left.
 	drained chan struct{}
-	// declaredDead is closed when the peers took this process for dead.
+	// declaredDead is closed when the peers have declared this process dead.
 	declaredDead chan struct{}
 }
 
-// New prepares a daemon. The incarnation is the time of start, so a later
-// process at the same address has a higher one.
+// New returns a daemon that is ready to run. The incarnation is the start time,
+// so a later process at the same address has a higher one.
 func New(opts Options) *Daemon {
 	if opts.Listen == nil {
 		opts.Listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -132,7 +134,8 @@
 	}}
 }
 
-// newCountingHTTPClient is a client whose bytes count as traffic between VMs.
+// newCountingHTTPClient returns a client whose bytes are counted as traffic
+// between VMs.
 func (d *Daemon) newCountingHTTPClient() *http.Client {
 	c := d.newHTTPClient(maxIdlePerPeer)
 	c.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -145,7 +148,7 @@
 	return c
 }
 
-// coreConfig turns settings into the core's configuration.
+// coreConfig derives the core's configuration from the settings.
 func (d *Daemon) coreConfig() core.Config {
 	vms := []claim.VM{{ID: d.settings.Vm.Id, Domain: d.settings.Vm.FailureDomain}}
 	for _, p := range d.settings.Peers {
@@ -162,9 +165,9 @@
 	}
 }
 
-// Run serves until ctx ends and the graceful shutdown is over. The listeners
-// for peers stay open to the very end of the process: closing them while alive
-// would be taken for its death.
+// Run serves until ctx is done and the graceful shutdown is complete. The peer
+// listener stays open until the process exits: closing it earlier would be
+// taken for the death of the process.
 func (d *Daemon) Run(ctx context.Context) error {
 	peers, err := d.listen(d.settings.Listen.Peers)
 	if err != nil {
@@ -182,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	// Each transport writes into its configuration, so each has its own.
+	// A transport modifies its TLS configuration, so each gets its own copy.
 	d.watchHTTP.Transport.(*http.Transport).TLSClientConfig = tlsConfig.Clone()
 	d.exchangeHTTP.Transport.(*http.Transport).TLSClientConfig = tlsConfig.Clone()
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -206,7 +209,7 @@
 	return err
 }
 
-// now is the core's time.
+// now returns the time since the daemon started, which is the core's clock.
 func (d *Daemon) now() time.Duration { return time.Since(d.startTime) }
 
 func (d *Daemon) tick(ctx context.Context) error {
@@ -222,9 +225,10 @@
 	}
 }
 
-// shutdown waits for the signal, for the end of an operator's drain, or for the
-// word of the peers that this process is dead to them, then for the core to be drained, and ends the
-// process's duties. A bound ends it with truthful outcomes in any case.
+// shutdown waits for the signal, for the end of an operator's drain or for the
+// peers to declare this process dead. It then drains the core and stops the
+// daemon's goroutines. The shutdown bound limits the drain; outcomes reported
+// to callers are truthful in that case too.
 func (d *Daemon) shutdown(signalCtx, workCtx context.Context, callers *http.Server) error {
 	select {
 	case <-workCtx.Done():
@@ -254,5 +258,5 @@
 	}
 }
 
-// flushTimeout is how long answers that are complete may take to reach callers.
+// flushTimeout is how long complete responses may take to reach callers.
 const flushTimeout = 10 * time.Second
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -30,13 +30,13 @@
 	otherAPIKey     = "api-key-of-other"
 )
 
-// testVM is a daemon with its outside systems, in this process.
+// testVM is a daemon whose platform and endpoints run in the test process.
 type testVM struct {
 	t                         testing.TB
 	callers, peers, operators string
 	service                   string
 	engine                    *standin.Engine
-	// ended is closed when the daemon has ended.
+	// ended is closed when Run has returned.
 	ended chan struct{}
 	log   *lockedBuffer
 }
@@ -120,7 +120,8 @@
 	return v
 }
 
-// outputSpeed makes a benchmark's tokens cost nothing but their passing on.
+// outputSpeed returns a speed at which, in a benchmark, generating tokens takes
+// no noticeable time, so that only relaying them is measured.
 func (v *testVM) outputSpeed() float64 {
 	if _, ok := v.t.(*testing.B); ok {
 		return 1e9
@@ -144,7 +145,7 @@
 		v.t.Fatal(status, body)
 	}
 	for {
-		// Ready, and sure that the domain never ran before.
+		// Ready, and known to be the first process of its domain.
 		status, body := v.do(v.callers, http.MethodGet, "/readyz", "", nil, "")
 		if status == http.StatusOK && strings.Contains(body, `"Lost":0`) {
 			return
@@ -181,8 +182,8 @@
 	goodBody    = `{"model":"m","prompt":"p","max_tokens":3}`
 )
 
-// TestBadInputs: each sort of bad input gets an error of its own, and nothing
-// is dispatched for it.
+// TestBadInputs checks that each kind of bad input gets its own error and that
+// nothing is dispatched for it.
 func TestBadInputs(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
@@ -219,11 +220,12 @@
 		_ = json.Unmarshal([]byte(body), &e)
 		is.Equal(c.name+fmt.Sprint(status)+e.Error.Code, c.name+fmt.Sprint(c.status)+c.code)
 	}
-	is.Equal(len(v.engine.Ran()), 0) // nothing was dispatched
+	is.Equal(len(v.engine.Ran()), 0) // no request reached the engine
 }
 
-// TestOrganisationsIsolated: an organisation that guesses another's id neither
-// reads, attaches to nor stops its request.
+// TestOrganisationsIsolated checks that an organisation that guesses another's
+// request id gets its own run and neither reads nor attaches to the other's
+// request.
 func TestOrganisationsIsolated(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
@@ -233,8 +235,8 @@
 	again := map[string]string{HeaderID: "same", HeaderAttempt: "2"}
 	status, theirs := v.do(v.callers, "POST", completions, otherAPIKey, again, goodBody)
 	is.Equal(status, 200)
-	is.True(mine != theirs)          // an answer of its own
-	is.Equal(len(v.engine.Ran()), 2) // two runs, one for each
+	is.True(mine != theirs)          // each organisation has its own response
+	is.Equal(len(v.engine.Ran()), 2) // one run for each organisation
 	status, repeated := v.do(v.callers, "POST", completions, testAPIKey, again, goodBody)
 	is.Equal(status, 200)
 	is.Equal(repeated, mine)
@@ -243,8 +245,9 @@
 	is.Equal(len(v.engine.Ran()), 2)
 }
 
-// TestDrainEndsProcess: an operator's drain left a process that served nothing and never
-// ended. Cause: only a signal was waited for, not the end of the work.
+// TestDrainEndsProcess guards against a process that serves nothing and never
+// exits after an operator's drain. Shutdown used to wait only for a signal, not
+// for the end of the work.
 func TestDrainEndsProcess(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
@@ -253,7 +256,8 @@
 	<-v.ended
 }
 
-// TestKeysNotLogged: a key in a log line would be a key for whoever reads logs.
+// TestKeysNotLogged checks that no key appears in the log, where anyone who
+// reads logs could use it.
 func TestKeysNotLogged(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
@@ -266,8 +270,9 @@
 	is.True(strings.Contains(v.log.String(), "event=outcome"))
 }
 
-// TestBrokenStreamShows: an answer that breaks for good ends with an error event
-// and a broken connection, not with the mark of a whole one.
+// TestBrokenStreamShows checks that a stream that cannot be completed ends with
+// an error event and an aborted connection, without the marker of a complete
+// one.
 func TestBrokenStreamShows(t *testing.T) {
 	is := is.New(t)
 	v := startVM(t)
@@ -278,15 +283,15 @@
 	is.NoErr(err)
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	is.True(err != nil) // the connection breaks
+	is.True(err != nil) // the connection is aborted
 	is.True(strings.Contains(string(body), `"outcome":"unknown"`))
 	is.True(!strings.Contains(string(body), doneMark))
 }
 
 const doneMark = "[DONE]"
 
-// BenchmarkDirect and BenchmarkThroughVM are a plain call without and with the
-// daemon on its path; their difference is what the daemon costs.
+// BenchmarkDirect calls a plain service without the daemon. The difference from
+// BenchmarkThroughVM is the daemon's overhead.
 func BenchmarkDirect(b *testing.B) {
 	v := startVM(b)
 	for b.Loop() {
@@ -294,7 +299,7 @@
 	}
 }
 
-// BenchmarkThroughVM is the same call through one daemon.
+// BenchmarkThroughVM makes the same call through one daemon.
 func BenchmarkThroughVM(b *testing.B) {
 	v := startVM(b)
 	for b.Loop() {
@@ -304,8 +309,8 @@
 	}
 }
 
-// BenchmarkTokens passes on streams of 2,000 tokens; the engine's side and the
-// caller's are in this process too.
+// BenchmarkTokens relays streams of 2,000 tokens. The engine and the caller run
+// in the same process, so the result includes their cost.
 func BenchmarkTokens(b *testing.B) {
 	const tokens = 2000
 	v := startVM(b)
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -16,7 +16,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// progressInterval is the least time between two progress events of a stream.
+// progressInterval is the minimum time between two progress events of a stream.
 const progressInterval = 250 * time.Millisecond
 
 // dispatch sends a granted request to its endpoint, once.
@@ -52,8 +52,8 @@
 	})
 }
 
-// pushAsync pushes an event from a goroutine of its own: the loop must not wait
-// for its own channel.
+// pushAsync pushes an event from a new goroutine. The loop must not block on
+// its own channel.
 func (d *Daemon) pushAsync(ctx context.Context, ev core.Event) {
 	d.group.Go(func() error {
 		d.push(ctx, ev)
@@ -61,7 +61,8 @@
 	})
 }
 
-// tokenObserver tells the core of the first token and of progress.
+// tokenObserver returns a function that reports the first token and progress to
+// the core.
 func (d *Daemon) tokenObserver(ctx context.Context, handle uint64) func(int) {
 	var last time.Time
 	return func(total int) {
@@ -78,8 +79,8 @@
 	}
 }
 
-// endFromResult turns a call's result into the core's terms. A run that was stopped is
-// cancelled only if the endpoint confirms it.
+// endFromResult converts the result of a call to the core's End. A run that was
+// stopped counts as cancelled only if the endpoint confirms it.
 func (d *Daemon) endFromResult(ctx context.Context, c *callerRequest, res endpoint.Result, model bool) core.End {
 	switch res {
 	case endpoint.Complete:
@@ -102,7 +103,7 @@
 	return core.Broken
 }
 
-// stopRun ends a run; its goroutine then reports how it ended.
+// stopRun stops a run; the run's goroutine reports how it ended.
 func (d *Daemon) stopRun(ef core.Stop) {
 	if c := d.requestByHandle(ef.Handle); c != nil {
 		d.log.Info().Str("request", c.spec.Key.String()).Str("reason", string(ef.Reason)).Msg("stop")
@@ -110,8 +111,9 @@
 	}
 }
 
-// attach reads the answer of another dispatch: here if this VM made it, from
-// the engine's stream, or from the VM that called a plain service.
+// attach reads the response of an earlier dispatch: from this VM's cache if
+// this process made the dispatch, otherwise from the engine's stream or, for a
+// plain service, from the VM that called it.
 func (d *Daemon) attach(ctx context.Context, ef core.Attach) {
 	c := d.requestByHandle(ef.Handle)
 	if c == nil {
@@ -168,11 +170,12 @@
 	return core.Missing
 }
 
-// maxAttachAttempts bounds how often a stream is asked for that the endpoint does not
-// know: its dispatch may be on the way.
+// maxAttachAttempts bounds the attempts to resume a stream that the endpoint
+// does not know: its dispatch may still be in transit.
 const maxAttachAttempts = 10
 
-// fetchPlainResponse asks the VM that called a plain service for its answer.
+// fetchPlainResponse fetches the response of a plain service from the VM that
+// called the service.
 func (d *Daemon) fetchPlainResponse(ctx context.Context, c *callerRequest, r *schema.Record, buf *responseBuffer) core.End {
 	l := d.links[r.Dispatcher]
 	if l == nil {
@@ -201,7 +204,7 @@
 	return core.Whole
 }
 
-// waitDone waits until the dispatch of an answer has ended here.
+// waitDone waits until the dispatch has ended.
 func (b *responseBuffer) waitDone(ctx context.Context) core.End {
 	for {
 		p := b.readFrom(0)
@@ -228,7 +231,7 @@
 	return nil
 }
 
-// formatCandidates lists the candidates of a decision for the log.
+// formatCandidates formats the candidates of a scheduling decision for the log.
 func formatCandidates(ef core.Dispatch) string {
 	s := ""
 	for i, c := range ef.Candidates {
@@ -241,15 +244,15 @@
 }
 
 const (
-	// reportInterval is the interval at which engines are asked for their reports.
+	// reportInterval is the interval at which engines are polled.
 	reportInterval = 500 * time.Millisecond
-	// maxConcurrentReports bounds the questions under way, so that one engine that does
-	// not answer holds up no other.
+	// maxConcurrentReports bounds concurrent polls. Polls run concurrently so
+	// that an engine that does not respond delays no other.
 	maxConcurrentReports = 32
 )
 
-// pollEngines follows what the engines say of themselves: whether they leave, and
-// what their caches hold.
+// pollEngines polls the engines for whether they are leaving and for the events
+// of their prefix caches.
 func (d *Daemon) pollEngines(ctx context.Context) error {
 	next := make(map[string]*int)
 	for {
@@ -285,7 +288,7 @@
 	_ = g.Wait()
 }
 
-// pollEngine asks one engine. after is the number of its next cache event.
+// pollEngine polls one engine. after is the number of its next cache event.
 func (d *Daemon) pollEngine(ctx context.Context, e *schema.Endpoint, after *int) {
 	bound, cancel := context.WithTimeout(ctx, reportInterval)
 	defer cancel()
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -7,14 +7,14 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// loopInput is what the loop takes: one event, or a peer's batch whose replies go
-// back with the same call.
+// loopInput is an input of the loop: either one event, or a peer's batch whose
+// replies are returned in the same exchange.
 type loopInput struct {
 	event core.Event
 	batch *peerBatch
 }
 
-// peerBatch is one envelope of a peer.
+// peerBatch holds the messages of one envelope from a peer.
 type peerBatch struct {
 	from        uint32
 	incarnation uint64
@@ -22,7 +22,7 @@
 	reply       chan []*schema.Message
 }
 
-// push hands an event to the loop, waiting if it is behind.
+// push sends an event to the loop and blocks while its channel is full.
 func (d *Daemon) push(ctx context.Context, ev core.Event) {
 	select {
 	case d.events <- loopInput{event: ev}:
@@ -30,7 +30,7 @@
 	}
 }
 
-// loop owns the core.
+// loop owns the core and is the only goroutine that accesses it.
 func (d *Daemon) loop(ctx context.Context) error {
 	node := core.New(d.coreConfig(), d.now())
 	for {
@@ -50,7 +50,7 @@
 	}
 }
 
-// publishState lets the other duties see the state.
+// publishState makes the core's state visible to the other goroutines.
 func (d *Daemon) publishState(node *core.Node) {
 	s := node.Status()
 	if old := d.status.Load(); old.Ready != s.Ready || old.Why != s.Why {
@@ -63,8 +63,8 @@
 	}
 }
 
-// stepBatch steps through a peer's messages; what they cause for that peer
-// travels in the reply.
+// stepBatch processes a peer's messages. Messages that this causes for the same
+// peer are returned in the reply.
 func (d *Daemon) stepBatch(ctx context.Context, node *core.Node, b *peerBatch) {
 	var replies []*schema.Message
 	for _, m := range b.messages {
@@ -80,8 +80,9 @@
 	b.reply <- replies
 }
 
-// applyEffects carries out effects. Nothing here waits: a duty that is behind loses
-// messages, which the core expects of a network.
+// applyEffects executes effects. It does not block: messages to a goroutine
+// that is behind are dropped, and the core tolerates that as it does loss on
+// the network.
 func (d *Daemon) applyEffects(ctx context.Context, effects []core.Effect, intercept func(core.Send) bool) {
 	for _, ef := range effects {
 		switch ef := ef.(type) {
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -37,7 +37,7 @@
 	return requireKey(d.settings.Keys.Operator, mux)
 }
 
-// configView is the configuration in force.
+// configView is the JSON form of the current configuration.
 type configView struct {
 	Version  uint64
 	Document string
@@ -52,26 +52,28 @@
 	writeJSON(w, http.StatusOK, configView{Version: rules.Version, Document: protojson.Format(rules.Document)})
 }
 
-// SubmitResult tells an operator what became of a document.
+// SubmitResult reports to an operator how a submitted document was judged.
 type SubmitResult struct {
 	// Verdict is accepted, stale_base, invalid or unknown.
 	Verdict string   `json:"verdict"`
 	Version uint64   `json:"version,omitempty"`
 	Faults  []string `json:"faults,omitempty"`
-	// AppendID finds the append in the audit trail if the verdict is unknown.
+	// AppendID identifies the record in the audit trail if the verdict is
+	// unknown.
 	AppendID string `json:"append_id"`
 }
 
 const (
 	maxDocumentBytes = 8 << 20
-	// verdictTimeout is how long a submitter is kept waiting for the log's order.
+	// verdictTimeout is how long a submitter waits for the verdict on its
+	// document.
 	verdictTimeout = 5 * time.Second
 	unknownVerdict = "unknown"
 )
 
-// submitConfig appends a document and waits until the log's order has judged
-// it. An append whose answer is lost is settled by reading the log; if that
-// cannot be done in time the verdict is unknown.
+// submitConfig appends a document to the log and waits until it has been judged
+// in the log's order. If the response to the append is lost, reading the log
+// still yields the verdict; if that takes too long, the verdict is unknown.
 func (d *Daemon) submitConfig(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocumentBytes))
 	if err != nil {
@@ -126,7 +128,7 @@
 	return list
 }
 
-// listen opens an address, with TLS where the settings give certificates.
+// listen opens a listener, with TLS if the settings name a certificate.
 func (d *Daemon) listen(addr string) (net.Listener, error) {
 	l, err := d.opts.Listen(addr)
 	if err != nil {
@@ -143,7 +145,8 @@
 	return tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS13}), nil
 }
 
-// peerTLSConfig is what peers' certificates are checked against.
+// peerTLSConfig returns the TLS configuration that verifies peers'
+// certificates, nil without an authority file.
 func (d *Daemon) peerTLSConfig() (*tls.Config, error) {
 	if d.settings.Tls.AuthorityFile == "" {
 		return nil, nil
@@ -166,8 +169,8 @@
 	}
 }
 
-// serve runs one server until the process's work ends. It sets no write
-// timeout: streams are long.
+// serve runs a server until ctx is done. It sets no write timeout because
+// streams can last long.
 func (d *Daemon) serve(ctx context.Context, l net.Listener, h http.Handler) *http.Server {
 	s := d.newServer(h)
 	d.group.Go(func() error {
@@ -181,8 +184,8 @@
 	return s
 }
 
-// servePeers runs the peers' server to the very end of the process. Only the
-// kernel may close a watch, since its end is taken for the process's death.
+// servePeers runs the peer server until the process exits. Only the kernel may
+// close a watch, because peers take its end for the death of this process.
 func (d *Daemon) servePeers(l net.Listener) {
 	s := d.newServer(d.peerHandler())
 	var both http.Protocols
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// maxBatchMessages bounds the messages of one call.
+	// maxBatchMessages bounds the messages of one exchange.
 	maxBatchMessages   = 512
 	exchangeTimeout    = 500 * time.Millisecond
 	watchRetryInterval = 50 * time.Millisecond
 )
 
-// link is the way to one peer.
+// link is the connection to one peer.
 type link struct {
 	peer     *schema.Peer
 	outgoing chan *schema.Message
-	// incarnation is what the core knows of the peer.
+	// incarnation is the peer's incarnation as known to the core.
 	incarnation atomic.Uint64
 }
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// exchangeLoop sends what waits for a peer, one call at a time, so that messages
-// gather into batches by themselves while a call is under way.
+// exchangeLoop sends the messages queued for a peer, one exchange at a time, so
+// that messages queued during an exchange form the next batch.
 func (d *Daemon) exchangeLoop(ctx context.Context, l *link) error {
 	client := schema.NewPeerServiceProtobufClient(d.peerURL(l), &keyedClient{http: d.exchangeHTTP, key: d.settings.Keys.Peer})
 	for {
@@ -64,8 +64,9 @@
 	}
 }
 
-// gatherBatch takes what waits for a peer. Messages that nobody waits for are held
-// back a little, for company: what a call costs is mostly the call itself.
+// gatherBatch collects queued messages. Deferrable messages wait for up to
+// batchDelay so that more of them share an exchange, whose cost is mostly
+// fixed.
 func gatherBatch(ctx context.Context, l *link, first *schema.Message) []*schema.Message {
 	batch := []*schema.Message{first}
 	hold := time.NewTimer(batchDelay)
@@ -93,10 +94,11 @@
 	return batch
 }
 
-// batchDelay is how long messages that can wait do so, well under a heartbeat's interval.
+// batchDelay is how long deferrable messages wait, well below the heartbeat
+// interval.
 const batchDelay = 40 * time.Millisecond
 
-// isDeferrable reports whether nobody waits for a message.
+// isDeferrable reports whether nothing waits for a message.
 func isDeferrable(m *schema.Message) bool {
 	switch m.Body.(type) {
 	case *schema.Message_Heartbeat, *schema.Message_Update, *schema.Message_UpdateAck,
@@ -127,13 +129,13 @@
 	return "http://" + l.peer.Address
 }
 
-// keyedClient adds the peers' key to each call.
+// keyedClient adds the peer key to each request.
 type keyedClient struct {
 	http *http.Client
 	key  string
 }
 
-// Do implements the generated client's interface.
+// Do implements schema.HTTPClient.
 func (k *keyedClient) Do(r *http.Request) (*http.Response, error) {
 	r.Header.Set("Authorization", "Bearer "+k.key)
 	return k.http.Do(r)
@@ -158,7 +160,7 @@
 	}
 }
 
-// hasKey checks a bearer key in constant time.
+// hasKey compares the bearer key of a request in constant time.
 func hasKey(r *http.Request, key string) bool {
 	got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return subtle.ConstantTimeCompare([]byte(got), []byte(key)) == 1
@@ -182,16 +184,18 @@
 	return requireKey(d.settings.Keys.Peer, mux)
 }
 
-// serveWatch names this incarnation and then holds the connection for the life
-// of the process. Its end, which only the kernel brings about, is the proof of
-// this process's death; so this handler returns only if the peer is gone.
+// serveWatch sends this process's incarnation and then keeps the connection
+// open for the life of the process. Only the kernel closes it, so its end
+// proves that this process is dead. The handler therefore returns only if the
+// peer disconnects.
 func (d *Daemon) serveWatch(w http.ResponseWriter, r *http.Request) {
 	_, _ = fmt.Fprintf(w, "%d\n", d.incarnation)
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
 }
 
-// watch holds a connection to a cell peer and reports its end.
+// watch keeps a watch open to a peer of the same failure domain and reports its
+// end.
 func (d *Daemon) watch(ctx context.Context, l *link) error {
 	for ctx.Err() == nil {
 		d.watchOnce(ctx, l)
@@ -230,8 +234,9 @@
 	}
 }
 
-// closedByKernel tells the end of the peer's process from the end of a wait or
-// of the network: the stream stops in mid-body, or a reset comes.
+// closedByKernel reports whether a watch ended because the peer's process died:
+// the stream stops in mid-body or the connection is reset. A timeout or another
+// network failure proves nothing.
 func closedByKernel(err error) bool {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -240,7 +245,8 @@
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// servePlainResponse gives a peer the answer of a plain service that was called here.
+// servePlainResponse returns to a peer the response of a plain service that
+// this VM called.
 func (d *Daemon) servePlainResponse(w http.ResponseWriter, r *http.Request) {
 	key := request.Key{Organisation: r.URL.Query().Get("organisation"), ID: r.URL.Query().Get("id")}
 	resp, ok := d.responses.get(key)
@@ -261,7 +267,8 @@
 // headerStatus carries a plain service's status between peers.
 const headerStatus = "X-Answer-Status"
 
-// waitPlain waits for the whole answer of a plain service; nil if there is none.
+// waitPlain waits for the response of a plain service and returns nil if there
+// is none.
 func (b *responseBuffer) waitPlain(ctx context.Context) *plainResponse {
 	for {
 		p := b.readFrom(0)
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// maxReadRecords is how many records one read of the log asks for.
+	// maxReadRecords is the number of records requested by one read of the log.
 	maxReadRecords = 256
 	vmListInterval = time.Second
 )
@@ -27,8 +27,8 @@
 	d.group.Go(func() error { return d.appendLoop(ctx) })
 }
 
-// followLog follows the log. While it fails the core is told, and serves by what
-// it has.
+// followLog reads the log continuously. While reads fail it reports that to the
+// core, which serves with the configuration it has.
 func (d *Daemon) followLog(ctx context.Context) error {
 	var next uint64
 	for {
@@ -71,7 +71,8 @@
 	return next
 }
 
-// followVMList follows the platform's list of VMs.
+// followVMList polls the platform's list of VMs and reports each VM that is
+// gone.
 func (d *Daemon) followVMList(ctx context.Context) error {
 	gone := make(map[uint32]bool)
 	for {
@@ -94,7 +95,7 @@
 	}
 }
 
-// appendJob is a record on its way to the log. done, if set, gets the error.
+// appendJob is a record queued for the log. done, if set, receives the error.
 type appendJob struct {
 	record *schema.LogRecord
 	done   chan error
@@ -111,11 +112,12 @@
 	}
 }
 
-// QueueFullError reports a record that was never sent to the log.
+// QueueFullError reports a record that was not sent because the append queue is
+// full.
 type QueueFullError struct{}
 
-// Error describes the failure.
-func (e *QueueFullError) Error() string { return "too many appends wait" }
+// Error implements error.
+func (e *QueueFullError) Error() string { return "log append queue is full" }
 
 func (d *Daemon) appendLoop(ctx context.Context) error {
 	for {
@@ -153,7 +155,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// verdictWaiters lets submitters wait for the judgement of their append.
+// verdictWaiters lets submitters wait for the verdicts on their records.
 type verdictWaiters struct {
 	mu      sync.Mutex
 	waiters map[string]chan config.Verdict
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -44,10 +44,10 @@
 	return cert, key
 }
 
-// TestPeersOverTLS: with certificates in the settings two VMs find each other
-// over TLS, watch and calls included, and end in good order. Under the race
-// detector it failed once: two transports shared one TLS configuration, into
-// which each of them writes.
+// TestPeersOverTLS checks that two VMs with certificates connect over TLS, for
+// watches and exchanges, and shut down cleanly. It failed once under the race
+// detector: two transports shared one TLS configuration, which each of them
+// modifies.
 func TestPeersOverTLS(t *testing.T) {
 	is := is.New(t)
 	cert, key := certificate(t)
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -6,8 +6,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// countingConn counts the bytes between VMs, for the bound of what control may
-// cost.
+// countingConn counts the bytes exchanged between VMs, so that the cost of
+// control traffic can be checked against its bound.
 type countingConn struct {
 	net.Conn
 	in, out metrics.Counter
