--- a/config/check.go
+++ b/config/check.go
@@ -1,6 +1,7 @@
-// Package config judges configuration documents. The order of the platform's
-// log decides between operators; every VM judges each record by the same pure
-// functions and so reaches the same verdict.
+// Package config validates configuration documents and determines the current
+// one. The platform's log orders the changes of concurrent operators. Every VM
+// judges each record with the same pure functions and so reaches the same
+// verdict.
 package config
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// SchemaVersion is the newest document schema this program understands.
+// SchemaVersion is the newest document schema that this version supports.
 const SchemaVersion = 1
 
 // Limits of a document.
@@ -28,20 +29,20 @@
 // Any matches every organisation or kind in an assignment.
 const Any = "*"
 
-// Fault is one thing wrong in a document or settings file, with its place.
+// Fault describes an error in a document or settings file and its location.
 type Fault struct {
 	// Path names the field, such as "endpoints[2].slots".
 	Path    string
 	Problem string
 }
 
-// String gives path and problem on one line.
+// String returns path and problem on one line.
 func (f Fault) String() string { return f.Path + ": " + f.Problem }
 
-// FaultsError reports every fault of a document.
+// FaultsError reports all faults of a document.
 type FaultsError struct{ Faults []Fault }
 
-// Error lists the faults, one a line.
+// Error lists the faults, one per line.
 func (e *FaultsError) Error() string {
 	s := fmt.Sprintf("%d faults", len(e.Faults))
 	for _, f := range e.Faults {
@@ -61,7 +62,8 @@
 	c.faults = append(c.faults, Fault{Path: fmt.Sprintf(path, args...), Problem: problem})
 }
 
-// Check returns every fault of a document; none if it may be put in force.
+// Check returns all faults of a document. A document without faults can be
+// accepted.
 func Check(d *schema.Document) []Fault {
 	c := &checker{kinds: map[string]*schema.Kind{}, orgs: map[string]bool{}, tiers: map[uint32]bool{}}
 	if d.SchemaVersion == 0 || d.SchemaVersion > SchemaVersion {
@@ -204,8 +206,9 @@
 	}
 }
 
-// HasUnknownFields reports whether a message carries fields this program does not
-// know. Such a record was written by a newer program and cannot be judged here.
+// HasUnknownFields reports whether a message has fields that this version does
+// not know. Such a record was written by a newer version and cannot be judged
+// here.
 func HasUnknownFields(m proto.Message) bool { return hasUnknownFields(m.ProtoReflect()) }
 
 func hasUnknownFields(m protoreflect.Message) bool {
--- a/config/ledger.go
+++ b/config/ledger.go
@@ -8,37 +8,41 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// State is what was in force at a position of the log. It is a function of the
+// State is the configuration at a position of the log. It is a function of the
 // log alone, so any two states are ordered by Through.
 type State struct {
-	// Version is the offset of the document's record plus one; 0 if none is in force.
+	// Version is the offset of the document's record plus one; 0 without a
+	// document.
 	Version  uint64
 	Document *schema.Document
-	// Through is the first offset that is not yet judged.
+	// Through is the offset of the first record that is not included.
 	Through uint64
 }
 
-// Judgement is the verdict on a document.
+// Judgement is the result of judging a record.
 type Judgement string
 
-// Judgements. Only Accepted changes what is in force.
+// Judgements. Only Accepted changes the configuration.
 const (
 	Accepted Judgement = "accepted"
-	// StaleBase: another change of the same base came first.
+	// StaleBase: another change to the same base version came first.
 	StaleBase Judgement = "stale_base"
 	// Invalid: the document has faults.
 	Invalid Judgement = "invalid"
-	// Carried: the record repeats a document against retention.
+	// Carried: the record republishes the current configuration, so that log
+	// retention does not remove it.
 	Carried Judgement = "carried"
-	// NewerSchema: written by a newer program; this one can judge nothing any more.
+	// NewerSchema: the record was written by a newer version. From then on
+	// State reports the configuration as unknown.
 	NewerSchema Judgement = "newer_schema"
-	// Other: not about configuration.
+	// Other: the record is not about configuration.
 	Other Judgement = "other"
-	// Pending: the log before the record is not known.
+	// Pending: the record cannot be judged yet because earlier records are
+	// missing.
 	Pending Judgement = "pending"
 )
 
-// Verdict is the judgement of one record.
+// Verdict describes how one record was judged.
 type Verdict struct {
 	Offset    uint64
 	AppendID  string
@@ -46,25 +50,26 @@
 	Base      uint64
 	Judgement Judgement
 	Faults    []Fault
-	// Version in force after the record.
+	// Version is the configuration version after the record.
 	Version uint64
 }
 
-// StateMachine follows the log and keeps what is in force. What is in force is the
-// later of what this VM judged from the log itself and what others vouched for,
-// so it never goes back; every record is still judged in the log's order, so
-// that a submitter here learns the verdict. It is not safe for concurrent use.
+// StateMachine replays the log and maintains the current configuration. That is
+// the later of the state replayed from the log and the states adopted from
+// others, so it never goes back. Every record is still judged in the log's
+// order, so that a submitter at this VM receives its verdict. It is not safe
+// for concurrent use.
 type StateMachine struct {
 	current State
 	known   bool
-	// replayed is the state at the position up to which this VM judged the replayed;
-	// logKnown is false while records before it are missing.
+	// replayed is the state up to which this VM has judged the log. replayValid
+	// is false while records before it are missing.
 	replayed    State
 	replayValid bool
 	// blocked is set by a record of a newer schema.
 	blocked bool
 	pending []logEntry
-	// logStart is the lowest offset that the log keeps.
+	// logStart is the lowest offset that the log retains.
 	logStart uint64
 	started  bool
 }
@@ -74,19 +79,20 @@
 	record *schema.LogRecord
 }
 
-// NewStateMachine returns a ledger that knows nothing.
+// NewStateMachine returns a state machine without a state.
 func NewStateMachine() *StateMachine { return &StateMachine{} }
 
-// State returns what is in force and whether that is known.
+// State returns the current configuration and whether it is known.
 func (m *StateMachine) State() (State, bool) { return m.current, m.known && !m.blocked }
 
-// Blocked reports whether a record of a newer schema was met.
+// Blocked reports whether a record of a newer schema was found.
 func (m *StateMachine) Blocked() bool { return m.blocked }
 
-// SetLogStart tells before each batch from which offset the log can be read. From 0
-// nothing was in force before; otherwise a carried record or a peer has to say.
-// If retention took records that were not judged here, judging starts anew from
-// what others vouched for; what is in force stays.
+// SetLogStart sets the first offset that the log retains. It must be called
+// before each batch. If the offset is 0 at the first call, there was no earlier
+// configuration; otherwise the state before it must come from a republished
+// configuration or a peer. If retention removed records that were not judged
+// here, replay restarts from an adopted state; the current configuration stays.
 func (m *StateMachine) SetLogStart(first uint64) {
 	m.logStart = first
 	if !m.started {
@@ -100,7 +106,8 @@
 	m.resumeReplay()
 }
 
-// resumeReplay lets judging go on from what is in force, if no record is missing.
+// resumeReplay continues the replay from the current configuration if no record
+// after it is missing.
 func (m *StateMachine) resumeReplay() []Verdict {
 	if m.replayValid || !m.known || !m.started || m.current.Through < m.logStart {
 		return nil
@@ -115,7 +122,8 @@
 	return out
 }
 
-// Apply judges one record. Records must come in the order of their offsets.
+// Apply judges one record. Records must be applied in the order of their
+// offsets.
 func (m *StateMachine) Apply(offset uint64, r *schema.LogRecord) []Verdict {
 	if m.replayValid {
 		if offset < m.replayed.Through {
@@ -134,8 +142,8 @@
 	return []Verdict{{Offset: offset, AppendID: r.AppendId, Judgement: Pending}}
 }
 
-// Adopt puts a state in force that a peer or a carried record vouches for, if
-// it is of a later position.
+// Adopt makes a state from a peer or a republished configuration the current
+// one if it is later.
 func (m *StateMachine) Adopt(s State) []Verdict {
 	if m.known && s.Through <= m.current.Through {
 		return m.resumeReplay()
@@ -169,8 +177,9 @@
 	return v
 }
 
-// judgeDocument needs no memory of earlier appends: one that is repeated after
-// a lost answer no longer has the base in force.
+// judgeDocument needs no list of earlier appends to reject duplicates: if an
+// append is retried after its response was lost, the retry's base is no longer
+// the current version.
 func (m *StateMachine) judgeDocument(d *schema.Document) (Judgement, []Fault) {
 	if d.BaseVersion != m.replayed.Version {
 		return StaleBase, []Fault{{Path: "base_version", Problem: fmt.Sprintf("is %d, in force is %d", d.BaseVersion, m.replayed.Version)}}
@@ -181,9 +190,10 @@
 	return Accepted, nil
 }
 
-// changedClaimModes finds kinds whose claims would move. Where a kind's keys are
-// claimed follows from its mode; an attempt claimed under the old mode would not
-// be found by its repeat under the new one, and the request would run twice.
+// changedClaimModes returns a fault for each kind whose claims would move. The
+// mode of a kind determines where its keys are claimed. A retry under a new
+// mode would not find the attempt claimed under the old one, and the request
+// would run twice.
 func changedClaimModes(old, d *schema.Document) []Fault {
 	modes := make(map[string]bool)
 	for _, k := range old.GetKinds() {
@@ -201,11 +211,11 @@
 	return faults
 }
 
-// homeOnly reports whether every attempt of a kind is claimed in the key's home
+// homeOnly reports whether all attempts of a kind are claimed in the key's home
 // domain.
 func homeOnly(k *schema.Kind) bool { return k.NonIdempotent && !k.TrustFirstAttempt }
 
-// Decode reads a record of the log.
+// Decode decodes a record of the log.
 func Decode(data []byte) (*schema.LogRecord, error) {
 	r := &schema.LogRecord{}
 	if err := proto.Unmarshal(data, r); err != nil {
@@ -214,10 +224,10 @@
 	return r, nil
 }
 
-// DecodeError reports bytes that are no record.
+// DecodeError reports data that is not a valid log record.
 type DecodeError struct{ Err error }
 
-// Error describes the failure.
+// Error implements error.
 func (e *DecodeError) Error() string { return "not a log record: " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/config/ledger_test.go
+++ b/config/ledger_test.go
@@ -11,7 +11,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// validDocument is a document without faults.
+// validDocument returns a document without faults.
 func validDocument(base uint64, author string) *schema.Document {
 	return &schema.Document{
 		SchemaVersion: 1, BaseVersion: base, Author: author, RecordTtl: "15m",
@@ -22,8 +22,9 @@
 	}
 }
 
-// TestStateMachine runs golden sessions of several VMs that read one log, race,
-// outages and retention included. Each line of output is what a VM decided.
+// TestStateMachine replays recorded sessions of several VMs that read one log,
+// with concurrent changes, outages and log retention. Each output line is a
+// verdict or a state of one VM.
 func TestStateMachine(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		vms := map[string]*StateMachine{}
@@ -80,7 +81,7 @@
 	fmt.Fprintf(out, "%s: in force %d through %d known %t\n", name, s.Version, s.Through, known)
 }
 
-// checkNoRollback fails if what is in force at a VM went back.
+// checkNoRollback fails the test if the configuration of a VM went back.
 func checkNoRollback(t *testing.T, high map[string]uint64, name string, l *StateMachine) {
 	s, _ := l.State()
 	if s.Version < high[name] {
--- a/config/rules.go
+++ b/config/rules.go
@@ -9,7 +9,7 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Rules answer questions about one accepted document.
+// Rules give access to one accepted document.
 type Rules struct {
 	Version  uint64
 	Document *schema.Document
@@ -18,7 +18,7 @@
 	TTL      time.Duration
 }
 
-// Compile prepares a document that passed Check.
+// Compile builds the rules of a document that passed Check.
 func Compile(version uint64, d *schema.Document) *Rules {
 	r := &Rules{
 		Version: version, Document: d,
@@ -35,21 +35,21 @@
 	return r
 }
 
-// parseDuration reads a duration that Check has accepted; empty is 0.
+// parseDuration parses a duration that Check has accepted; an empty one is 0.
 func parseDuration(s string) time.Duration {
 	d, _ := time.ParseDuration(s)
 	return d
 }
 
-// OrganisationByKey finds the owner of an API key. Keys are looked up by their
-// SHA-256, so the time taken tells nothing about them.
+// OrganisationByKey returns the organisation that owns an API key. Keys are
+// looked up by their SHA-256, so the lookup time reveals nothing about them.
 func (r *Rules) OrganisationByKey(key string) (*schema.Organisation, bool) {
 	sum := sha256.Sum256([]byte(key))
 	o, ok := r.orgs[hex.EncodeToString(sum[:])]
 	return o, ok
 }
 
-// Kind finds a request kind by name.
+// Kind returns the request kind of a name.
 func (r *Rules) Kind(name string) (*schema.Kind, bool) {
 	k, ok := r.kinds[name]
 	return k, ok
@@ -65,7 +65,7 @@
 	return r.Document.Tiers[len(r.Document.Tiers)-1]
 }
 
-// Spec fills in what the rules say of a request.
+// Spec returns the properties of a request that the document determines.
 func (r *Rules) Spec(org *schema.Organisation, kind *schema.Kind, id string) request.Spec {
 	tier := r.Tier(org.Name, kind.Name)
 	return request.Spec{
@@ -81,5 +81,6 @@
 	}
 }
 
-// DefaultDeadline is the time a request of a kind has if its caller names none.
+// DefaultDeadline returns the timeout of a request of a kind whose caller sets
+// none.
 func DefaultDeadline(k *schema.Kind) time.Duration { return parseDuration(k.Deadline) }
--- a/config/trail.go
+++ b/config/trail.go
@@ -7,32 +7,32 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// AuditEntry is one change of configuration in the audit trail.
+// AuditEntry describes one configuration change in the audit trail.
 type AuditEntry struct {
 	Verdict
 	UnixMs  int64
 	Comment string
-	// Changed are the sections in which an accepted document differs from the
-	// one before.
+	// Changed lists the sections in which an accepted document differs from the
+	// previous one.
 	Changed []string
 }
 
-// AuditTrail judges the log as every VM does and tells what each change was.
+// AuditTrail judges the log as every VM does and describes each change.
 type AuditTrail struct {
 	machine *StateMachine
 	pending map[uint64]*schema.LogRecord
 	last    *schema.Document
 }
 
-// NewAuditTrail returns a trail at the start of the log.
+// NewAuditTrail returns an audit trail at the start of the log.
 func NewAuditTrail() *AuditTrail {
 	return &AuditTrail{machine: NewStateMachine(), pending: make(map[uint64]*schema.LogRecord), last: &schema.Document{}}
 }
 
-// SetLogStart tells from which offset the log could be read.
+// SetLogStart sets the first offset that the log retains.
 func (t *AuditTrail) SetLogStart(first uint64) { t.machine.SetLogStart(first) }
 
-// Apply returns the lines that a record completes.
+// Apply judges a record and returns the entries whose verdict is now known.
 func (t *AuditTrail) Apply(offset uint64, r *schema.LogRecord) []AuditEntry {
 	t.pending[offset] = r
 	var entries []AuditEntry
@@ -52,8 +52,8 @@
 	return entries
 }
 
-// ChangedSections names the top-level fields in which two documents differ, apart
-// from those that say who changed what.
+// ChangedSections returns the names of the top-level fields in which two
+// documents differ, except those that describe the change itself.
 func ChangedSections(a, b *schema.Document) []string {
 	var names []string
 	fields := a.ProtoReflect().Descriptor().Fields()
@@ -70,7 +70,7 @@
 	return names
 }
 
-// withOnlyField returns a document with just one field of d.
+// withOnlyField returns a document that has only one field of d.
 func withOnlyField(d *schema.Document, fd protoreflect.FieldDescriptor) *schema.Document {
 	out := &schema.Document{}
 	if d.ProtoReflect().Has(fd) {
