--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -78,9 +78,9 @@
 	vms      []*vm
 	relays   map[[2]int]*relay
 
-	mu   sync.Mutex
-	seen []history.Seen
-	keys map[string]bool // non-idempotent ones
+	mu            sync.Mutex
+	seen          []history.Seen
+	nonIdempotent map[string]bool // non-idempotent ones
 }
 
 // Ports are taken below the range from which the kernel takes them for outgoing
@@ -109,7 +109,7 @@
 	return ""
 }
 
-func start(t *testing.T, args ...string) process {
+func startProcess(t *testing.T, args ...string) process {
 	p := process{cmd: exec.Command(binary, args...), log: &bytes.Buffer{}}
 	p.cmd.Stderr = p.log
 	p.cmd.Stdout = p.log
@@ -134,7 +134,7 @@
 // deploy starts a platform, two engines, a service and one VM for each name of
 // a failure domain, and puts a configuration in force.
 func deploy(t *testing.T, domains ...string) *deployment {
-	return deployLeased(t, longLease, domains...)
+	return deployWithLease(t, longLease, domains...)
 }
 
 // Leases. The long one outlasts any pause of a busy machine, so that a killed
@@ -145,14 +145,14 @@
 	shortLease = time.Second
 )
 
-func deployLeased(t *testing.T, lease time.Duration, domains ...string) *deployment {
-	d := &deployment{t: t, lease: lease, platform: freePort(t), service: freePort(t), keys: map[string]bool{}, relays: map[[2]int]*relay{}}
-	start(t, "standin", "platform", "--listen", d.platform)
-	start(t, "standin", "service", "--listen", d.service)
+func deployWithLease(t *testing.T, lease time.Duration, domains ...string) *deployment {
+	d := &deployment{t: t, lease: lease, platform: freePort(t), service: freePort(t), nonIdempotent: map[string]bool{}, relays: map[[2]int]*relay{}}
+	startProcess(t, "standin", "platform", "--listen", d.platform)
+	startProcess(t, "standin", "service", "--listen", d.service)
 	for i := range 2 {
 		addr := freePort(t)
 		d.engines = append(d.engines, addr)
-		start(t, "standin", "engine", "--listen", addr, "--name", fmt.Sprint("engine", i), "--output-speed", "200", "--slots", "64")
+		startProcess(t, "standin", "engine", "--listen", addr, "--name", fmt.Sprint("engine", i), "--output-speed", "200", "--slots", "64")
 	}
 	for i, domain := range domains {
 		d.vms = append(d.vms, &vm{id: i + 1, domain: domain, callers: freePort(t), peers: freePort(t), operators: freePort(t)})
@@ -163,21 +163,21 @@
 		d.startVM(v)
 	}
 	for _, addr := range append([]string{d.platform, d.service}, d.engines...) {
-		waitFor(func() bool { return dialable(addr) })
+		waitUntil(func() bool { return dialable(addr) })
 	}
 	d.submit(d.document(0))
 	for _, v := range d.vms {
 		d.waitReady(v)
-		d.waitBacked(v)
+		d.waitBackedUp(v)
 	}
 	return d
 }
 
-// waitBacked waits until the death of any member of a VM's cell would lose no
+// waitBackedUp waits until the death of any member of a VM's cell would lose no
 // claim, and until the VM knows that its domain never ran before.
-func (d *deployment) waitBacked(v *vm) {
-	waitFor(func() bool {
-		_, body := d.operator(v, http.MethodGet, "/status", "")
+func (d *deployment) waitBackedUp(v *vm) {
+	waitUntil(func() bool {
+		_, body := d.callOperator(v, http.MethodGet, "/status", "")
 		var s struct {
 			Claims struct{ Members, Backed, Lost int }
 		}
@@ -194,15 +194,15 @@
 	return err == nil
 }
 
-// waitFor polls without a bound of its own: the run's timeout is the bound, so
+// waitUntil polls without a bound of its own: the run's timeout is the bound, so
 // a slow machine changes no verdict.
-func waitFor(ok func() bool) {
+func waitUntil(ok func() bool) {
 	for !ok() {
 		time.Sleep(pollEvery)
 	}
 }
 
-func (d *deployment) startVM(v *vm) { v.process = start(d.t, "serve", v.settings) }
+func (d *deployment) startVM(v *vm) { v.process = startProcess(d.t, "serve", v.settings) }
 
 func (d *deployment) writeSettings(v *vm) {
 	var b strings.Builder
@@ -241,8 +241,8 @@
 
 // submit sends a document to the first VM until it is accepted.
 func (d *deployment) submit(doc string) {
-	waitFor(func() bool {
-		status, body := d.operator(d.vms[0], http.MethodPost, "/config", doc)
+	waitUntil(func() bool {
+		status, body := d.callOperator(d.vms[0], http.MethodPost, "/config", doc)
 		if status != http.StatusOK {
 			d.t.Log(status, body)
 		}
@@ -250,7 +250,7 @@
 	})
 }
 
-func (d *deployment) operator(v *vm, method, path, body string) (int, string) {
+func (d *deployment) callOperator(v *vm, method, path, body string) (int, string) {
 	req, _ := http.NewRequest(method, "http://"+v.operators+path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+operatorKey)
 	resp, err := http.DefaultClient.Do(req)
@@ -263,7 +263,7 @@
 }
 
 func (d *deployment) waitReady(v *vm) {
-	waitFor(func() bool {
+	waitUntil(func() bool {
 		resp, err := http.Get("http://" + v.callers + "/readyz")
 		if err != nil {
 			return false
@@ -273,7 +273,7 @@
 	})
 }
 
-func (d *deployment) control(addr string, faults any) {
+func (d *deployment) setFaults(addr string, faults any) {
 	body, _ := json.Marshal(faults)
 	resp, err := http.Post("http://"+addr+"/control", "application/json", bytes.NewReader(body))
 	if err != nil {
@@ -282,8 +282,8 @@
 	_ = resp.Body.Close()
 }
 
-// ran sums what all endpoints ran.
-func (d *deployment) ran() map[string]int {
+// runCounts sums what all endpoints runCounts.
+func (d *deployment) runCounts() map[string]int {
 	total := map[string]int{}
 	for _, addr := range append([]string{d.service}, d.engines...) {
 		resp, err := http.Get("http://" + addr + "/control/ran")
@@ -300,8 +300,8 @@
 	return total
 }
 
-// sending is one sending of a request by a caller.
-type sending struct {
+// callerRequest is one callerRequest of a request by a caller.
+type callerRequest struct {
 	id      string
 	kind    string
 	attempt int // 0 is undeclared
@@ -311,7 +311,7 @@
 }
 
 // send sends a request to a VM and keeps what the caller saw.
-func (d *deployment) send(v *vm, s sending) history.Seen {
+func (d *deployment) send(v *vm, s callerRequest) history.Seen {
 	key := "karrawong/" + s.id
 	seen := history.Seen{Key: key, Attempt: s.attempt, Want: standin.Answer(key, s.tokens)}
 	path := "/v1/completions"
@@ -333,16 +333,16 @@
 	if err != nil {
 		seen.Broken = true
 	} else {
-		readAnswer(resp, &seen, s)
+		readResponse(resp, &seen, s)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seen = append(d.seen, seen)
-	d.keys[key] = s.kind == "invoice"
+	d.nonIdempotent[key] = s.kind == "invoice"
 	return seen
 }
 
-func readAnswer(resp *http.Response, seen *history.Seen, s sending) {
+func readResponse(resp *http.Response, seen *history.Seen, s callerRequest) {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != http.StatusOK {
@@ -388,14 +388,14 @@
 // verify judges everything the callers saw.
 func (d *deployment) verify(mustFinish bool) {
 	d.t.Helper()
-	h := history.History{Seen: d.seen, Ran: d.ran(), NonIdempotent: d.keys, MustFinish: mustFinish}
+	h := history.History{Seen: d.seen, Ran: d.runCounts(), NonIdempotent: d.nonIdempotent, MustFinish: mustFinish}
 	for _, b := range h.Check() {
 		d.t.Error(b)
 	}
 }
 
-// shares logs how the sendings ended.
-func (d *deployment) shares() {
+// logOutcomes logs how the sendings ended.
+func (d *deployment) logOutcomes() {
 	count := map[request.Outcome]int{}
 	for _, s := range d.seen {
 		count[s.Outcome]++
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -16,15 +16,15 @@
 	"github.com/chivefield/chivefield/standin"
 )
 
-// maxSendings bounds the repeats of one request.
-const maxSendings = 40
+// maxAttempts bounds the repeats of one request.
+const maxAttempts = 40
 
-// insist sends a request and repeats it, at the next VM each time, until it is
+// sendUntilAnswered sends a request and repeats it, at the next VM each time, until it is
 // answered or cancelled, as a careful caller does.
-func (d *deployment) insist(vms []*vm, first int, s sending) history.Seen {
+func (d *deployment) sendUntilAnswered(vms []*vm, first int, s callerRequest) history.Seen {
 	var seen history.Seen
 	firstAttempt := s.attempt
-	for i := range maxSendings {
+	for i := range maxAttempts {
 		if firstAttempt > 0 {
 			s.attempt = firstAttempt + i
 		}
@@ -37,26 +37,26 @@
 	return seen
 }
 
-// load sends many requests at once and waits for all. While they are under way
+// sendConcurrently sends many requests at once and waits for all. While they are under way
 // it calls fault.
-func (d *deployment) load(vms []*vm, count int, request func(i int) sending, fault func()) []history.Seen {
+func (d *deployment) sendConcurrently(vms []*vm, count int, request func(i int) callerRequest, fault func()) []history.Seen {
 	var wg sync.WaitGroup
 	last := make([]history.Seen, count)
 	for i := range count {
-		wg.Go(func() { last[i] = d.insist(vms, i, request(i)) })
+		wg.Go(func() { last[i] = d.sendUntilAnswered(vms, i, request(i)) })
 	}
 	fault()
 	wg.Wait()
 	return last
 }
 
-// waitRunning waits until the engines have run at least n requests.
-func (d *deployment) waitRunning(n int) {
-	waitFor(func() bool { return len(d.ran()) >= n })
+// waitForRuns waits until the engines have run at least n requests.
+func (d *deployment) waitForRuns(n int) {
+	waitUntil(func() bool { return len(d.runCounts()) >= n })
 }
 
-func check(i int) sending {
-	return sending{id: fmt.Sprint("id", i), kind: "check", attempt: 1, tokens: 150, stream: true}
+func checkRequest(i int) callerRequest {
+	return callerRequest{id: fmt.Sprint("id", i), kind: "check", attempt: 1, tokens: 150, stream: true}
 }
 
 // TestKill: VMs are killed with streaming and waiting requests. Symptoms to
@@ -66,8 +66,8 @@
 func TestKill(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
-	last := d.load(d.vms, 120, check, func() {
-		d.waitRunning(60)
+	last := d.sendConcurrently(d.vms, 120, checkRequest, func() {
+		d.waitForRuns(60)
 		d.vms[0].signal(syscall.SIGKILL)
 	})
 	for _, s := range last {
@@ -75,29 +75,29 @@
 	}
 	d.startVM(d.vms[0])
 	d.waitReady(d.vms[0])
-	is.Equal(d.send(d.vms[0], sending{id: "after", kind: "check", attempt: 1, tokens: 5}).Outcome, request.Answered)
-	d.shares()
+	is.Equal(d.send(d.vms[0], callerRequest{id: "after", kind: "check", attempt: 1, tokens: 5}).Outcome, request.Answered)
+	d.logOutcomes()
 	d.verify(false)
 }
 
-// TestFreeze: a VM is stopped past its lease and goes on later, believing that
+// TestPausePastLease: a VM is stopped past its lease and goes on later, believing that
 // it still holds its keys. Symptom to prevent: it dispatches what the others
 // have meanwhile served.
-func TestFreeze(t *testing.T) {
-	d := deployLeased(t, shortLease, "a", "a")
-	frozen, other := d.vms[0], d.vms[1:]
-	d.load(d.vms, 30, check, func() { d.waitRunning(10) })
-	frozen.signal(syscall.SIGSTOP)
-	last := d.load(other, 30, func(i int) sending { return check(100 + i) }, func() {
-		d.waitRunning(31)
-		frozen.signal(syscall.SIGCONT)
+func TestPausePastLease(t *testing.T) {
+	d := deployWithLease(t, shortLease, "a", "a")
+	paused, other := d.vms[0], d.vms[1:]
+	d.sendConcurrently(d.vms, 30, checkRequest, func() { d.waitForRuns(10) })
+	paused.signal(syscall.SIGSTOP)
+	last := d.sendConcurrently(other, 30, func(i int) callerRequest { return checkRequest(100 + i) }, func() {
+		d.waitForRuns(31)
+		paused.signal(syscall.SIGCONT)
 	})
 	for _, s := range last {
 		if s.Outcome != request.Answered {
 			t.Errorf("%s ended as %s", s.Key, s.Outcome)
 		}
 	}
-	d.shares()
+	d.logOutcomes()
 	d.verify(false)
 }
 
@@ -109,56 +109,56 @@
 	v := d.vms[0]
 	var wg sync.WaitGroup
 	for i := range 100 {
-		wg.Go(func() { d.send(v, check(i)) })
+		wg.Go(func() { d.send(v, checkRequest(i)) })
 	}
-	d.waitRunning(60)
+	d.waitForRuns(60)
 	v.signal(syscall.SIGTERM)
 	wg.Wait()
 	is.NoErr(v.cmd.Wait()) // it ends by itself, with status 0
-	d.shares()
+	d.logOutcomes()
 	d.verify(true)
 }
 
-// TestControlTerm is TestTerm with a kill instead of a shutdown: callers are cut
+// TestCheckerDetectsKill is TestTerm with a kill instead of a shutdown: callers are cut
 // off, and the checker must say so.
-func TestControlTerm(t *testing.T) {
+func TestCheckerDetectsKill(t *testing.T) {
 	d := deploy(t, "a", "a")
 	v := d.vms[0]
 	var wg sync.WaitGroup
 	for i := range 20 {
-		wg.Go(func() { d.send(v, check(i)) })
+		wg.Go(func() { d.send(v, checkRequest(i)) })
 	}
-	d.waitRunning(10)
+	d.waitForRuns(10)
 	v.signal(syscall.SIGKILL)
 	wg.Wait()
-	h := history.History{Seen: d.seen, Ran: d.ran(), MustFinish: true}
+	h := history.History{Seen: d.seen, Ran: d.runCounts(), MustFinish: true}
 	if len(h.Check()) == 0 {
 		t.Fatal("the checker passed callers that were cut off")
 	}
 }
 
-// TestAnswerLost: endpoints run a request and lose the answer. Symptom to
+// TestResponseLost: endpoints run a request and lose the answer. Symptom to
 // prevent: a second run. A model's stream is resumed; a plain call is unknown,
 // however often it is asked for.
-func TestAnswerLost(t *testing.T) {
+func TestResponseLost(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
 	for _, e := range d.engines {
-		d.control(e, standin.EngineFaults{CutAfter: 20})
+		d.setFaults(e, standin.EngineFaults{CutAfter: 20})
 	}
-	d.control(d.service, standin.ServiceFaults{LoseAnswers: true})
+	d.setFaults(d.service, standin.ServiceFaults{LoseAnswers: true})
 	go func() {
-		d.waitRunning(1)
+		d.waitForRuns(1)
 		for _, e := range d.engines {
-			d.control(e, standin.EngineFaults{})
+			d.setFaults(e, standin.EngineFaults{})
 		}
 	}()
-	is.Equal(d.send(d.vms[0], check(1)).Outcome, request.Answered) // resumed at the engine
+	is.Equal(d.send(d.vms[0], checkRequest(1)).Outcome, request.Answered) // resumed at the engine
 	for i := range 6 {
-		s := sending{id: "bill", kind: "invoice", attempt: i + 1}
+		s := callerRequest{id: "bill", kind: "invoice", attempt: i + 1}
 		is.Equal(d.send(d.vms[i%4], s).Outcome, request.Unknown) // never run again
 	}
-	is.Equal(d.ran()["karrawong/bill"], 1)
+	is.Equal(d.runCounts()["karrawong/bill"], 1)
 	d.verify(false)
 }
 
@@ -168,9 +168,9 @@
 func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
-	d.control(d.platform, standin.PlatformFaults{Down: true})
-	last := d.load(d.vms, 60, check, func() {
-		d.waitRunning(20)
+	d.setFaults(d.platform, standin.PlatformFaults{Down: true})
+	last := d.sendConcurrently(d.vms, 60, checkRequest, func() {
+		d.waitForRuns(20)
 		d.vms[1].signal(syscall.SIGKILL)
 		_ = d.vms[1].cmd.Wait()
 		d.startVM(d.vms[1])
@@ -179,36 +179,36 @@
 	for _, s := range last {
 		is.Equal(s.Outcome, request.Answered)
 	}
-	d.shares()
+	d.logOutcomes()
 	d.verify(false)
 }
 
-// TestDomainsCut: two failure domains are cut apart, with every packet between
+// TestDomainPartition: two failure domains are cut apart, with every packet between
 // them lost. Each serves its first attempts; what needs the other domain is
 // unknown, and settled after healing.
-func TestDomainsCut(t *testing.T) {
+func TestDomainPartition(t *testing.T) {
 	is := is.New(t)
-	d := deployLeased(t, shortLease, "a", "a", "b", "b")
-	cut := func(on bool) {
+	d := deployWithLease(t, shortLease, "a", "a", "b", "b")
+	setPartition := func(on bool) {
 		for _, a := range d.vms[:2] {
 			for _, b := range d.vms[2:] {
-				d.setCut(a, b, on)
+				d.setPartitioned(a, b, on)
 			}
 		}
 	}
-	cut(true)
+	setPartition(true)
 	for i := range 8 {
-		is.Equal(d.send(d.vms[i%4], check(i)).Outcome, request.Answered) // firsts go on in both
+		is.Equal(d.send(d.vms[i%4], checkRequest(i)).Outcome, request.Answered) // firsts go on in both
 	}
-	undeclared := sending{id: "undeclared", kind: "check", tokens: 5}
+	undeclared := callerRequest{id: "undeclared", kind: "check", tokens: 5}
 	is.Equal(d.send(d.vms[0], undeclared).Outcome, request.Unknown)
 	is.Equal(d.send(d.vms[3], undeclared).Outcome, request.Unknown)
-	cut(false)
-	is.Equal(d.insist(d.vms, 0, undeclared).Outcome, request.Answered)
+	setPartition(false)
+	is.Equal(d.sendUntilAnswered(d.vms, 0, undeclared).Outcome, request.Answered)
 	for i := range 8 {
-		s := check(i)
+		s := checkRequest(i)
 		s.attempt = 2
-		is.Equal(d.insist(d.vms, i+2, s).Outcome, request.Answered) // found from the other side
+		is.Equal(d.sendUntilAnswered(d.vms, i+2, s).Outcome, request.Answered) // found from the other side
 	}
 	d.verify(false)
 }
@@ -216,9 +216,9 @@
 // TestSameIDEverywhere: a thousand ids are sent at once to all VMs, without an
 // attempt number. Each runs once; each sending gets the one whole answer.
 func TestSameIDEverywhere(t *testing.T) {
-	const ids, atOnce = 1000, 50
+	const ids, maxConcurrent = 1000, 50
 	d := deploy(t, "a", "a", "b", "b")
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	var wg sync.WaitGroup
 	for i := range ids {
 		slots <- struct{}{}
@@ -226,16 +226,16 @@
 			defer func() { <-slots }()
 			var each sync.WaitGroup
 			for _, v := range d.vms {
-				each.Go(func() { d.send(v, sending{id: fmt.Sprint("id", i), kind: "check", tokens: 3}) })
+				each.Go(func() { d.send(v, callerRequest{id: fmt.Sprint("id", i), kind: "check", tokens: 3}) })
 			}
 			each.Wait()
 		})
 	}
 	wg.Wait()
-	if n := len(d.ran()); n != ids {
+	if n := len(d.runCounts()); n != ids {
 		t.Errorf("%d of %d ids ran", n, ids)
 	}
-	d.shares()
+	d.logOutcomes()
 	d.verify(true)
 }
 
@@ -245,52 +245,52 @@
 func TestConfigurationRace(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
-	d.control(d.platform, standin.PlatformFaults{LoseAnswers: true})
-	_, before := d.operator(d.vms[0], http.MethodGet, "/status", "")
+	d.setFaults(d.platform, standin.PlatformFaults{LoseAnswers: true})
+	_, before := d.callOperator(d.vms[0], http.MethodGet, "/status", "")
 	base := versionOf(before)
 	var wg sync.WaitGroup
-	accepted := make([]int, len(d.vms))
+	statuses := make([]int, len(d.vms))
 	for i, v := range d.vms {
-		wg.Go(func() { accepted[i], _ = d.operator(v, http.MethodPost, "/config", d.document(base)) })
+		wg.Go(func() { statuses[i], _ = d.callOperator(v, http.MethodPost, "/config", d.document(base)) })
 	}
 	wg.Wait()
-	ok := 0
-	for _, status := range accepted {
+	accepted := 0
+	for _, status := range statuses {
 		if status == http.StatusOK {
-			ok++
+			accepted++
 		} else {
 			is.Equal(status, http.StatusConflict)
 		}
 	}
-	is.Equal(ok, 1) // the log's order lets one through
+	is.Equal(accepted, 1) // the log's order lets one through
 	versions := map[uint64]bool{}
 	for _, v := range d.vms {
-		waitFor(func() bool { _, s := d.operator(v, http.MethodGet, "/status", ""); return versionOf(s) > base })
-		_, s := d.operator(v, http.MethodGet, "/status", "")
+		waitUntil(func() bool { _, s := d.callOperator(v, http.MethodGet, "/status", ""); return versionOf(s) > base })
+		_, s := d.callOperator(v, http.MethodGet, "/status", "")
 		versions[versionOf(s)] = true
 	}
 	is.Equal(len(versions), 1) // the same everywhere
 }
 
-// TestExpelled: a VM that the platform's list dropped while it was paused goes
+// TestDeclaredDead: a VM that the platform's list dropped while it was paused goes
 // on with claims that others have taken over (found by reading: the daemon noted
 // that it was taken for dead, and went on). It must end by itself, with an error
 // for its supervisor.
-func TestExpelled(t *testing.T) {
+func TestDeclaredDead(t *testing.T) {
 	is := is.New(t)
-	d := deployLeased(t, shortLease, "a", "a")
+	d := deployWithLease(t, shortLease, "a", "a")
 	paused, other := d.vms[0], d.vms[1]
 	paused.signal(syscall.SIGSTOP)
 	body := strings.NewReader(`[{"id":1,"state":"gone"}]`)
 	resp, err := http.Post("http://"+d.platform+"/control/vms", "application/json", body)
 	is.NoErr(err)
 	is.NoErr(resp.Body.Close())
-	waitFor(func() bool {
-		_, status := d.operator(other, http.MethodGet, "/status", "")
+	waitUntil(func() bool {
+		_, status := d.callOperator(other, http.MethodGet, "/status", "")
 		return strings.Contains(status, `"Members":0`)
 	})
 	paused.signal(syscall.SIGCONT)
 	is.True(paused.cmd.Wait() != nil) // it ends, and not with status 0
-	is.Equal(d.send(other, sending{id: "after", kind: "check", attempt: 1, tokens: 3}).Outcome, request.Answered)
+	is.Equal(d.send(other, callerRequest{id: "after", kind: "check", attempt: 1, tokens: 3}).Outcome, request.Answered)
 	d.verify(false)
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -8,12 +8,12 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// TestWholePath: a caller's request is served end to end by separate processes,
+// TestRequestPath: a caller's request is served end to end by separate processes,
 // streamed and whole, on a model engine and on a plain service.
-func TestWholePath(t *testing.T) {
+func TestRequestPath(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
-	for i, s := range []sending{
+	for i, s := range []callerRequest{
 		{id: "streamed", kind: "check", attempt: 1, tokens: 40, stream: true},
 		{id: "whole", kind: "check", attempt: 1, tokens: 40},
 		{id: "undeclared", kind: "check", tokens: 10, stream: true},
@@ -23,8 +23,8 @@
 		is.Equal(seen.Outcome, request.Answered) // every sort of request is answered
 		is.Equal(seen.Text, seen.Want)           // and whole
 	}
-	repeat := d.send(d.vms[3], sending{id: "streamed", kind: "check", attempt: 2, tokens: 40, stream: true})
-	is.Equal(repeat.Outcome, request.Answered) // a repeat elsewhere gets the same answer
-	is.Equal(repeat.Text, repeat.Want)
+	retry := d.send(d.vms[3], callerRequest{id: "streamed", kind: "check", attempt: 2, tokens: 40, stream: true})
+	is.Equal(retry.Outcome, request.Answered) // a repeat elsewhere gets the same answer
+	is.Equal(retry.Text, retry.Want)
 	d.verify(true)
 }
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -8,11 +8,11 @@
 // relay passes connections on until it is cut; then bytes stand still, as in a
 // network that drops packets: nothing is closed.
 type relay struct {
-	addr   string
-	target string
-	mu     sync.Mutex
-	cut    bool
-	healed chan struct{}
+	addr        string
+	target      string
+	mu          sync.Mutex
+	partitioned bool
+	healed      chan struct{}
 }
 
 // relayPeers puts a relay on the way from each VM to each other.
@@ -40,14 +40,14 @@
 		if err != nil {
 			return
 		}
-		go r.join(in.(*net.TCPConn))
+		go r.forward(in.(*net.TCPConn))
 	}
 }
 
-// join passes on what one side sends and how it ends: a connection that the
+// forward passes on what one side sends and how it ends: a connection that the
 // kernel of a dead process reset is reset on the other side too.
-func (r *relay) join(in *net.TCPConn) {
-	r.wait()
+func (r *relay) forward(in *net.TCPConn) {
+	r.waitHealed()
 	c, err := net.Dial("tcp", r.target)
 	if err != nil {
 		_ = in.SetLinger(0)
@@ -63,7 +63,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
-		r.wait()
+		r.waitHealed()
 		if n > 0 {
 			_, _ = dst.Write(buf[:n])
 		}
@@ -74,27 +74,27 @@
 	}
 }
 
-func (r *relay) wait() {
+func (r *relay) waitHealed() {
 	r.mu.Lock()
-	healed, cut := r.healed, r.cut
+	healed, partitioned := r.healed, r.partitioned
 	r.mu.Unlock()
-	if cut {
+	if partitioned {
 		<-healed
 	}
 }
 
-func (r *relay) set(cut bool) {
+func (r *relay) setPartitioned(partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut && !cut {
+	if r.partitioned && !partitioned {
 		close(r.healed)
 		r.healed = make(chan struct{})
 	}
-	r.cut = cut
+	r.partitioned = partitioned
 }
 
-// setCut cuts two VMs apart, or heals them.
-func (d *deployment) setCut(a, b *vm, cut bool) {
-	d.relays[[2]int{a.id, b.id}].set(cut)
-	d.relays[[2]int{b.id, a.id}].set(cut)
+// setPartitioned cuts two VMs apart, or heals them.
+func (d *deployment) setPartitioned(a, b *vm, partitioned bool) {
+	d.relays[[2]int{a.id, b.id}].setPartitioned(partitioned)
+	d.relays[[2]int{b.id, a.id}].setPartitioned(partitioned)
 }
