--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -1,5 +1,6 @@
-// Package e2e proves the promises with real processes: every VM, the platform
-// and every endpoint is a process of its own, and failures are signals to them.
+// Package e2e tests the guarantees of the system with real processes: each VM,
+// the platform and each endpoint is a process of its own, and failures are
+// signals sent to them.
 package e2e
 
 import (
@@ -34,7 +35,7 @@
 
 var binary string
 
-// TestMain builds the product once; the tests start it as processes.
+// TestMain builds the binary once; the tests start it as processes.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "chivefield")
 	if err != nil {
@@ -53,13 +54,13 @@
 	os.Exit(code)
 }
 
-// process is one process under test.
+// process is a process started by a test.
 type process struct {
 	cmd *exec.Cmd
 	log *bytes.Buffer
 }
 
-// vm is one entry VM.
+// vm is the process of one VM.
 type vm struct {
 	process
 	id                        int
@@ -68,7 +69,7 @@
 	settings                  string
 }
 
-// deployment is a set of processes.
+// deployment is a set of processes under test.
 type deployment struct {
 	t        *testing.T
 	lease    time.Duration
@@ -80,11 +81,11 @@
 
 	mu            sync.Mutex
 	seen          []history.Seen
-	nonIdempotent map[string]bool // non-idempotent ones
+	nonIdempotent map[string]bool // keys of requests that are not idempotent
 }
 
-// Ports are taken below the range from which the kernel takes them for outgoing
-// connections: one found free there could be taken again before its process
+// Ports are taken from below the kernel's range for outgoing connections.
+// Otherwise a port that was found free could be taken again before its process
 // listens on it.
 const (
 	firstPort = 15000
@@ -131,15 +132,15 @@
 	return strings.Join(lines[max(0, len(lines)-40):], "\n")
 }
 
-// deploy starts a platform, two engines, a service and one VM for each name of
-// a failure domain, and puts a configuration in force.
+// deploy starts a platform, two engines, a service and one VM for each given
+// failure domain, and submits a configuration.
 func deploy(t *testing.T, domains ...string) *deployment {
 	return deployWithLease(t, longLease, domains...)
 }
 
-// Leases. The long one outlasts any pause of a busy machine, so that a killed
-// VM's death is always proven within it; the short one is for tests that have
-// to wait for it.
+// Leases. The long one outlasts any pause of a busy machine, so that the death
+// of a killed VM is always proven before its lease expires. The short one is
+// for tests that wait for a lease to expire.
 const (
 	longLease  = 30 * time.Second
 	shortLease = time.Second
@@ -174,7 +175,7 @@
 }
 
 // waitBackedUp waits until the death of any member of a VM's cell would lose no
-// claim, and until the VM knows that its domain never ran before.
+// claim and the VM knows that it is the first process of its domain.
 func (d *deployment) waitBackedUp(v *vm) {
 	waitUntil(func() bool {
 		_, body := d.callOperator(v, http.MethodGet, "/status", "")
@@ -194,8 +195,8 @@
 	return err == nil
 }
 
-// waitUntil polls without a bound of its own: the run's timeout is the bound, so
-// a slow machine changes no verdict.
+// waitUntil polls without a timeout. The timeout of the test run is the only
+// bound, so that a slow machine does not fail a test.
 func waitUntil(ok func() bool) {
 	for !ok() {
 		time.Sleep(pollEvery)
@@ -221,7 +222,8 @@
 	}
 }
 
-// document is a configuration with both sorts of endpoints, made from a version.
+// document returns a configuration with both kinds of endpoints, based on a
+// version.
 func (d *deployment) document(base uint64) string {
 	sum := sha256.Sum256([]byte(apiKey))
 	var b strings.Builder
@@ -239,7 +241,7 @@
 	return b.String()
 }
 
-// submit sends a document to the first VM until it is accepted.
+// submit submits a document to the first VM until it is accepted.
 func (d *deployment) submit(doc string) {
 	waitUntil(func() bool {
 		status, body := d.callOperator(d.vms[0], http.MethodPost, "/config", doc)
@@ -282,7 +284,7 @@
 	_ = resp.Body.Close()
 }
 
-// runCounts sums what all endpoints runCounts.
+// runCounts returns, over all endpoints, how often each request was run.
 func (d *deployment) runCounts() map[string]int {
 	total := map[string]int{}
 	for _, addr := range append([]string{d.service}, d.engines...) {
@@ -300,17 +302,17 @@
 	return total
 }
 
-// callerRequest is one callerRequest of a request by a caller.
+// callerRequest is one attempt of a request by a caller.
 type callerRequest struct {
 	id      string
 	kind    string
-	attempt int // 0 is undeclared
+	attempt int // 0: not declared
 	tokens  int
 	stream  bool
 	prompt  string
 }
 
-// send sends a request to a VM and keeps what the caller saw.
+// send sends a request to a VM and records what the caller received.
 func (d *deployment) send(v *vm, s callerRequest) history.Seen {
 	key := "karrawong/" + s.id
 	seen := history.Seen{Key: key, Attempt: s.attempt, Want: standin.Answer(key, s.tokens)}
@@ -385,7 +387,7 @@
 	return text
 }
 
-// verify judges everything the callers saw.
+// verify checks everything that the callers received against the guarantees.
 func (d *deployment) verify(mustFinish bool) {
 	d.t.Helper()
 	h := history.History{Seen: d.seen, Ran: d.runCounts(), NonIdempotent: d.nonIdempotent, MustFinish: mustFinish}
@@ -394,18 +396,18 @@
 	}
 }
 
-// logOutcomes logs how the sendings ended.
+// logOutcomes logs the number of attempts for each outcome.
 func (d *deployment) logOutcomes() {
 	count := map[request.Outcome]int{}
 	for _, s := range d.seen {
 		count[s.Outcome]++
 	}
-	d.t.Logf("%d sendings: %v (no outcome: connection broke)", len(d.seen), count)
+	d.t.Logf("%d attempts: %v (no outcome: connection broken)", len(d.seen), count)
 }
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// versionOf reads the version in force from a status.
+// versionOf returns the current configuration version from a status.
 func versionOf(status string) uint64 {
 	var s struct{ Version uint64 }
 	_ = json.Unmarshal([]byte(status), &s)
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -16,11 +16,11 @@
 	"github.com/chivefield/chivefield/standin"
 )
 
-// maxAttempts bounds the repeats of one request.
+// maxAttempts bounds the attempts of one request.
 const maxAttempts = 40
 
-// sendUntilAnswered sends a request and repeats it, at the next VM each time, until it is
-// answered or cancelled, as a careful caller does.
+// sendUntilAnswered sends a request and retries it, each time at the next VM,
+// until it is answered or cancelled, as a careful caller would.
 func (d *deployment) sendUntilAnswered(vms []*vm, first int, s callerRequest) history.Seen {
 	var seen history.Seen
 	firstAttempt := s.attempt
@@ -37,8 +37,8 @@
 	return seen
 }
 
-// sendConcurrently sends many requests at once and waits for all. While they are under way
-// it calls fault.
+// sendConcurrently sends count requests at once and waits for all of them. It
+// calls fault while they are in progress.
 func (d *deployment) sendConcurrently(vms []*vm, count int, request func(i int) callerRequest, fault func()) []history.Seen {
 	var wg sync.WaitGroup
 	last := make([]history.Seen, count)
@@ -50,7 +50,7 @@
 	return last
 }
 
-// waitForRuns waits until the engines have run at least n requests.
+// waitForRuns waits until the endpoints have run at least n requests.
 func (d *deployment) waitForRuns(n int) {
 	waitUntil(func() bool { return len(d.runCounts()) >= n })
 }
@@ -59,10 +59,10 @@
 	return callerRequest{id: fmt.Sprint("id", i), kind: "check", attempt: 1, tokens: 150, stream: true}
 }
 
-// TestKill: VMs are killed with streaming and waiting requests. Symptoms to
-// prevent: a check runs twice, is lost to a caller that repeats it, or is cut
-// short unnoticed. Sequence: load on four VMs, SIGKILL of one, its callers
-// repeat at the others; then the VM is started again and serves.
+// TestKill kills a VM while it streams responses and has requests queued. It
+// guards against a request that runs twice, that is lost to a caller that
+// retries it, or whose response is truncated unnoticed. The callers of the
+// killed VM retry at the others; then the VM is restarted and must serve.
 func TestKill(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
@@ -71,7 +71,7 @@
 		d.vms[0].signal(syscall.SIGKILL)
 	})
 	for _, s := range last {
-		is.Equal(s.Outcome, request.Answered) // no request is lost to a caller that repeats it
+		is.Equal(s.Outcome, request.Answered) // no request is lost to a caller that retries it
 	}
 	d.startVM(d.vms[0])
 	d.waitReady(d.vms[0])
@@ -80,9 +80,9 @@
 	d.verify(false)
 }
 
-// TestPausePastLease: a VM is stopped past its lease and goes on later, believing that
-// it still holds its keys. Symptom to prevent: it dispatches what the others
-// have meanwhile served.
+// TestPausePastLease pauses a VM beyond its lease and resumes it while it
+// assumes that it still holds its keys. It guards against the VM dispatching
+// requests that others have served meanwhile.
 func TestPausePastLease(t *testing.T) {
 	d := deployWithLease(t, shortLease, "a", "a")
 	paused, other := d.vms[0], d.vms[1:]
@@ -101,8 +101,8 @@
 	d.verify(false)
 }
 
-// TestTerm: a VM gets SIGTERM under load. Symptom to prevent: an answer in
-// flight is cut off. Cause would be a listener, stream or process ended early.
+// TestTerm sends SIGTERM to a VM under load. It guards against a response in
+// progress being cut off because a listener, stream or process ends too early.
 func TestTerm(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a")
@@ -114,13 +114,13 @@
 	d.waitForRuns(60)
 	v.signal(syscall.SIGTERM)
 	wg.Wait()
-	is.NoErr(v.cmd.Wait()) // it ends by itself, with status 0
+	is.NoErr(v.cmd.Wait()) // it exits by itself, with status 0
 	d.logOutcomes()
 	d.verify(true)
 }
 
-// TestCheckerDetectsKill is TestTerm with a kill instead of a shutdown: callers are cut
-// off, and the checker must say so.
+// TestCheckerDetectsKill is TestTerm with SIGKILL: callers are cut off, and the
+// checker must report that.
 func TestCheckerDetectsKill(t *testing.T) {
 	d := deploy(t, "a", "a")
 	v := d.vms[0]
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestResponseLost: endpoints run a request and lose the answer. Symptom to
-// prevent: a second run. A model's stream is resumed; a plain call is unknown,
-// however often it is asked for.
+// TestResponseLost makes endpoints run a request and lose the response. It
+// guards against a second run. A model's stream is resumed; a call to a plain
+// service stays unknown, however often it is retried.
 func TestResponseLost(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
@@ -162,9 +162,9 @@
 	d.verify(false)
 }
 
-// TestPlatformDown: the platform is away for the whole session, and a VM dies
-// and comes back meanwhile. Claims move without the log, and the new process
-// takes the configuration from its peers.
+// TestPlatformDown makes the platform unavailable for the whole test while a VM
+// is killed and restarted. Claims must move without the log, and the new
+// process must get the configuration from its peers.
 func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
@@ -183,9 +183,9 @@
 	d.verify(false)
 }
 
-// TestDomainPartition: two failure domains are cut apart, with every packet between
-// them lost. Each serves its first attempts; what needs the other domain is
-// unknown, and settled after healing.
+// TestDomainPartition partitions two failure domains: every packet between them
+// is lost. Each domain serves its first attempts. What needs the other domain
+// is unknown and is resolved once the partition has healed.
 func TestDomainPartition(t *testing.T) {
 	is := is.New(t)
 	d := deployWithLease(t, shortLease, "a", "a", "b", "b")
@@ -198,7 +198,7 @@
 	}
 	setPartition(true)
 	for i := range 8 {
-		is.Equal(d.send(d.vms[i%4], checkRequest(i)).Outcome, request.Answered) // firsts go on in both
+		is.Equal(d.send(d.vms[i%4], checkRequest(i)).Outcome, request.Answered) // first attempts are served in both domains
 	}
 	undeclared := callerRequest{id: "undeclared", kind: "check", tokens: 5}
 	is.Equal(d.send(d.vms[0], undeclared).Outcome, request.Unknown)
@@ -208,13 +208,14 @@
 	for i := range 8 {
 		s := checkRequest(i)
 		s.attempt = 2
-		is.Equal(d.sendUntilAnswered(d.vms, i+2, s).Outcome, request.Answered) // found from the other side
+		is.Equal(d.sendUntilAnswered(d.vms, i+2, s).Outcome, request.Answered) // found from the other domain
 	}
 	d.verify(false)
 }
 
-// TestSameIDEverywhere: a thousand ids are sent at once to all VMs, without an
-// attempt number. Each runs once; each sending gets the one whole answer.
+// TestSameIDEverywhere sends a thousand ids, each to all VMs at once and
+// without an attempt number. Each id must run once, and each attempt must get
+// the same complete response.
 func TestSameIDEverywhere(t *testing.T) {
 	const ids, maxConcurrent = 1000, 50
 	d := deploy(t, "a", "a", "b", "b")
@@ -239,9 +240,9 @@
 	d.verify(true)
 }
 
-// TestConfigurationRace: operators submit changes of one base at all VMs at
-// once, with the log losing its answers. One is accepted, every VM has it in
-// force, and no VM ever goes back.
+// TestConfigurationRace submits changes of the same base version at all VMs at
+// once while the log loses its responses. Exactly one change must be accepted,
+// and all VMs must end with the same new version.
 func TestConfigurationRace(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
@@ -262,20 +263,20 @@
 			is.Equal(status, http.StatusConflict)
 		}
 	}
-	is.Equal(accepted, 1) // the log's order lets one through
+	is.Equal(accepted, 1) // the log's order accepts one
 	versions := map[uint64]bool{}
 	for _, v := range d.vms {
 		waitUntil(func() bool { _, s := d.callOperator(v, http.MethodGet, "/status", ""); return versionOf(s) > base })
 		_, s := d.callOperator(v, http.MethodGet, "/status", "")
 		versions[versionOf(s)] = true
 	}
-	is.Equal(len(versions), 1) // the same everywhere
+	is.Equal(len(versions), 1) // the same version on all VMs
 }
 
-// TestDeclaredDead: a VM that the platform's list dropped while it was paused goes
-// on with claims that others have taken over (found by reading: the daemon noted
-// that it was taken for dead, and went on). It must end by itself, with an error
-// for its supervisor.
+// TestDeclaredDead guards against a VM that goes on with claims that others
+// have taken over, after the platform's list dropped it while it was paused.
+// The daemon recorded that it had been declared dead but went on (found by code
+// review). It must exit by itself, with an error for its supervisor.
 func TestDeclaredDead(t *testing.T) {
 	is := is.New(t)
 	d := deployWithLease(t, shortLease, "a", "a")
@@ -290,7 +291,7 @@
 		return strings.Contains(status, `"Members":0`)
 	})
 	paused.signal(syscall.SIGCONT)
-	is.True(paused.cmd.Wait() != nil) // it ends, and not with status 0
+	is.True(paused.cmd.Wait() != nil) // it exits with a status other than 0
 	is.Equal(d.send(other, callerRequest{id: "after", kind: "check", attempt: 1, tokens: 3}).Outcome, request.Answered)
 	d.verify(false)
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -8,8 +8,8 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// TestRequestPath: a caller's request is served end to end by separate processes,
-// streamed and whole, on a model engine and on a plain service.
+// TestRequestPath sends requests end to end through separate processes:
+// streamed and not streamed, to a model engine and to a plain service.
 func TestRequestPath(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
@@ -20,11 +20,11 @@
 		{id: "invoice", kind: "invoice", attempt: 1},
 	} {
 		seen := d.send(d.vms[i], s)
-		is.Equal(seen.Outcome, request.Answered) // every sort of request is answered
-		is.Equal(seen.Text, seen.Want)           // and whole
+		is.Equal(seen.Outcome, request.Answered) // every kind of request is answered
+		is.Equal(seen.Text, seen.Want)           // and completely
 	}
 	retry := d.send(d.vms[3], callerRequest{id: "streamed", kind: "check", attempt: 2, tokens: 40, stream: true})
-	is.Equal(retry.Outcome, request.Answered) // a repeat elsewhere gets the same answer
+	is.Equal(retry.Outcome, request.Answered) // a retry at another VM gets the same response
 	is.Equal(retry.Text, retry.Want)
 	d.verify(true)
 }
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// relay passes connections on until it is cut; then bytes stand still, as in a
-// network that drops packets: nothing is closed.
+// relay forwards connections. While it is partitioned it holds back all bytes
+// and closes nothing, as in a network that drops packets.
 type relay struct {
 	addr        string
 	target      string
@@ -15,7 +15,7 @@
 	healed      chan struct{}
 }
 
-// relayPeers puts a relay on the way from each VM to each other.
+// relayPeers sets up a relay from each VM to each other VM.
 func (d *deployment) relayPeers() {
 	for _, a := range d.vms {
 		for _, b := range d.vms {
@@ -44,8 +44,8 @@
 	}
 }
 
-// forward passes on what one side sends and how it ends: a connection that the
-// kernel of a dead process reset is reset on the other side too.
+// forward relays a connection and the way it ends: a connection that was reset
+// by the kernel of a dead process is reset on the other side too.
 func (r *relay) forward(in *net.TCPConn) {
 	r.waitHealed()
 	c, err := net.Dial("tcp", r.target)
@@ -93,7 +93,7 @@
 	r.partitioned = partitioned
 }
 
-// setPartitioned cuts two VMs apart, or heals them.
+// setPartitioned partitions two VMs or heals the partition.
 func (d *deployment) setPartitioned(a, b *vm, partitioned bool) {
 	d.relays[[2]int{a.id, b.id}].setPartitioned(partitioned)
 	d.relays[[2]int{b.id, a.id}].setPartitioned(partitioned)
