--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -105,7 +105,7 @@
 }
 
 func (d *Daemon) appendAndWait(ctx context.Context, doc *schema.Document, sub *SubmitResult) {
-	verdict := d.verdicts.wait(sub.AppendID)
+	verdict := d.verdicts.register(sub.AppendID)
 	defer d.verdicts.remove(sub.AppendID)
 	rec := &schema.LogRecord{AppendId: sub.AppendID, Author: doc.Author, Body: &schema.LogRecord_Document{Document: doc}}
 	done := make(chan error, 1)
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -69,8 +69,8 @@
 // fixed.
 func gatherBatch(ctx context.Context, l *link, first *schema.Message) []*schema.Message {
 	batch := []*schema.Message{first}
-	hold := time.NewTimer(batchDelay)
-	defer hold.Stop()
+	delay := time.NewTimer(batchDelay)
+	defer delay.Stop()
 	for urgent := !isDeferrable(first); len(batch) < maxBatchMessages; {
 		if urgent {
 			select {
@@ -85,7 +85,7 @@
 		case m := <-l.outgoing:
 			batch = append(batch, m)
 			urgent = !isDeferrable(m)
-		case <-hold.C:
+		case <-delay.C:
 			return batch
 		case <-ctx.Done():
 			return batch
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -165,7 +165,7 @@
 	return &verdictWaiters{waiters: make(map[string]chan config.Verdict)}
 }
 
-func (v *verdictWaiters) wait(id string) <-chan config.Verdict {
+func (v *verdictWaiters) register(id string) <-chan config.Verdict {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	c := make(chan config.Verdict, 1)
