--- a/daemon/answer.go
+++ b/daemon/answer.go
@@ -88,7 +88,7 @@
 	return responseTail{tokens: b.tokens[min(offset, len(b.tokens)):], plain: b.plain, done: b.done, end: b.end, changed: b.changed}
 }
 
-// maxResponses bounds the finished responses kept for retries.
+// maxResponses bounds the responses kept for retries.
 const maxResponses = 2048
 
 // responseCache holds the responses to dispatches of this VM by request key, so
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -252,7 +252,7 @@
 	writeJSON(w, out.httpStatus(), out)
 }
 
-// chunk holds the fields of a streamed token from which a whole response is
+// chunk holds the fields of a streamed token from which a complete response is
 // assembled.
 type chunk struct {
 	Choices []struct {
