--- a/config/ledger.go
+++ b/config/ledger.go
@@ -8,37 +8,41 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// State is what was in force at a position of the log. It is a function of the
+// State is the configuration at a position of the log. It is a function of the
 // log alone, so any two states are ordered by Through.
 type State struct {
-	// Version is the offset of the document's record plus one; 0 if none is in force.
+	// Version is the offset of the document's record plus one; 0 without a
+	// document.
 	Version  uint64
 	Document *schema.Document
-	// Through is the first offset that is not yet judged.
+	// Through is the offset of the first record that is not included.
 	Through uint64
 }
 
-// Judgement is the verdict on a document.
+// Judgement is the result of judging a record.
 type Judgement string
 
-// Judgements. Only Accepted changes what is in force.
+// Judgements. Only Accepted changes the configuration.
 const (
 	Accepted Judgement = "accepted"
-	// Stale: another change of the same base came first.
-	Stale Judgement = "stale_base"
+	// StaleBase: another change to the same base version came first.
+	StaleBase Judgement = "stale_base"
 	// Invalid: the document has faults.
 	Invalid Judgement = "invalid"
-	// Carry: the record repeats a document against retention.
-	Carry Judgement = "carried"
-	// Newer: written by a newer program; this one can judge nothing any more.
-	Newer Judgement = "newer_schema"
-	// Other: not about configuration.
+	// Carried: the record republishes the current configuration, so that log
+	// retention does not remove it.
+	Carried Judgement = "carried"
+	// NewerSchema: the record was written by a newer version. From then on
+	// State reports the configuration as unknown.
+	NewerSchema Judgement = "newer_schema"
+	// Other: the record is not about configuration.
 	Other Judgement = "other"
-	// Pending: the log before the record is not known.
+	// Pending: the record cannot be judged yet because earlier records are
+	// missing.
 	Pending Judgement = "pending"
 )
 
-// Verdict is the judgement of one record.
+// Verdict describes how one record was judged.
 type Verdict struct {
 	Offset    uint64
 	AppendID  string
@@ -46,145 +50,151 @@
 	Base      uint64
 	Judgement Judgement
 	Faults    []Fault
-	// Version in force after the record.
+	// Version is the configuration version after the record.
 	Version uint64
 }
 
-// Ledger follows the log and keeps what is in force. What is in force is the
-// later of what this VM judged from the log itself and what others vouched for,
-// so it never goes back; every record is still judged in the log's order, so
-// that a submitter here learns the verdict. It is not safe for concurrent use.
-type Ledger struct {
-	force State
-	known bool
-	// log is the state at the position up to which this VM judged the log;
-	// logKnown is false while records before it are missing.
-	log      State
-	logKnown bool
+// StateMachine replays the log and maintains the current configuration. That is
+// the later of the state replayed from the log and the states adopted from
+// others, so it never goes back. Every record is still judged in the log's
+// order, so that a submitter at this VM receives its verdict. It is not safe
+// for concurrent use.
+type StateMachine struct {
+	current State
+	known   bool
+	// replayed is the state up to which this VM has judged the log. replayValid
+	// is false while records before it are missing.
+	replayed    State
+	replayValid bool
 	// blocked is set by a record of a newer schema.
 	blocked bool
-	held    []entry
-	// first is the lowest offset that the log keeps.
-	first   uint64
-	started bool
+	pending []logEntry
+	// logStart is the lowest offset that the log retains.
+	logStart uint64
+	started  bool
 }
 
-type entry struct {
+type logEntry struct {
 	offset uint64
 	record *schema.LogRecord
 }
 
-// NewLedger returns a ledger that knows nothing.
-func NewLedger() *Ledger { return &Ledger{} }
-
-// State returns what is in force and whether that is known.
-func (l *Ledger) State() (State, bool) { return l.force, l.known && !l.blocked }
-
-// Blocked reports whether a record of a newer schema was met.
-func (l *Ledger) Blocked() bool { return l.blocked }
-
-// Begin tells before each batch from which offset the log can be read. From 0
-// nothing was in force before; otherwise a carried record or a peer has to say.
-// If retention took records that were not judged here, judging starts anew from
-// what others vouched for; what is in force stays.
-func (l *Ledger) Begin(first uint64) {
-	l.first = first
-	if !l.started {
-		l.started = true
-		l.logKnown = first == 0
-		l.known = l.known || l.logKnown
+// NewStateMachine returns a state machine without a state.
+func NewStateMachine() *StateMachine { return &StateMachine{} }
+
+// State returns the current configuration and whether it is known.
+func (m *StateMachine) State() (State, bool) { return m.current, m.known && !m.blocked }
+
+// Blocked reports whether a record of a newer schema was found.
+func (m *StateMachine) Blocked() bool { return m.blocked }
+
+// SetLogStart sets the first offset that the log retains. It must be called
+// before each batch. If the offset is 0 at the first call, there was no earlier
+// configuration; otherwise the state before it must come from a republished
+// configuration or a peer. If retention removed records that were not judged
+// here, replay restarts from an adopted state; the current configuration stays.
+func (m *StateMachine) SetLogStart(first uint64) {
+	m.logStart = first
+	if !m.started {
+		m.started = true
+		m.replayValid = first == 0
+		m.known = m.known || m.replayValid
 	}
-	if l.logKnown && first > l.log.Through {
-		l.logKnown = false
+	if m.replayValid && first > m.replayed.Through {
+		m.replayValid = false
 	}
-	l.catchUp()
+	m.resumeReplay()
 }
 
-// catchUp lets judging go on from what is in force, if no record is missing.
-func (l *Ledger) catchUp() []Verdict {
-	if l.logKnown || !l.known || !l.started || l.force.Through < l.first {
+// resumeReplay continues the replay from the current configuration if no record
+// after it is missing.
+func (m *StateMachine) resumeReplay() []Verdict {
+	if m.replayValid || !m.known || !m.started || m.current.Through < m.logStart {
 		return nil
 	}
-	l.log, l.logKnown = l.force, true
-	held := l.held
-	l.held = nil
+	m.replayed, m.replayValid = m.current, true
+	held := m.pending
+	m.pending = nil
 	var out []Verdict
 	for _, e := range held {
-		out = append(out, l.Apply(e.offset, e.record)...)
+		out = append(out, m.Apply(e.offset, e.record)...)
 	}
 	return out
 }
 
-// Apply judges one record. Records must come in the order of their offsets.
-func (l *Ledger) Apply(offset uint64, r *schema.LogRecord) []Verdict {
-	if l.logKnown {
-		if offset < l.log.Through {
+// Apply judges one record. Records must be applied in the order of their
+// offsets.
+func (m *StateMachine) Apply(offset uint64, r *schema.LogRecord) []Verdict {
+	if m.replayValid {
+		if offset < m.replayed.Through {
 			return nil
 		}
-		v := l.judge(offset, r)
-		if l.log.Through > l.force.Through {
-			l.force, l.known = l.log, true
+		v := m.judge(offset, r)
+		if m.replayed.Through > m.current.Through {
+			m.current, m.known = m.replayed, true
 		}
 		return []Verdict{v}
 	}
-	l.held = append(l.held, entry{offset: offset, record: r})
-	if c := r.GetCarried(); c != nil && c.Through >= l.first && c.Document != nil {
-		return l.Adopt(State{Version: c.Version, Document: c.Document, Through: c.Through})
+	m.pending = append(m.pending, logEntry{offset: offset, record: r})
+	if c := r.GetCarried(); c != nil && c.Through >= m.logStart && c.Document != nil {
+		return m.Adopt(State{Version: c.Version, Document: c.Document, Through: c.Through})
 	}
 	return []Verdict{{Offset: offset, AppendID: r.AppendId, Judgement: Pending}}
 }
 
-// Adopt puts a state in force that a peer or a carried record vouches for, if
-// it is of a later position.
-func (l *Ledger) Adopt(s State) []Verdict {
-	if l.known && s.Through <= l.force.Through {
-		return l.catchUp()
+// Adopt makes a state from a peer or a republished configuration the current
+// one if it is later.
+func (m *StateMachine) Adopt(s State) []Verdict {
+	if m.known && s.Through <= m.current.Through {
+		return m.resumeReplay()
 	}
-	if HasUnknown(s.Document) || s.Document.SchemaVersion > SchemaVersion {
-		l.blocked = true
+	if HasUnknownFields(s.Document) || s.Document.SchemaVersion > SchemaVersion {
+		m.blocked = true
 		return nil
 	}
-	l.force, l.known = s, true
-	return l.catchUp()
+	m.current, m.known = s, true
+	return m.resumeReplay()
 }
 
-func (l *Ledger) judge(offset uint64, r *schema.LogRecord) Verdict {
+func (m *StateMachine) judge(offset uint64, r *schema.LogRecord) Verdict {
 	v := Verdict{Offset: offset, AppendID: r.AppendId, Author: r.Author, Judgement: Other}
-	l.log.Through = offset + 1
+	m.replayed.Through = offset + 1
 	d := r.GetDocument()
 	switch {
-	case HasUnknown(r) || d != nil && d.SchemaVersion > SchemaVersion:
-		l.blocked = true
-		v.Judgement = Newer
+	case HasUnknownFields(r) || d != nil && d.SchemaVersion > SchemaVersion:
+		m.blocked = true
+		v.Judgement = NewerSchema
 	case d != nil:
 		v.Base = d.BaseVersion
-		v.Judgement, v.Faults = l.judgeDocument(d)
+		v.Judgement, v.Faults = m.judgeDocument(d)
 		if v.Judgement == Accepted {
-			l.log.Version, l.log.Document = offset+1, d
+			m.replayed.Version, m.replayed.Document = offset+1, d
 		}
 	case r.GetCarried() != nil:
-		v.Judgement = Carry
+		v.Judgement = Carried
 	}
-	v.Version = l.log.Version
+	v.Version = m.replayed.Version
 	return v
 }
 
-// judgeDocument needs no memory of earlier appends: one that is repeated after
-// a lost answer no longer has the base in force.
-func (l *Ledger) judgeDocument(d *schema.Document) (Judgement, []Fault) {
-	if d.BaseVersion != l.log.Version {
-		return Stale, []Fault{{Path: "base_version", Problem: fmt.Sprintf("is %d, in force is %d", d.BaseVersion, l.log.Version)}}
+// judgeDocument needs no list of earlier appends to reject duplicates: if an
+// append is retried after its response was lost, the retry's base is no longer
+// the current version.
+func (m *StateMachine) judgeDocument(d *schema.Document) (Judgement, []Fault) {
+	if d.BaseVersion != m.replayed.Version {
+		return StaleBase, []Fault{{Path: "base_version", Problem: fmt.Sprintf("is %d, in force is %d", d.BaseVersion, m.replayed.Version)}}
 	}
-	if faults := append(Check(d), changedModes(l.log.Document, d)...); len(faults) > 0 {
+	if faults := append(Check(d), changedClaimModes(m.replayed.Document, d)...); len(faults) > 0 {
 		return Invalid, faults
 	}
 	return Accepted, nil
 }
 
-// changedModes finds kinds whose claims would move. Where a kind's keys are
-// claimed follows from its mode; an attempt claimed under the old mode would not
-// be found by its repeat under the new one, and the request would run twice.
-func changedModes(old, d *schema.Document) []Fault {
+// changedClaimModes returns a fault for each kind whose claims would move. The
+// mode of a kind determines where its keys are claimed. A retry under a new
+// mode would not find the attempt claimed under the old one, and the request
+// would run twice.
+func changedClaimModes(old, d *schema.Document) []Fault {
 	modes := make(map[string]bool)
 	for _, k := range old.GetKinds() {
 		modes[k.Name] = homeOnly(k)
@@ -201,11 +211,11 @@
 	return faults
 }
 
-// homeOnly reports whether every attempt of a kind is claimed in the key's home
+// homeOnly reports whether all attempts of a kind are claimed in the key's home
 // domain.
 func homeOnly(k *schema.Kind) bool { return k.NonIdempotent && !k.TrustFirstAttempt }
 
-// Decode reads a record of the log.
+// Decode decodes a record of the log.
 func Decode(data []byte) (*schema.LogRecord, error) {
 	r := &schema.LogRecord{}
 	if err := proto.Unmarshal(data, r); err != nil {
@@ -214,10 +224,10 @@
 	return r, nil
 }
 
-// DecodeError reports bytes that are no record.
+// DecodeError reports data that is not a valid log record.
 type DecodeError struct{ Err error }
 
-// Error describes the failure.
+// Error implements error.
 func (e *DecodeError) Error() string { return "not a log record: " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/core/conf.go
+++ b/core/conf.go
@@ -12,7 +12,7 @@
 // configState tracks the configuration read from the log and received from
 // peers.
 type configState struct {
-	stateMachine *config.Ledger
+	stateMachine *config.StateMachine
 	rules        *config.Rules
 	// reachedLogEnd is set once the log has been read to its end since this
 	// process started.
@@ -40,7 +40,7 @@
 
 func newConfigState(cfg Config, now time.Duration) *configState {
 	return &configState{
-		stateMachine: config.NewLedger(), peerReady: make(map[uint32]bool),
+		stateMachine: config.NewStateMachine(), peerReady: make(map[uint32]bool),
 		nextPollAt: now, republishAt: now + cfg.RepublishInterval, startAppendedAt: now - startRetry, startedAt: now,
 	}
 }
@@ -64,7 +64,7 @@
 // applyLog applies a batch of log records to the configuration.
 func (n *Node) applyLog(ev LogRead) {
 	s := n.conf
-	s.stateMachine.Begin(ev.First)
+	s.stateMachine.SetLogStart(ev.First)
 	s.logStart = ev.First
 	end := ev.Next
 	if k := len(ev.Records); k > 0 {
--- a/daemon/answer.go
+++ b/daemon/answer.go
@@ -9,98 +9,99 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// answer is the answer to one dispatch, as far as it has come. Any number of
-// readers follow it; a slow one holds up nothing but itself.
-type answer struct {
+// responseBuffer collects the response of one dispatch as it arrives. Any
+// number of readers can follow it; a slow reader delays no other.
+type responseBuffer struct {
 	mu      sync.Mutex
 	tokens  [][]byte
-	plain   *plainAnswer
+	plain   *plainResponse
 	done    bool
 	end     core.End
 	changed chan struct{}
 	onToken func(total int)
 }
 
-// plainAnswer is the whole answer of a plain service.
-type plainAnswer struct {
+// plainResponse is the complete response of a plain service.
+type plainResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-func newAnswer(onToken func(total int)) *answer {
-	return &answer{changed: make(chan struct{}), onToken: onToken}
+func newResponseBuffer(onToken func(total int)) *responseBuffer {
+	return &responseBuffer{changed: make(chan struct{}), onToken: onToken}
 }
 
 // Token implements endpoint.Sink.
-func (a *answer) Token(offset int, data []byte) {
-	a.mu.Lock()
-	if offset == len(a.tokens) {
-		a.tokens = append(a.tokens, data)
+func (b *responseBuffer) Token(offset int, data []byte) {
+	b.mu.Lock()
+	if offset == len(b.tokens) {
+		b.tokens = append(b.tokens, data)
 	}
-	total := len(a.tokens)
-	a.wake()
-	a.mu.Unlock()
-	if a.onToken != nil {
-		a.onToken(total)
+	total := len(b.tokens)
+	b.notifyReaders()
+	b.mu.Unlock()
+	if b.onToken != nil {
+		b.onToken(total)
 	}
 }
 
 // Response implements endpoint.Sink.
-func (a *answer) Response(status int, contentType string, body []byte) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.plain = &plainAnswer{Status: status, ContentType: contentType, Body: body}
-	a.wake()
+func (b *responseBuffer) Response(status int, contentType string, body []byte) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.plain = &plainResponse{Status: status, ContentType: contentType, Body: body}
+	b.notifyReaders()
 }
 
-func (a *answer) finish(end core.End) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.done = true
-	a.end = end
-	a.wake()
+func (b *responseBuffer) finish(end core.End) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.done = true
+	b.end = end
+	b.notifyReaders()
 }
 
-func (a *answer) total() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return len(a.tokens)
+func (b *responseBuffer) tokenCount() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return len(b.tokens)
 }
 
-func (a *answer) wake() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+func (b *responseBuffer) notifyReaders() {
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-// part is what a reader has not seen yet.
-type part struct {
+// responseTail is the part of a response that a reader has not read yet.
+type responseTail struct {
 	tokens  [][]byte
-	plain   *plainAnswer
+	plain   *plainResponse
 	done    bool
 	end     core.End
 	changed <-chan struct{}
 }
 
-func (a *answer) from(offset int) part {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return part{tokens: a.tokens[min(offset, len(a.tokens)):], plain: a.plain, done: a.done, end: a.end, changed: a.changed}
+func (b *responseBuffer) readFrom(offset int) responseTail {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return responseTail{tokens: b.tokens[min(offset, len(b.tokens)):], plain: b.plain, done: b.done, end: b.end, changed: b.changed}
 }
 
-// maxAnswers bounds the finished answers kept for repeats.
-const maxAnswers = 2048
+// maxResponses bounds the responses kept for retries.
+const maxResponses = 2048
 
-// answers finds answers by key, so that repeats at this VM read them here.
-type answers struct {
-	cache *lru.Cache[request.Key, *answer]
+// responseCache holds the responses to dispatches of this VM by request key, so
+// that a retry that arrives here reads the same response.
+type responseCache struct {
+	cache *lru.Cache[request.Key, *responseBuffer]
 }
 
-func newAnswers() *answers {
-	cache, _ := lru.New[request.Key, *answer](maxAnswers)
-	return &answers{cache: cache}
+func newResponseCache() *responseCache {
+	cache, _ := lru.New[request.Key, *responseBuffer](maxResponses)
+	return &responseCache{cache: cache}
 }
 
-func (s *answers) put(k request.Key, a *answer) { s.cache.Add(k, a) }
+func (s *responseCache) put(k request.Key, b *responseBuffer) { s.cache.Add(k, b) }
 
-func (s *answers) get(k request.Key) (*answer, bool) { return s.cache.Get(k) }
+func (s *responseCache) get(k request.Key) (*responseBuffer, bool) { return s.cache.Get(k) }
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -21,7 +21,7 @@
 	"github.com/chivefield/chivefield/settings"
 )
 
-// Headers of callers.
+// Headers of caller requests and of the responses to them.
 const (
 	HeaderKind     = "Chivefield-Kind"
 	HeaderID       = "Chivefield-Request-Id"
@@ -39,8 +39,9 @@
 	requestsPath = "/v1/requests/"
 )
 
-// badRequest is why a request is refused before it becomes one.
-type badRequest struct {
+// requestError is the HTTP error for a request that is rejected before it
+// reaches the core.
+type requestError struct {
 	status int
 	code   string
 	text   string
@@ -48,16 +49,16 @@
 
 func (d *Daemon) callerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", d.serveCall)
-	mux.HandleFunc("POST /v1/chat/completions", d.serveCall)
-	mux.HandleFunc("POST "+servicesPath+"{kind}", d.serveCall)
+	mux.HandleFunc("POST /v1/completions", d.serveRequest)
+	mux.HandleFunc("POST /v1/chat/completions", d.serveRequest)
+	mux.HandleFunc("POST "+servicesPath+"{kind}", d.serveRequest)
 	mux.HandleFunc("DELETE "+requestsPath+"{id}", d.serveCancel)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, struct{}{}) })
 	mux.HandleFunc("GET /readyz", d.serveReady)
 	return mux
 }
 
-// serveReady tells the balancer whether to send requests here.
+// serveReady reports to the load balancer whether this VM accepts requests.
 func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	s := d.status.Load()
 	if !s.Ready {
@@ -73,7 +74,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// errorBody is the body of every refusal.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
@@ -87,22 +88,23 @@
 	writeJSON(w, status, b)
 }
 
-// organisation finds whose key a request carries.
-func (d *Daemon) organisation(r *http.Request) (*config.Rules, *schema.Organisation, *badRequest) {
+// authenticate returns the current rules and the organisation whose API key the
+// request carries.
+func (d *Daemon) authenticate(r *http.Request) (*config.Rules, *schema.Organisation, *requestError) {
 	rules := d.rules.Load()
 	if rules == nil {
-		return nil, nil, &badRequest{http.StatusServiceUnavailable, "not_ready", d.status.Load().Why}
+		return nil, nil, &requestError{http.StatusServiceUnavailable, "not_ready", d.status.Load().Why}
 	}
-	org, ok := rules.Organisation(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
+	org, ok := rules.OrganisationByKey(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
 	if !ok {
-		return nil, nil, &badRequest{http.StatusUnauthorized, "unauthenticated", "a valid API key is needed"}
+		return nil, nil, &requestError{http.StatusUnauthorized, "unauthenticated", "a valid API key is needed"}
 	}
 	return rules, org, nil
 }
 
-// parse turns an HTTP request into a call, or says what is wrong with it.
-func (d *Daemon) parse(w http.ResponseWriter, r *http.Request) (*callerCall, *badRequest) {
-	rules, org, bad := d.organisation(r)
+// parseRequest reads and validates an HTTP request.
+func (d *Daemon) parseRequest(w http.ResponseWriter, r *http.Request) (*callerRequest, *requestError) {
+	rules, org, bad := d.authenticate(r)
 	if bad != nil {
 		return nil, bad
 	}
@@ -110,40 +112,41 @@
 	if bad != nil {
 		return nil, bad
 	}
-	c := &callerCall{rules: rules, body: body, contentType: r.Header.Get("Content-Type"), final: make(chan outcome, 1)}
-	in, kind, bad := c.readKind(r)
+	c := &callerRequest{rules: rules, body: body, contentType: r.Header.Get("Content-Type"), final: make(chan outcome, 1)}
+	in, kind, bad := c.resolveKind(r)
 	if bad != nil {
 		return nil, bad
 	}
 	id, given := requestID(r)
 	if len(id) > maxIDLength {
-		return nil, &badRequest{http.StatusBadRequest, "bad_request_id", "at most 200 characters"}
+		return nil, &requestError{http.StatusBadRequest, "bad_request_id", "at most 200 characters"}
 	}
 	c.spec = rules.Spec(org, kind, id)
 	c.spec.Digest = xxhash.Sum64(body) | 1
-	c.fillModel(in)
+	c.fillPromptInfo(in)
 	if bad := d.fillAttempt(r, c, given); bad != nil {
 		return nil, bad
 	}
 	return c, d.fillDeadline(r, c, kind)
 }
 
-func (d *Daemon) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *badRequest) {
+func (d *Daemon) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *requestError) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(d.set.ReadTimeout))
+	_ = rc.SetReadDeadline(time.Now().Add(d.settings.ReadTimeout))
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(d.set.Limits.MaxBodyBytes)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(d.settings.Limits.MaxBodyBytes)))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &badRequest{http.StatusRequestEntityTooLarge, "body_too_large", "the body is over the limit"}
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "body_too_large", "the body is over the limit"}
 	case err != nil:
-		return nil, &badRequest{http.StatusBadRequest, "bad_body", "the body could not be read"}
+		return nil, &requestError{http.StatusBadRequest, "bad_body", "the body could not be read"}
 	}
 	return body, nil
 }
 
-// completionRequest is what is read of a request to a model.
+// completionRequest holds the fields of a completion request that are used
+// here.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -154,27 +157,28 @@
 	} `json:"messages"`
 }
 
-// readKind finds the request kind: of the path for plain services, else of the
-// header, else the first kind of the model named in the body.
-func (c *callerCall) readKind(r *http.Request) (in completionRequest, k *schema.Kind, bad *badRequest) {
+// resolveKind determines the request kind: for a plain service from the path,
+// otherwise from the header, otherwise the first kind of the model named in the
+// body.
+func (c *callerRequest) resolveKind(r *http.Request) (in completionRequest, k *schema.Kind, bad *requestError) {
 	name := r.PathValue("kind")
 	if name != "" {
 		k, ok := c.rules.Kind(name)
 		if !ok || k.Path == "" {
-			return in, nil, &badRequest{http.StatusNotFound, "unknown_kind", "no such service kind"}
+			return in, nil, &requestError{http.StatusNotFound, "unknown_kind", "no such service kind"}
 		}
 		c.path = k.Path
 		return in, k, nil
 	}
 	if err := json.Unmarshal(c.body, &in); err != nil {
-		return in, nil, &badRequest{http.StatusBadRequest, "bad_body", "the body is not a valid completion request"}
+		return in, nil, &requestError{http.StatusBadRequest, "bad_body", "the body is not a valid completion request"}
 	}
 	c.path, c.stream = r.URL.Path, in.Stream
 	c.chat = strings.Contains(c.path, "chat")
 	if name = r.Header.Get(HeaderKind); name != "" {
 		k, ok := c.rules.Kind(name)
 		if !ok || k.Model == "" || in.Model != "" && in.Model != k.Model {
-			return in, nil, &badRequest{http.StatusBadRequest, "unknown_kind", "no such kind for this model"}
+			return in, nil, &requestError{http.StatusBadRequest, "unknown_kind", "no such kind for this model"}
 		}
 		return in, k, nil
 	}
@@ -183,11 +187,12 @@
 			return in, k, nil
 		}
 	}
-	return in, nil, &badRequest{http.StatusBadRequest, "unknown_kind", "name the kind in " + HeaderKind}
+	return in, nil, &requestError{http.StatusBadRequest, "unknown_kind", "name the kind in " + HeaderKind}
 }
 
-// fillModel fills in the length and blocks of the prompt.
-func (c *callerCall) fillModel(in completionRequest) {
+// fillPromptInfo sets the prompt's length, its block hashes and the output
+// limit.
+func (c *callerRequest) fillPromptInfo(in completionRequest) {
 	if c.spec.Model == "" {
 		return
 	}
@@ -200,8 +205,8 @@
 	c.spec.MaxOutputTokens = max(0, in.MaxTokens)
 }
 
-// requestID returns the caller's id; without one the request cannot be
-// repeated, and gets an id of its own.
+// requestID returns the caller's request id. Without one it generates an id;
+// such a request cannot be retried.
 func requestID(r *http.Request) (id string, given bool) {
 	if id = r.Header.Get(HeaderID); id != "" {
 		return id, true
@@ -211,7 +216,7 @@
 	return hex.EncodeToString(b[:]), false
 }
 
-func (d *Daemon) fillAttempt(r *http.Request, c *callerCall, given bool) *badRequest {
+func (d *Daemon) fillAttempt(r *http.Request, c *callerRequest, given bool) *requestError {
 	if !given {
 		c.spec.Attempt = request.FirstAttempt
 		c.spec.TrustFirstAttempt = true
@@ -219,80 +224,82 @@
 	}
 	h := r.Header.Get(HeaderAttempt)
 	if h == "" {
-		if d.set.Claims.UndeclaredAttempt == settings.UndeclaredFirstAttempt {
+		if d.settings.Claims.UndeclaredAttempt == settings.UndeclaredFirstAttempt {
 			c.spec.Attempt = request.FirstAttempt
 		}
 		return nil
 	}
 	n, err := strconv.ParseUint(h, 10, 32)
 	if err != nil || n == 0 || n > maxAttempt {
-		return &badRequest{http.StatusBadRequest, "bad_attempt", HeaderAttempt + " counts from 1"}
+		return &requestError{http.StatusBadRequest, "bad_attempt", HeaderAttempt + " counts from 1"}
 	}
 	c.spec.Attempt = request.Attempt(n)
 	return nil
 }
 
-func (d *Daemon) fillDeadline(r *http.Request, c *callerCall, k *schema.Kind) *badRequest {
-	left := config.Deadline(k)
+func (d *Daemon) fillDeadline(r *http.Request, c *callerRequest, k *schema.Kind) *requestError {
+	timeout := config.DefaultDeadline(k)
 	if h := r.Header.Get(HeaderDeadline); h != "" {
 		var err error
-		left, err = time.ParseDuration(h)
-		if err != nil || left > maxDeadline {
-			return &badRequest{http.StatusBadRequest, "bad_deadline", HeaderDeadline + ` is the time left, such as "30s"`}
+		timeout, err = time.ParseDuration(h)
+		if err != nil || timeout > maxDeadline {
+			return &requestError{http.StatusBadRequest, "bad_deadline", HeaderDeadline + ` is the time left, such as "30s"`}
 		}
 	}
-	if left < minDeadline {
-		return &badRequest{http.StatusBadRequest, "deadline_passed", "no time is left"}
+	if timeout < minDeadline {
+		return &requestError{http.StatusBadRequest, "deadline_passed", "no time is left"}
 	}
-	c.spec.Deadline = d.now() + left
+	c.spec.Deadline = d.now() + timeout
 	return nil
 }
 
-// serveCall serves one request of a caller from arrival to its final outcome.
-func (d *Daemon) serveCall(w http.ResponseWriter, r *http.Request) {
-	c, bad := d.parse(w, r)
+// serveRequest serves a caller's request from arrival to its final outcome.
+func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request) {
+	c, bad := d.parseRequest(w, r)
 	if bad != nil {
 		d.count("callers.bad." + bad.code)
 		writeError(w, bad.status, bad.code, bad.text)
 		return
 	}
 	handle := d.register(c)
-	defer d.forget(handle)
+	defer d.unregister(handle)
 	w.Header().Set(HeaderID, c.spec.Key.ID)
 	select {
-	case d.events <- item{event: core.Arrive{Handle: handle, Spec: c.spec}}:
+	case d.events <- loopInput{event: core.Arrive{Handle: handle, Spec: c.spec}}:
 	case <-r.Context().Done():
 		return
 	}
 	out := d.deliver(w, r, c)
 	if out == nil {
-		d.pushGone(handle)
+		d.pushDisconnected(handle)
 		return
 	}
 	d.logOutcome(c, out)
-	c.end(w, out)
+	c.writeOutcome(w, out)
 }
 
-// pushGone tells the core that the caller left; its own context is over.
-func (d *Daemon) pushGone(handle uint64) {
+// pushDisconnected reports to the core that the caller disconnected. It does
+// not use the request's context, which is already cancelled.
+func (d *Daemon) pushDisconnected(handle uint64) {
 	select {
-	case d.events <- item{event: core.CallerDisconnected{Handle: handle}}:
+	case d.events <- loopInput{event: core.CallerDisconnected{Handle: handle}}:
 	case <-d.done:
 	}
 }
 
-// deliver passes the answer on until the final outcome; nil if the caller left.
-func (d *Daemon) deliver(w http.ResponseWriter, r *http.Request, c *callerCall) *outcome {
+// deliver streams the response until the final outcome and returns that, or nil
+// if the caller disconnected.
+func (d *Daemon) deliver(w http.ResponseWriter, r *http.Request, c *callerRequest) *outcome {
 	for {
-		a, started := c.current()
+		resp, started := c.currentResponse()
 		var changed <-chan struct{}
-		if a != nil {
-			changed = c.pass(w, a)
+		if resp != nil {
+			changed = c.writeNewTokens(w, resp)
 		}
 		select {
 		case out := <-c.final:
-			if a, _ := c.current(); a != nil && out.Outcome == request.Answered {
-				c.pass(w, a)
+			if resp, _ := c.currentResponse(); resp != nil && out.Outcome == request.Answered {
+				c.writeNewTokens(w, resp)
 			}
 			return &out
 		case <-changed:
@@ -303,21 +310,22 @@
 	}
 }
 
-func (d *Daemon) logOutcome(c *callerCall, out *outcome) {
+func (d *Daemon) logOutcome(c *callerRequest, out *outcome) {
 	d.count("outcomes." + string(out.Outcome))
 	d.log.Info().Str("request", c.spec.Key.String()).Str("kind", c.spec.Kind).Uint32("tier", uint32(c.spec.Tier)).
 		Str("outcome", string(out.Outcome)).Str("reason", string(out.Reason)).Int64("retry_after_ms", out.RetryAfter.Milliseconds()).Msg("outcome")
 }
 
-// serveCancel stops a request of the same organisation that is served here.
+// serveCancel cancels a request of the same organisation that is served by this
+// VM.
 func (d *Daemon) serveCancel(w http.ResponseWriter, r *http.Request) {
-	_, org, bad := d.organisation(r)
+	_, org, bad := d.authenticate(r)
 	if bad != nil {
 		writeError(w, bad.status, bad.code, bad.text)
 		return
 	}
 	key := request.Key{Organisation: org.Name, ID: r.PathValue("id")}
-	handle, ok := d.handleOf(key)
+	handle, ok := d.handleByKey(key)
 	if !ok {
 		writeError(w, http.StatusNotFound, "unknown_request", "no such request is served here")
 		return
