--- a/report/cause.go
+++ b/report/cause.go
@@ -2,13 +2,13 @@
 
 // Causes of steps with requests that were not on time, as the report prints them.
 const (
-	CauseVMRestarts       = "VMs restarted"
-	CausePlacersLost      = "VMs lost their placer"
-	CauseEndpointFailures = "endpoints failed or were unreachable"
-	CauseAllowance        = "organisations exceeded their allowance"
-	CauseOverload         = "demand exceeded the capacity of endpoints"
-	CauseStoreLost        = "the connection to the store was lost"
-	CauseLateResponses    = "responses were late"
+	CauseVMRestarts       = "VMs started anew"
+	CausePlacersLost      = "VMs lost the one that places for them"
+	CauseEndpointFailures = "endpoints failed or could not be reached"
+	CauseAllowance        = "organisations met their allowance"
+	CauseOverload         = "more was asked than endpoints do"
+	CauseStoreLost        = "the store was lost"
+	CauseLateResponses    = "answers were late"
 )
 
 // Reasons of refusals, as the daemon logs them.
