--- a/core/dispatch/bounds.go
+++ b/core/dispatch/bounds.go
@@ -60,9 +60,9 @@
 // addTokens adds token counts, limited to maxTokens.
 func addTokens(a, b int) int { return min(maxTokens, a+b) }
 
-// tokensReadIn returns how many of the given tokens are processed in d, at prefillTime seconds
+// tokensPrefilledIn returns how many of the given tokens are processed in d, at prefillTime seconds
 // each.
-func tokensReadIn(d time.Duration, prefillTime float64, tokens int) int {
+func tokensPrefilledIn(d time.Duration, prefillTime float64, tokens int) int {
 	done := d.Seconds() / prefillTime
 	if done >= float64(tokens) {
 		return tokens
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -171,8 +171,8 @@
 	peerLoads []peerLoad
 	// eventGap is the undisturbed time between two events, answerTime the mean response time
 	// for jobs without a prompt, both in seconds.
-	eventGap   lowEstimate
-	answerTime float64
+	eventGap     lowEstimate
+	responseTime float64
 	// recentGaps are the last two times between events observed here, in seconds. gapUnreported
 	// is set if one was observed since the last report to peers. gapObserved is the time at
 	// which the gap was last learned from events rather than from other VMs' estimates.
@@ -358,8 +358,8 @@
 	Broken
 	// Silent: the endpoint sent nothing for too long.
 	Silent
-	// CallerLeft: the caller disconnected or its deadline passed.
-	CallerLeft
+	// CallerDisconnected: the caller disconnected or its deadline passed.
+	CallerDisconnected
 )
 
 // outcomeNames are the outcomes as written to logs, in order.
@@ -377,7 +377,7 @@
 	delete(s.running, handle)
 	delete(r.ep.runs, handle)
 	s.countSuspects(r, -1)
-	if !r.adopted && (o == Answered || o == CallerLeft) {
+	if !r.adopted && (o == Answered || o == CallerDisconnected) {
 		// A slot freed by a failure does not indicate spare capacity.
 		r.ep.turn.recordEnd(now)
 	}
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -231,7 +231,7 @@
 	for h, domain := range map[uint64]string{1: "a", 2: "b"} {
 		out := s.Submit(0, Job{Handle: h, Service: simService, Objective: time.Second, AbandonAt: time.Second, Remote: true, SenderDomain: domain})
 		is.Equal(out[0].Endpoint.FailureDomain, domain)
-		s.EndRun(0, h, CallerLeft)
+		s.EndRun(0, h, CallerDisconnected)
 	}
 }
 
@@ -253,7 +253,7 @@
 	}
 	pick := func(h uint64, objective time.Duration) string {
 		out := s.Submit(0, Job{Handle: h, Service: simService, Objective: objective, AbandonAt: 2 * time.Second})
-		s.EndRun(0, h, CallerLeft)
+		s.EndRun(0, h, CallerDisconnected)
 		return out[0].Endpoint.ID
 	}
 	paces(60*time.Millisecond, 20*time.Millisecond)
@@ -330,8 +330,8 @@
 		s.ApplyPeerLoads(now, "other", "a", []EndpointLoad{{EndpointHash("x"), Load{SuspectedDown: true}}}, true)
 		probes := s.DueProbes(now)
 		is.Equal(len(probes) == 0, asks)
-		d, why := s.Adopt(now, Job{Handle: 1, Service: "v", PromptTokens: 100}, EndpointHash("y"), time.Second, 0)
-		is.Equal(why, UnusableReason(""))
+		d, reason := s.Adopt(now, Job{Handle: 1, Service: "v", PromptTokens: 100}, EndpointHash("y"), time.Second, 0)
+		is.Equal(reason, UnusableReason(""))
 		s.EndRun(now, d.Handle, Unreachable)
 		probes = s.DueProbes(now)
 		is.Equal(len(probes), 1)
--- a/core/dispatch/ejection.go
+++ b/core/dispatch/ejection.go
@@ -61,9 +61,9 @@
 	// endpoint, and for which the trial delay is remembered: some endpoints fail only for some
 	// VMs, and some fail again at once.
 	readmissionGrace = 10 * time.Second
-	// ownAnswerPrecedence is the time for which a VM's own last response outweighs peers'
+	// ownResponsePrecedence is the time for which a VM's own last response outweighs peers'
 	// reports.
-	ownAnswerPrecedence = 800 * time.Millisecond
+	ownResponsePrecedence = 800 * time.Millisecond
 )
 
 // ejection is the ejection state of one endpoint.
@@ -245,7 +245,7 @@
 func (e *endpoint) applyPeerEjection(now time.Duration, sv *service) {
 	x := &e.health.ejection
 	readmitted := x.readmittedAt > 0 && now-x.readmittedAt < readmissionGrace
-	answered := e.health.lastAnswer > 0 && now-e.health.lastAnswer < ownAnswerPrecedence
+	answered := e.health.lastResponse > 0 && now-e.health.lastResponse < ownResponsePrecedence
 	if sv.disabled.Has(mechanism.Ejection) || x.active || readmitted || answered || 2*(sv.ejectedCount()+1) > len(sv.list) {
 		return
 	}
--- a/core/dispatch/ejection_test.go
+++ b/core/dispatch/ejection_test.go
@@ -214,16 +214,16 @@
 	var now time.Duration
 	runRequests(s, &now, 100, func(id string) bool { return id == "a" })
 	s.ApplyPeerLoads(now, "vm", "a", []EndpointLoad{{EndpointHash(first.Key()), Load{Waiting: 50, Replaced: true}}}, true)
-	_, why := s.Adopt(now, Job{Handle: 7, Service: "plain"}, EndpointHash(other.Key()), 0, 0)
-	is.Equal(why, UnusableReason(""))
+	_, reason := s.Adopt(now, Job{Handle: 7, Service: "plain"}, EndpointHash(other.Key()), 0, 0)
+	is.Equal(reason, UnusableReason(""))
 	s.SetEndpoints(now, "plain", []*members.Endpoint{next, other}, false)
 	is.Equal(len(s.TakeLostRuns()), 0) // nothing was running at the earlier incarnation
 	s.ApplyPeerLoads(now, "vm", "a", []EndpointLoad{{EndpointHash(first.Key()), Load{Waiting: 50, Replaced: true, Ejected: true}}}, true)
 	got := runRequests(s, &now, 100, func(string) bool { return false })
 	t.Log(got)
 	is.True(got["a"] > 40)
-	_, why = s.Adopt(now, Job{Handle: 8, Service: "plain"}, EndpointHash(next.Key()), 0, 0)
-	is.Equal(why, UnusableReason(""))
+	_, reason = s.Adopt(now, Job{Handle: 8, Service: "plain"}, EndpointHash(next.Key()), 0, 0)
+	is.Equal(reason, UnusableReason(""))
 	s.SetEndpoints(now, "plain", []*members.Endpoint{{ID: "a", Born: 3000, Service: "plain", Slots: 6}, other}, false)
 	is.Equal(s.TakeLostRuns(), []uint64{8})
 }
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if oldest >= 0 {
-		u.PromptTokens -= tokensReadIn(now-max(oldest, e.lastFirstEvent), prefillTime, oldestPrompt)
+		u.PromptTokens -= tokensPrefilledIn(now-max(oldest, e.lastFirstEvent), prefillTime, oldestPrompt)
 	}
 	if e.eventGap.samples >= minReportedSamples {
 		u.EventGap = toDuration(e.eventGap.value)
@@ -69,7 +69,7 @@
 		kept = append(kept, o)
 		u.Running += o.Running
 		u.Waiting += o.Waiting
-		u.PromptTokens = addTokens(u.PromptTokens, o.PromptTokens-tokensReadIn(age, prefillTime, o.PromptTokens))
+		u.PromptTokens = addTokens(u.PromptTokens, o.PromptTokens-tokensPrefilledIn(age, prefillTime, o.PromptTokens))
 	}
 	e.peerLoads = kept
 	return u
--- a/core/dispatch/filter.go
+++ b/core/dispatch/filter.go
@@ -11,8 +11,8 @@
 // than the short queue that it avoids.
 const plainFillFactor = 2
 
-// hasRoom reports whether this VM may take a slot of the endpoint.
-func (s *Scheduler) hasRoom(now time.Duration, e *endpoint, u Load) bool {
+// hasCapacity reports whether this VM may take a slot of the endpoint.
+func (s *Scheduler) hasCapacity(now time.Duration, e *endpoint, u Load) bool {
 	if !e.engine {
 		return u.Running+u.Waiting < plainFillFactor*e.Slots
 	}
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -19,9 +19,9 @@
 //     (ejection.go).
 
 const (
-	// rejectedBackoff is the time for which an endpoint that reported itself full gets no
+	// assumedFullTime is the time for which an endpoint that reported itself full gets no
 	// requests: about the time in which a slot becomes free.
-	rejectedBackoff = 100 * time.Millisecond
+	assumedFullTime = 100 * time.Millisecond
 	// silenceTimeout is the time for which an endpoint may send nothing, beyond three times the
 	// predicted time to a first event. Running streams send several events in that time.
 	silenceTimeout = 800 * time.Millisecond
@@ -34,8 +34,8 @@
 
 // health is the health of one endpoint as seen by this VM.
 type health struct {
-	// backoffUntil is the time until which an endpoint that was full gets no requests.
-	backoffUntil time.Duration
+	// fullUntil is the time until which an endpoint that was full gets no requests.
+	fullUntil time.Duration
 	// lastContact is the time at which anything was last received from it.
 	lastContact time.Duration
 	// suspectedDown endpoints are probed and get no requests.
@@ -52,8 +52,8 @@
 	// the addresses of engines that crashed, each would otherwise get several requests and
 	// reject them. The endpoint gets one request at a time until it responds.
 	unverified bool
-	// lastAnswer is the time of its last response to a request.
-	lastAnswer time.Duration
+	// lastResponse is the time of its last response to a request.
+	lastResponse time.Duration
 	// failureShare is the moving average of failures. consecutiveFailures is the number since
 	// the last success. firstFailureSent is when the first of these was sent.
 	failureShare        float64
@@ -99,7 +99,7 @@
 	switch o {
 	case Answered:
 		e.health.recordContact(now)
-		e.health.lastAnswer = now
+		e.health.lastResponse = now
 		e.recordResult(now, r, false, sv)
 	case Failed:
 		e.health.recordContact(now)
@@ -108,12 +108,12 @@
 		e.recordResult(now, r, true, sv)
 	case Rejected:
 		e.health.recordContact(now)
-		e.health.backoffUntil = now + rejectedBackoff
+		e.health.fullUntil = now + assumedFullTime
 	case Replaced:
 		e.health.replaced = true
 	case Unreachable, Silent:
 		e.health.suspectDown(now)
-	case CallerLeft:
+	case CallerDisconnected:
 	}
 }
 
@@ -149,7 +149,7 @@
 // usable reports whether the endpoint may get requests when no eligible one is left: an
 // endpoint that fails some requests is better than none.
 func (e *endpoint) usable(now time.Duration) bool {
-	return e.reachable(now) && now >= e.health.backoffUntil
+	return e.reachable(now) && now >= e.health.fullUntil
 }
 
 // reachable reports whether this VM takes the endpoint to be reachable.
--- a/core/dispatch/limits.go
+++ b/core/dispatch/limits.go
@@ -24,8 +24,8 @@
 
 // SetCoverage sets how many of the known VMs are served by reachable placers, this one
 // included. It must be called several times a second.
-func (s *Scheduler) SetCoverage(now time.Duration, reachable, known int) {
-	s.limitShare = limit.Share(reachable, known)
+func (s *Scheduler) SetCoverage(now time.Duration, served, known int) {
+	s.limitShare = limit.Share(served, known)
 	s.removeExpiredBackoffs(now)
 	for hash, b := range s.limits {
 		if e := s.byHash[hash]; e != nil {
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -21,8 +21,8 @@
 
 // Defaults until something was observed, in seconds. They matter only for the first requests.
 const (
-	defaultTokenTime  = 0.0045
-	defaultAnswerTime = 0.05
+	defaultTokenTime    = 0.0045
+	defaultResponseTime = 0.05
 	// defaultPrefillShare is the time to process a prompt token, as a share of the time between
 	// two tokens of a stream.
 	defaultPrefillShare = 0.006
@@ -48,8 +48,8 @@
 	// The first event may hold a single token where others hold thirty, or as many tokens as
 	// they do.
 	firstEventRatio quantileEstimate
-	// answerTime is the mean response time for jobs without a prompt, in seconds.
-	answerTime float64
+	// responseTime is the mean response time for jobs without a prompt, in seconds.
+	responseTime float64
 }
 
 // Bounds of learned quantities. A quantity learned as 0 leads to times of 0 and divisions by 0,
@@ -120,8 +120,8 @@
 const (
 	// minPrefillPrompt is the prompt length in tokens from which prefill dominates the time to
 	// the first event.
-	minPrefillPrompt = 500
-	answerTimeWeight = 0.1
+	minPrefillPrompt   = 500
+	responseTimeWeight = 0.1
 	// maxAheadShare is the largest amount of prompt tokens queued ahead, as a share of the
 	// prompt, with which the time to the first event still measures prefill: the amount is
 	// known with a delay.
@@ -132,10 +132,10 @@
 func (p *latencyModel) observeFirstEvent(r *run, took time.Duration) {
 	seconds := took.Seconds()
 	if r.job.PromptTokens == 0 {
-		r.ep.answerTime = orDefault(r.ep.answerTime, defaultAnswerTime)
-		r.ep.answerTime += (seconds - r.ep.answerTime) * answerTimeWeight
-		p.answerTime = orDefault(p.answerTime, defaultAnswerTime)
-		p.answerTime += (seconds - p.answerTime) * meanWeight
+		r.ep.responseTime = orDefault(r.ep.responseTime, defaultResponseTime)
+		r.ep.responseTime += (seconds - r.ep.responseTime) * responseTimeWeight
+		p.responseTime = orDefault(p.responseTime, defaultResponseTime)
+		p.responseTime += (seconds - p.responseTime) * meanWeight
 		return
 	}
 	prompt := float64(r.job.PromptTokens)
--- a/core/dispatch/pace_test.go
+++ b/core/dispatch/pace_test.go
@@ -195,9 +195,9 @@
 	c.is.Equal(len(out), 1)
 	c.predictedGap = out[0].Load.EventGap
 	j.Remote = false
-	d, why := c.members[i].Adopt(c.now, j, EndpointHash(out[0].Endpoint.Key()), out[0].Predicted, 0)
+	d, reason := c.members[i].Adopt(c.now, j, EndpointHash(out[0].Endpoint.Key()), out[0].Predicted, 0)
 	c.is.True(d != nil)
-	c.is.Equal(why, UnusableReason(""))
+	c.is.Equal(reason, UnusableReason(""))
 	c.streams[i] = append(c.streams[i], c.handle)
 	c.nextEvent[c.handle] = c.now + gap
 }
--- a/core/dispatch/play_test.go
+++ b/core/dispatch/play_test.go
@@ -372,7 +372,7 @@
 			continue
 		}
 		p.engines[req.engine].Cancel(p.now, strconv.FormatUint(h, 10))
-		p.applyDecisions(req.vm, p.schedulers[req.vm].EndRun(p.now, h, CallerLeft))
+		p.applyDecisions(req.vm, p.schedulers[req.vm].EndRun(p.now, h, CallerDisconnected))
 	}
 }
 
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -58,7 +58,7 @@
 		if !accepts(e, now) || !s.withinLimit(now, e) {
 			continue
 		}
-		if u := e.totalLoad(now, sv.latency.prefillTime(e, 0), s.lastNote); s.hasRoom(now, e, u) {
+		if u := e.totalLoad(now, sv.latency.prefillTime(e, 0), s.lastNote); s.hasCapacity(now, e, u) {
 			open = append(open, openEndpoint{e, u})
 		}
 	}
@@ -70,7 +70,7 @@
 func (s *Scheduler) refreshLoad(now time.Duration, sv *service, open []openEndpoint, e *endpoint) []openEndpoint {
 	i := slices.IndexFunc(open, func(o openEndpoint) bool { return o.ep == e })
 	open[i].load = e.totalLoad(now, sv.latency.prefillTime(e, 0), s.lastNote)
-	if e.admits(now) && s.withinLimit(now, e) && s.hasRoom(now, e, open[i].load) {
+	if e.admits(now) && s.withinLimit(now, e) && s.hasCapacity(now, e, open[i].load) {
 		return open
 	}
 	return slices.Delete(open, i, i+1)
--- a/core/dispatch/remote.go
+++ b/core/dispatch/remote.go
@@ -19,8 +19,8 @@
 const (
 	// NotListed: it is not among the service's endpoints, or is leaving.
 	NotListed UnusableReason = "not_listed"
-	// IncarnationGone: another incarnation has its address.
-	IncarnationGone UnusableReason = "gone"
+	// IncarnationReplaced: another incarnation has its address.
+	IncarnationReplaced UnusableReason = "gone"
 	// ProbeFailed: a probe from this VM failed.
 	ProbeFailed UnusableReason = "not_reached"
 	// OverLimit: it has a rate limit to which the request was not charged.
@@ -41,7 +41,7 @@
 	case e == nil || e.Service != j.Service:
 		return nil, NotListed
 	case e.health.replaced:
-		return nil, IncarnationGone
+		return nil, IncarnationReplaced
 	case !admitsVersion(&j, e):
 		return nil, CanaryOnly
 	case e.health.probeFailed():
--- a/core/dispatch/rests.go
+++ b/core/dispatch/rests.go
@@ -16,19 +16,19 @@
 
 // backoff holds the times at which an endpoint's backoffs expire.
 type backoff struct {
-	// own applies to this VM, peers to other VMs.
-	own, peers time.Duration
+	// own applies to this VM, others to other VMs.
+	own, others time.Duration
 }
 
 // SetBackoff sets the times until which an endpoint has asked this VM and others for backoff.
-func (s *Scheduler) SetBackoff(endpointHash uint64, own, peers time.Duration) {
-	s.backoffs[endpointHash] = backoff{own, peers}
+func (s *Scheduler) SetBackoff(endpointHash uint64, own, others time.Duration) {
+	s.backoffs[endpointHash] = backoff{own, others}
 }
 
 // removeExpiredBackoffs deletes expired backoffs.
 func (s *Scheduler) removeExpiredBackoffs(now time.Duration) {
 	for hash, b := range s.backoffs {
-		if now >= max(b.own, b.peers) {
+		if now >= max(b.own, b.others) {
 			delete(s.backoffs, hash)
 		}
 	}
@@ -41,7 +41,7 @@
 
 // backoffCostOf returns the cost of an endpoint's current backoffs.
 func (s *Scheduler) backoffCostOf(now time.Duration, e *endpoint) float64 {
-	if b, ok := s.backoffs[e.hash]; ok && now < max(b.own, b.peers) {
+	if b, ok := s.backoffs[e.hash]; ok && now < max(b.own, b.others) {
 		return backoffCost
 	}
 	return 0
--- a/core/dispatch/score.go
+++ b/core/dispatch/score.go
@@ -41,10 +41,10 @@
 	// lostCost is added in seconds where the response is not expected to complete in time at
 	// all: such work is entirely lost, with the capacity that it took from others.
 	lostCost = 100
-	// answerMargin is the factor by which a response may take longer than predicted. Estimates
+	// responseMargin is the factor by which a response may take longer than predicted. Estimates
 	// of its length are right at the median and off by a factor of two in either direction one
 	// time in ten, and steps slow down while prompts are processed.
-	answerMargin = 1.5
+	responseMargin = 1.5
 )
 
 // score predicts the latency of a job at an endpoint and computes the endpoint's score for it.
@@ -53,8 +53,8 @@
 	if e.engine {
 		sv.scoreEngine(now, j, &c)
 	} else {
-		answerTime := orDefault(e.answerTime, orDefault(sv.latency.answerTime, defaultAnswerTime))
-		firstEvent := answerTime * (1 + float64(u.Running+u.Waiting)/float64(max(1, e.Slots)))
+		responseTime := orDefault(e.responseTime, orDefault(sv.latency.responseTime, defaultResponseTime))
+		firstEvent := responseTime * (1 + float64(u.Running+u.Waiting)/float64(max(1, e.Slots)))
 		c.firstEvent = toDuration(firstEvent)
 		c.onTime = true
 		c.score = firstEvent
@@ -82,8 +82,8 @@
 	}
 	c.firstEvent = toDuration(firstEvent)
 	pause := gap + prefillTime*float64(min(c.load.PromptTokens+j.PromptTokens, sv.maxPrefillPerEvent()))
-	answerTime := firstEvent + gap*float64(j.ExpectedEvents)
-	completes := j.Deadline == 0 || answerMargin*answerTime <= (j.Deadline-now).Seconds()
+	responseTime := firstEvent + gap*float64(j.ExpectedEvents)
+	completes := j.Deadline == 0 || responseMargin*responseTime <= (j.Deadline-now).Seconds()
 	c.onTime = completes && firstEvent <= onTimeShare*(j.Objective-now).Seconds() && (j.MaxPause == 0 || pause <= j.MaxPause.Seconds())
 	occupancy := float64(c.load.Running+c.load.Waiting) / float64(max(1, c.ep.Slots))
 	c.score = firstEvent + occupancy*gap
--- a/core/dispatch/uses.go
+++ b/core/dispatch/uses.go
@@ -29,7 +29,7 @@
 
 // EndpointHash returns the hash of an endpoint's key, by which VMs refer to the endpoint in
 // notes.
-func EndpointHash(key string) uint64 { return members.KeyHash(key) }
+func EndpointHash(key string) uint64 { return members.EndpointHash(key) }
 
 // EndpointLoad is the load of the endpoint with the given hash.
 type EndpointLoad struct {
--- a/core/members/leave_test.go
+++ b/core/members/leave_test.go
@@ -33,7 +33,7 @@
 		for step := range 200 {
 			now += time.Duration(r.IntN(1000)) * time.Millisecond
 			if step == leaveStep {
-				s.MarkLeaving(KeyHash("e"))
+				s.MarkLeaving(EndpointHash("e"))
 			}
 			switch r.IntN(8) {
 			case 0:
@@ -66,8 +66,8 @@
 func TestAnnouncedDepartureIsLeaving(t *testing.T) {
 	s := New()
 	s.Apply(0, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Service: "s"}})
-	s.MarkLeaving(KeyHash("e"))
-	s.MarkLeaving(KeyHash("e"))
+	s.MarkLeaving(EndpointHash("e"))
+	s.MarkLeaving(EndpointHash("e"))
 	s.Apply(0, Change{ID: "e", Endpoint: &Endpoint{ID: "e", Service: "s", Leaving: true}})
 	if d := s.TakeDepartures(); len(d) != 1 || !d[0].Leaving {
 		t.Fatalf("departures: %v, want one that is leaving", d)
--- a/core/members/members.go
+++ b/core/members/members.go
@@ -40,8 +40,8 @@
 	return e.ID + "@" + strconv.FormatInt(e.Born, 10)
 }
 
-// KeyHash returns the hash by which VMs identify an incarnation in messages, from its key.
-func KeyHash(key string) uint64 { return xxhash.Sum64String(key) }
+// EndpointHash returns the hash by which VMs identify an incarnation in messages, from its key.
+func EndpointHash(key string) uint64 { return xxhash.Sum64String(key) }
 
 // Change is one record of the registry: an endpoint, or its removal.
 type Change struct {
@@ -67,9 +67,9 @@
 	availableSince  time.Duration
 	everUnavailable bool
 	byService       map[string][]*Endpoint
-	// keyHashes are the key hashes of the known incarnations; nil after a change.
-	keyHashes map[uint64]bool
-	version   uint64
+	// endpointHashes are the key hashes of the known incarnations; nil after a change.
+	endpointHashes map[uint64]bool
+	version        uint64
 	// latestBorn is the latest start known of each id, including ids that are gone. A record
 	// of an earlier incarnation may arrive late, from a VM that lags.
 	latestBorn map[string]int64
@@ -130,7 +130,7 @@
 func (s *Set) MarkLeaving(hash uint64) {
 	s.announcedLeaving[hash] = true
 	for _, e := range s.known {
-		if !e.Leaving && KeyHash(e.Key()) == hash {
+		if !e.Leaving && EndpointHash(e.Key()) == hash {
 			e.Leaving = true
 			s.departures = append(s.departures, Departure{Key: e.Key(), Leaving: true})
 			s.invalidate()
@@ -174,7 +174,7 @@
 	}
 	old := s.known[c.ID]
 	e := *c.Endpoint
-	e.Leaving = e.Leaving || s.announcedLeaving[KeyHash(e.Key())]
+	e.Leaving = e.Leaving || s.announcedLeaving[EndpointHash(e.Key())]
 	if old != nil && !old.missing && old.Endpoint == e {
 		return
 	}
@@ -317,13 +317,13 @@
 
 // Contains reports whether an incarnation is known, by its key hash. Leaving ones are included.
 func (s *Set) Contains(hash uint64) bool {
-	if s.keyHashes == nil {
-		s.keyHashes = make(map[uint64]bool, len(s.known))
+	if s.endpointHashes == nil {
+		s.endpointHashes = make(map[uint64]bool, len(s.known))
 		for _, e := range s.known {
-			s.keyHashes[KeyHash(e.Key())] = true
+			s.endpointHashes[EndpointHash(e.Key())] = true
 		}
 	}
-	return s.keyHashes[hash]
+	return s.endpointHashes[hash]
 }
 
 // Serving reports whether an incarnation is listed and not leaving.
@@ -351,7 +351,7 @@
 
 func (s *Set) invalidate() {
 	s.version++
-	s.byService, s.keyHashes = nil, nil
+	s.byService, s.endpointHashes = nil, nil
 }
 
 // Usable returns the endpoints of a service that may get new requests, ordered by id.
--- a/core/rollout/decide.go
+++ b/core/rollout/decide.go
@@ -12,10 +12,10 @@
 	// shiftMargin is the time that shifting takes in addition to the longest response: to inform
 	// all VMs, to learn that nothing runs at the old version any more, and to write the verdict.
 	shiftMargin = 1500 * time.Millisecond
-	// minAnswers is the number of responses of each version that a comparison needs. A suspect
+	// minResponses is the number of responses of each version that a comparison needs. A suspect
 	// version stays in the canary phase longer by suspectExtensionShare of the time reserved for
 	// shifting.
-	minAnswers            = 20
+	minResponses          = 20
 	suspectExtensionShare = 0.25
 	// maxHealthyFailureShare is the fraction of failures up to which a version needs no
 	// comparison.
@@ -42,8 +42,8 @@
 	// Answers counts responses of the new version, Failures those of them that failed, OldAnswers
 	// responses of the old version.
 	Answers, Failures, OldAnswers int
-	// LongestAnswer is the longest time that a response of either version took.
-	LongestAnswer time.Duration
+	// LongestResponse is the longest time that a response of either version took.
+	LongestResponse time.Duration
 	// NewListed and OldListed are the numbers of endpoints of the versions in the registry.
 	NewListed, OldListed int
 	// Drained reports whether every VM sends all requests to the new version and none runs at the
@@ -54,12 +54,12 @@
 }
 
 // comparable reports whether there are enough responses of both versions for a comparison.
-func (s *State) comparable() bool { return s.Answers >= minAnswers && s.OldAnswers >= minAnswers }
+func (s *State) comparable() bool { return s.Answers >= minResponses && s.OldAnswers >= minResponses }
 
 // healthy reports whether the new version fails so rarely that no comparison is needed. The
 // counts of the old version may be lost with processes that ended.
 func (s *State) healthy() bool {
-	return s.Answers >= minAnswers && s.Failures <= int(maxHealthyFailureShare*float64(s.Answers))
+	return s.Answers >= minResponses && s.Failures <= int(maxHealthyFailureShare*float64(s.Answers))
 }
 
 // negligible reports whether there were so few requests in the whole time of the order that a bad
@@ -84,7 +84,7 @@
 }
 
 func (o Order) decideCanary(s *State) Phase {
-	shiftDue := s.Age >= o.latestShiftStart(s.LongestAnswer)
+	shiftDue := s.Age >= o.latestShiftStart(s.LongestResponse)
 	switch {
 	case s.NewListed == 0 || s.Finding.Untrusted():
 		// There is no endpoint to shift to, or the version is untrusted: the order cannot be
@@ -97,7 +97,7 @@
 		return Canary
 	case s.OldListed == 0 && s.Age >= soleVersionDelay:
 		return Shifting
-	case s.Age < o.ShiftStart(s.LongestAnswer):
+	case s.Age < o.ShiftStart(s.LongestResponse):
 		return Canary
 	case o.negligible(s):
 		return Shifting
--- a/core/rollout/evidence.go
+++ b/core/rollout/evidence.go
@@ -161,9 +161,9 @@
 	return answers, failures, old
 }
 
-// LongestAnswer returns the longest time that a response of either version took, rounded up to
+// LongestResponse returns the longest time that a response of either version took, rounded up to
 // the end of its bucket.
-func (e Evidence) LongestAnswer() time.Duration {
+func (e Evidence) LongestResponse() time.Duration {
 	maxBucket := 0
 	for _, c := range e {
 		for b := buckets - 1; b > maxBucket; b-- {
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -111,7 +111,7 @@
 		}
 		r.at, r.finding, r.answers = age+stepDuration, monitor.Evaluate(r.phase, age, e, m.endpoints), r.exposed
 		state := State{
-			Age: age, Finding: r.finding, LongestAnswer: e.LongestAnswer(), NewListed: m.endpoints, OldListed: m.endpoints,
+			Age: age, Finding: r.finding, LongestResponse: e.LongestResponse(), NewListed: m.endpoints, OldListed: m.endpoints,
 			Drained: r.phase == Shifting && age-shiftStart >= m.order.RampDuration()+maxAnswerTime,
 		}
 		state.Answers, state.Failures, state.OldAnswers = e.Totals()
@@ -379,7 +379,7 @@
 
 func TestDecisions(t *testing.T) {
 	o := Order{Service: "s", Version: "v2", Duration: 10 * time.Second}
-	base := State{Age: 8 * time.Second, Answers: 100, OldAnswers: 1000, LongestAnswer: time.Second, NewListed: 5, OldListed: 5}
+	base := State{Age: 8 * time.Second, Answers: 100, OldAnswers: 1000, LongestResponse: time.Second, NewListed: 5, OldListed: 5}
 	with := func(change func(*State)) State {
 		s := base
 		change(&s)
--- a/core/suspect/ledger_test.go
+++ b/core/suspect/ledger_test.go
@@ -27,7 +27,7 @@
 	d := digestOf(1)
 	for i := range 3 {
 		is.True(!tr.Status(d).Convicted())
-		is.Equal(tr.Status(d).OnTrial(), i == 2)
+		is.Equal(tr.Status(d).Quarantined(), i == 2)
 		cutAndEnd(tr, time.Duration(i)*time.Second, d, uint64(i))
 	}
 	is.True(tr.Status(d).Convicted())
@@ -78,7 +78,7 @@
 		tr.RecordCut(0, 0, d, uint64(i), tr.Status(d).Generation)
 	}
 	is.Equal(tr.Status(d).Level, 0)
-	is.True(!tr.Status(d).OnTrial())
+	is.True(!tr.Status(d).Quarantined())
 	tr.Expire(cutTTL)
 	is.Equal(tr.Len(), 0)
 }
@@ -194,7 +194,7 @@
 	}
 	tr.SetReleased([]Digest{d})
 	is.True(!tr.Status(d).Convicted())
-	is.True(!tr.Status(d).OnTrial())
+	is.True(!tr.Status(d).Quarantined())
 	tr.SetReleased(nil)
 	is.True(tr.Status(d).Convicted())
 }
--- a/core/suspect/record.go
+++ b/core/suspect/record.go
@@ -63,9 +63,11 @@
 // Convicted reports whether the request may no longer be sent to an endpoint.
 func (s Status) Convicted() bool { return s.Level >= ConvictionLevel && !s.Released }
 
-// OnTrial reports whether the request may only run one copy at a time, where few other requests
+// Quarantined reports whether the request may only run one copy at a time, where few other requests
 // run.
-func (s Status) OnTrial() bool { return s.Level > 0 && s.PossibleLevel >= trialLevel && !s.Released }
+func (s Status) Quarantined() bool {
+	return s.Level > 0 && s.PossibleLevel >= quarantineLevel && !s.Released
+}
 
 // entry is the state of a request that was cut off at least once.
 type entry struct {
--- a/entry/amounts.go
+++ b/entry/amounts.go
@@ -64,8 +64,8 @@
 // another holder.
 func (p *peers) refund(a allowance.Amount) {
 	back := p.d.shares.refund(a)
-	if k := p.holdersByDistance(a.Organisation); back > 0 && len(k) > 0 {
-		p.returnUnits(a.Organisation, back, k[0].addr)
+	if holders := p.holdersByDistance(a.Organisation); back > 0 && len(holders) > 0 {
+		p.returnUnits(a.Organisation, back, holders[0].addr)
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -82,7 +82,7 @@
 	lastHandle atomic.Uint64
 
 	sched      *sharedScheduler
-	placing    *placement
+	placement  *placement
 	remoteJobs *remoteJobs
 	suspects   *suspects
 	notices    *notices
@@ -133,7 +133,7 @@
 	d.sched = newSharedScheduler(d.settings.Vm.Name, d.settings.Vm.FailureDomain, d.settings.Disabled, d.now)
 	d.sched.probe, d.sched.logEjection, d.sched.countInvalid = d.probe, d.logEjection, d.countInvalid
 	d.lastHandle.Store(rand.Uint64())
-	d.placing, d.remoteJobs = newPlacement(d), newRemoteJobs(d)
+	d.placement, d.remoteJobs = newPlacement(d), newRemoteJobs(d)
 	d.sched.deliverRemote = d.remoteJobs.deliver
 	d.suspects, d.notices = newSuspects(d), newNotices(d)
 	d.rollouts = newRollouts(d)
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -50,7 +50,7 @@
 	for try := 0; ; try++ {
 		j := c.nextJob(s)
 		j.Canary = c.d.rollouts.reserveCanary(c.service)
-		dec, ok := c.d.placing.place(ctx, c.reqHeaders.ID, j)
+		dec, ok := c.d.placement.place(ctx, c.reqHeaders.ID, j)
 		c.canary = j.Canary && dec.Endpoint != nil && dec.Endpoint.Canary
 		if j.Canary && !c.canary {
 			c.d.rollouts.releaseCanary(c.service)
@@ -68,7 +68,7 @@
 			s = &eventStream{c: c, lastEventID: c.reqHeaders.LastEventID}
 		}
 		last = c.tryEndpoint(ctx, dec, s)
-		c.d.placing.endRun(dec.Handle, last.outcome)
+		c.d.placement.endRun(dec.Handle, last.outcome)
 		if last.delivered {
 			return
 		}
@@ -193,12 +193,12 @@
 	ep := dec.Endpoint
 	// Bytes of a caller's request are sent to an endpoint only below this check, whichever VM
 	// chose the endpoint and however long that took.
-	view := c.d.suspects.status(c.digest)
-	if view.Convicted() {
-		return attemptResult{outcome: dispatch.CallerLeft, blocked: true}
+	status := c.d.suspects.status(c.digest)
+	if status.Convicted() {
+		return attemptResult{outcome: dispatch.CallerDisconnected, blocked: true}
 	}
 	if c.sendCount > 0 && !c.retryPermit.renew() {
-		return attemptResult{outcome: dispatch.CallerLeft, retryDenied: true, err: &RetryBudgetError{Service: c.service}}
+		return attemptResult{outcome: dispatch.CallerDisconnected, retryDenied: true, err: &RetryBudgetError{Service: c.service}}
 	}
 	lastID := c.reqHeaders.LastEventID
 	if s != nil {
@@ -211,7 +211,7 @@
 	}
 	tracked, ok := c.d.rollouts.beginAttempt(c, ep, c.canary)
 	if !ok {
-		return attemptResult{outcome: dispatch.CallerLeft, rolloutBlocked: true}
+		return attemptResult{outcome: dispatch.CallerDisconnected, rolloutBlocked: true}
 	}
 	c.tracked = tracked
 	before := c.sendCount
@@ -227,7 +227,7 @@
 			a.outcome, a.connectionLost = dispatch.Silent, true
 		}
 	}
-	c.d.suspects.recordAttempt(c, ep, sent, view.Generation, a)
+	c.d.suspects.recordAttempt(c, ep, sent, status.Generation, a)
 	tracked.finish(a, c.sendCount > before, before > 0)
 	return a
 }
@@ -240,7 +240,7 @@
 	var ex *upstream.ExchangeError
 	if errors.As(err, &ex) && ex.Stage == upstream.NotSent {
 		if requestCtx.Err() != nil {
-			return attemptResult{outcome: dispatch.CallerLeft, err: err}
+			return attemptResult{outcome: dispatch.CallerDisconnected, err: err}
 		}
 		return attemptResult{outcome: dispatch.Unreachable, err: err}
 	}
@@ -251,14 +251,14 @@
 	if err != nil {
 		c.mayHaveRun = true
 		if requestCtx.Err() != nil {
-			return attemptResult{outcome: dispatch.CallerLeft, err: err}
+			return attemptResult{outcome: dispatch.CallerDisconnected, err: err}
 		}
 		return attemptResult{outcome: dispatch.Broken, connectionLost: isConnectionBroken(err), err: err}
 	}
 	defer resp.Finish()
 	headers := c.d.codec.ParseResponse(resp.Response)
 	c.d.notices.observe(ep, sent, headers)
-	c.d.suspects.recordAnswerStart(c, ep, sent, headers)
+	c.d.suspects.recordResponseStart(c, ep, sent, headers)
 	return c.forwardResponse(requestCtx, dec.Handle, resp, headers, s, watchdog)
 }
 
@@ -280,7 +280,7 @@
 }
 
 // forwardResponse checks a response and forwards it if it is valid.
-func (c *callerRequest) forwardResponse(ctx context.Context, handle uint64, resp *upstream.Response, headers ResponseHeaders, s *eventStream, watch *stallWatchdog) attemptResult {
+func (c *callerRequest) forwardResponse(ctx context.Context, handle uint64, resp *upstream.Response, headers ResponseHeaders, s *eventStream, watchdog *stallWatchdog) attemptResult {
 	if headers.NotExecuted {
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxResponseBytes))
 		if headers.Replaced {
@@ -294,7 +294,7 @@
 		return attemptResult{outcome: dispatch.Broken, err: &UntrustedResponseError{Status: resp.StatusCode}}
 	}
 	if ok && s != nil {
-		return s.forward(ctx, handle, resp, watch)
+		return s.forward(ctx, handle, resp, watchdog)
 	}
 	if s != nil && s.headersSent {
 		return attemptResult{outcome: dispatch.Broken, err: &UntrustedResponseError{Status: resp.StatusCode}}
@@ -302,7 +302,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp, maxResponseBytes))
 	if err != nil {
 		if ctx.Err() != nil {
-			return attemptResult{outcome: dispatch.CallerLeft, err: err}
+			return attemptResult{outcome: dispatch.CallerDisconnected, err: err}
 		}
 		return attemptResult{outcome: dispatch.Broken, connectionLost: isConnectionBroken(err), err: err}
 	}
@@ -312,7 +312,7 @@
 		return attemptResult{outcome: dispatch.Failed, err: &FailedResponseError{Status: resp.StatusCode}}
 	}
 	c.tracked.markFirstEvent()
-	c.d.placing.recordEvents(handle, 1)
+	c.d.placement.recordEvents(handle, 1)
 	c.writeResponse(resp.Response, body)
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return attemptResult{outcome: dispatch.Failed, delivered: true}
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -49,7 +49,7 @@
 		d.peers.handleNote(n, from)
 		d.peers.handleNote(n, from)
 		d.remoteJobs.expireRequesters()
-		d.placing.updatePlacer()
+		d.placement.updatePlacer()
 		d.peers.sendRound(0)
 	})
 }
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -60,7 +60,7 @@
 		}
 		p.d.remoteJobs.expireRequesters()
 		p.updatePlacerRole()
-		p.d.placing.updatePlacer()
+		p.d.placement.updatePlacer()
 		p.d.sched.setCoverage(p.coverage())
 		p.d.rollouts.step()
 		p.sendRound(i)
@@ -76,7 +76,7 @@
 	n.Registry, n.RegistryEra = at.Offset, at.Era
 	n.Members = uint32(len(p.d.remoteJobs.requesterAddresses()))
 	n.Rollouts = p.d.rollouts.forNote()
-	if placer := p.d.placing.assignedPlacer(); placer != nil {
+	if placer := p.d.placement.assignedPlacer(); placer != nil {
 		n.Placer = placer.addr.String()
 	}
 	return n
@@ -91,7 +91,7 @@
 	heartbeat.Suspects, heartbeat.Notices = p.d.suspects.forNote(full), p.d.notices.forNote(full)
 	p.writeAll(p.encode(heartbeat), to.Heartbeats)
 	state := proto.Clone(heartbeat).(*schema.PeerNote)
-	p.d.placing.addRunState(state)
+	p.d.placement.addRunState(state)
 	if full {
 		state.Vms = p.listEntries()
 		// VMs that ask a placer need the event gaps in case they have to place requests themselves.
@@ -121,7 +121,7 @@
 // recipients returns who gets the i-th round of notes.
 func (p *peers) recipients(i uint64) cell.Recipients {
 	members := p.d.remoteJobs.requesterAddresses()
-	placer := p.d.placing.assignedPlacer()
+	placer := p.d.placement.assignedPlacer()
 	var next []string
 	if placer == nil && len(members) > 0 {
 		self, willing := p.willingPlacers(p.d.now())
@@ -143,10 +143,10 @@
 	return cell.ChooseRecipients(peers, i+p.offset, placer == nil)
 }
 
-// turnOffsetRange bounds rotation offsets; it exceeds the rotation length of any list in use.
-const turnOffsetRange = 1 << 16
+// rotationOffsetRange bounds rotation offsets; it exceeds the rotation length of any list in use.
+const rotationOffsetRange = 1 << 16
 
-func turnOffset(address string) uint64 { return xxhash.Sum64String(address) % turnOffsetRange }
+func rotationOffset(address string) uint64 { return xxhash.Sum64String(address) % rotationOffsetRange }
 
 func (p *peers) encode(n *schema.PeerNote) []byte {
 	b, err := proto.Marshal(n)
@@ -197,7 +197,7 @@
 
 // handleNote processes a received note.
 func (p *peers) handleNote(n *schema.PeerNote, from *net.UDPAddr) {
-	p.d.placing.handleDecisions(n, from)
+	p.d.placement.handleDecisions(n, from)
 	p.d.remoteJobs.handleNote(n, from)
 	if n.Address == "" {
 		// Messages about single requests carry nothing else.
@@ -266,14 +266,14 @@
 }
 
 func (s *sharedScheduler) applyPeerLoads(n *schema.PeerNote) {
-	uses := make([]dispatch.EndpointLoad, 0, len(n.Uses))
+	loads := make([]dispatch.EndpointLoad, 0, len(n.Uses))
 	for _, u := range n.Uses {
-		uses = append(uses, dispatch.EndpointLoad{EndpointHash: u.Endpoint, Load: dispatch.Load{
+		loads = append(loads, dispatch.EndpointLoad{EndpointHash: u.Endpoint, Load: dispatch.Load{
 			Running: int(u.Running), Waiting: int(u.Waiting), PromptTokens: int(u.PromptTokens),
 			EventGap: micros(uint64(u.EventGapUs)), RecentGap: micros(uint64(u.FreshGapUs)), SuspectedDown: u.Doubted, Replaced: u.Gone, Ejected: u.Ejected,
 		}})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.ApplyPeerLoads(s.now(), n.Vm, n.FailureDomain, uses, n.Placer == "")
+	s.sched.ApplyPeerLoads(s.now(), n.Vm, n.FailureDomain, loads, n.Placer == "")
 }
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -38,38 +38,38 @@
 	// urgent signals a change observed here that other VMs should receive at once.
 	urgent chan struct{}
 
-	mu     sync.Mutex
-	ledger *notice.Tracker
+	mu      sync.Mutex
+	tracker *notice.Tracker
 	// unreadableAt is when an unreadable header was last logged, evictedAt when records were last
 	// evicted.
 	unreadableAt, evictedAt time.Duration
 }
 
 func newNotices(d *Daemon) *notices {
-	return &notices{d: d, urgent: make(chan struct{}, 1), ledger: notice.New(), unreadableAt: -unreadableLogInterval}
+	return &notices{d: d, urgent: make(chan struct{}, 1), tracker: notice.New(), unreadableAt: -unreadableLogInterval}
 }
 
 // observe records an endpoint's response to a request that was sent at the time sent.
-func (n *notices) observe(ep *members.Endpoint, sent time.Duration, reply ResponseHeaders) {
-	if reply.Replaced {
+func (n *notices) observe(ep *members.Endpoint, sent time.Duration, headers ResponseHeaders) {
+	if headers.Replaced {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.logUnreadableHeaders(ep, reply.HeaderErrors)
-	received := reply.Notice
+	n.logUnreadableHeaders(ep, headers.HeaderErrors)
+	received := headers.Notice
 	// A response without an id may come from something other than the incarnation: it does not lift
 	// a limit.
-	received.LimitUnknown = received.LimitUnknown || reply.ID == "" && !received.HasLimit
+	received.LimitUnknown = received.LimitUnknown || headers.ID == "" && !received.HasLimit
 	n.count(received)
 	hash := dispatch.EndpointHash(ep.Key())
-	before := n.ledger.Current(hash)
-	if !n.ledger.RecordResponse(n.d.now(), sent, hash, received) {
+	before := n.tracker.Current(hash)
+	if !n.tracker.RecordResponse(n.d.now(), sent, hash, received) {
 		return
 	}
 	n.updateScheduler(hash)
 	n.logChange(hash, ep.ID, noticeObserved)
-	if n.ledger.Current(hash) == before {
+	if n.tracker.Current(hash) == before {
 		// A backoff binds only this VM: others receive it with the next note.
 		return
 	}
@@ -105,12 +105,12 @@
 			n.d.countInvalid(1)
 			continue
 		}
-		before := n.ledger.Current(r.Endpoint)
-		if !n.ledger.Merge(n.d.now(), r, n.d.sched.isListed(r.Endpoint)) {
+		before := n.tracker.Current(r.Endpoint)
+		if !n.tracker.Merge(n.d.now(), r, n.d.sched.isListed(r.Endpoint)) {
 			continue
 		}
 		n.updateScheduler(r.Endpoint)
-		if n.ledger.Current(r.Endpoint) != before {
+		if n.tracker.Current(r.Endpoint) != before {
 			n.logChange(r.Endpoint, "", noticeReceived)
 		}
 	}
@@ -119,8 +119,8 @@
 // updateScheduler passes the current notice of an incarnation to the scheduler. The caller holds
 // the lock.
 func (n *notices) updateScheduler(hash uint64) {
-	current := n.ledger.Current(hash)
-	ownEnd, othersEnd := n.ledger.BackoffEnds(hash)
+	current := n.tracker.Current(hash)
+	ownEnd, othersEnd := n.tracker.BackoffEnds(hash)
 	n.d.sched.setRateLimit(hash, current)
 	n.d.sched.setBackoff(hash, n.jitteredBackoffEnd(hash, ownEnd), othersEnd)
 	if current.Leaving {
@@ -131,8 +131,8 @@
 // logChange logs the current notice of an incarnation; id is empty if unknown. The caller holds the
 // lock.
 func (n *notices) logChange(hash uint64, id, learned string) {
-	current := n.ledger.Current(hash)
-	own, _ := n.ledger.BackoffEnds(hash)
+	current := n.tracker.Current(hash)
+	own, _ := n.tracker.BackoffEnds(hash)
 	n.d.log.Info().Str("endpoint", id).Uint64("endpoint_hash", hash).Str("learned", learned).
 		Dur("rest", max(0, own-n.d.now())).Bool("limited", current.HasLimit).Float64("per_second", current.Limit).Bool("leaving", current.Leaving).Msg("endpoint_notice")
 }
@@ -158,7 +158,7 @@
 		return
 	}
 	n.evictedAt = now
-	for _, hash := range n.ledger.Expire(now, unlistedTTL, n.d.sched.isListed) {
+	for _, hash := range n.tracker.Expire(now, unlistedTTL, n.d.sched.isListed) {
 		n.d.sched.clearNotice(hash)
 	}
 }
@@ -168,9 +168,9 @@
 func (n *notices) forNote(inRotation bool) []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	list := n.ledger.Recent(n.d.now(), maxRecentNotices)
+	list := n.tracker.Recent(n.d.now(), maxRecentNotices)
 	if inRotation {
-		list = append(list, n.ledger.NextInRotation(n.d.now(), maxRotatedNotices)...)
+		list = append(list, n.tracker.NextInRotation(n.d.now(), maxRotatedNotices)...)
 	}
 	return noticesToWire(list)
 }
@@ -179,7 +179,7 @@
 func (n *notices) forNewProcess() []*schema.EndpointNotice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return noticesToWire(n.ledger.Active(n.d.now(), maxStartNotices))
+	return noticesToWire(n.tracker.Active(n.d.now(), maxStartNotices))
 }
 
 func noticesToWire(list []notice.Record) []*schema.EndpointNotice {
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -82,8 +82,8 @@
 	learnedAt time.Duration
 	// incarnation identifies the peer's process; 0 if no note of it was received.
 	incarnation uint64
-	// lastHeard is when the last note arrived, 0 for never.
-	lastHeard time.Duration
+	// lastSeen is when the last note arrived, 0 for never.
+	lastSeen time.Duration
 	// usualInterval is the usual time between two notes of the peer.
 	usualInterval time.Duration
 	// State from the peer's own notes: it reads the configuration from the store, failed to read
@@ -147,7 +147,7 @@
 
 func newPeers(d *Daemon) *peers {
 	return &peers{
-		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.FleetSize{Region: 1, Domain: 1}, offset: turnOffset(d.settings.Listen.Peers),
+		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.FleetSize{Region: 1, Domain: 1}, offset: rotationOffset(d.settings.Listen.Peers),
 		relays: make(chan relay, relayBuffer), configHints: make(chan configHint, hintBuffer),
 		client: &http.Client{Transport: &http.Transport{DialContext: d.opts.Dial, DisableKeepAlives: true}},
 	}
@@ -276,14 +276,14 @@
 // would hold a share of what the others have divided without it.
 func (p *peers) countedByOthers() bool {
 	if !p.counted {
-		p.counted = p.listedBefore || p.d.now() >= newcomerTimeout || p.allHeard()
+		p.counted = p.listedBefore || p.d.now() >= newcomerTimeout || p.allSeen()
 	}
 	return p.counted
 }
 
-func (p *peers) allHeard() bool {
+func (p *peers) allSeen() bool {
 	for _, pe := range p.byAddress {
-		if pe.lastHeard == 0 {
+		if pe.lastSeen == 0 {
 			return false
 		}
 	}
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -144,7 +144,7 @@
 func (p *peers) seenWithin(pe *peer, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.d.now()-pe.lastHeard < d
+	return p.d.now()-pe.lastSeen < d
 }
 
 // markSilent excludes a VM from selection as placer until its next note. Heartbeats of VMs
--- a/entry/placing.go
+++ b/entry/placing.go
@@ -158,8 +158,8 @@
 			case schema.PlaceDecision_REFUSED:
 				return refusedDecision(m), true, ""
 			case schema.PlaceDecision_PLACED:
-				dec, why := p.adoptDecision(placer, j, m)
-				return dec, dec.Endpoint != nil, string(why)
+				dec, reason := p.adoptDecision(placer, j, m)
+				return dec, dec.Endpoint != nil, string(reason)
 			default:
 				return dec, false, localReasonUnknown
 			}
@@ -213,10 +213,10 @@
 	// ahead of this VM, whose own list still excludes the new endpoints.
 	j.Canary = j.Canary || p.d.rollouts.isShifting(j.Service)
 	j.LimitCharged = m.Counted
-	dec, why := p.d.sched.adopt(j, m.Endpoint, micros(m.PredictedUs), int(m.PromptTokens))
+	dec, reason := p.d.sched.adopt(j, m.Endpoint, micros(m.PredictedUs), int(m.PromptTokens))
 	if dec == nil {
 		p.cancelRemote(placer, j.Handle)
-		return dispatch.Decision{EndpointHash: m.Endpoint}, why
+		return dispatch.Decision{EndpointHash: m.Endpoint}, reason
 	}
 	dec.DecidedBy, dec.Candidates, dec.Waiting = placer.addr.String(), int(m.Candidates), int(m.Waiting)
 	dec.Load = dispatch.Load{Running: int(m.Running), PromptTokens: int(m.PromptTokens), EventGap: micros(m.EventGapUs)}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -54,23 +54,23 @@
 
 // isAlive reports whether a recent note was received from the VM.
 func (pe *peer) isAlive(now time.Duration) bool {
-	return pe.lastHeard > 0 && now-pe.lastHeard < max(aliveTimeout, aliveIntervals*pe.usualInterval)
+	return pe.lastSeen > 0 && now-pe.lastSeen < max(aliveTimeout, aliveIntervals*pe.usualInterval)
 }
 
 // presumedAlive reports whether the VM is alive as far as is known, including a new VM without a
 // note so far.
 func (pe *peer) presumedAlive(now time.Duration) bool {
-	return pe.isAlive(now) || pe.lastHeard == 0 && now-pe.learnedAt < unseenTimeout
+	return pe.isAlive(now) || pe.lastSeen == 0 && now-pe.learnedAt < unseenTimeout
 }
 
 // recordContact records that a note was received from the VM. A gap counts as at most
 // aliveIntervals times aliveTimeout in the average, or a VM that was away would count as alive
 // for long after.
 func (pe *peer) recordContact(now time.Duration) {
-	if pe.lastHeard > 0 {
-		pe.usualInterval += time.Duration(intervalWeight * float64(min(now-pe.lastHeard, aliveIntervals*aliveTimeout)-pe.usualInterval))
+	if pe.lastSeen > 0 {
+		pe.usualInterval += time.Duration(intervalWeight * float64(min(now-pe.lastSeen, aliveIntervals*aliveTimeout)-pe.usualInterval))
 	}
-	pe.lastHeard, pe.wentSilent = now, false
+	pe.lastSeen, pe.wentSilent = now, false
 }
 
 // configWatched reports whether a VM of this failure domain follows the configuration in the
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -77,12 +77,12 @@
 		return
 	}
 	j := r.dispatchJob(m)
-	view := r.d.suspects.status(j.Request)
-	if view.Convicted() {
+	status := r.d.suspects.status(j.Request)
+	if status.Convicted() {
 		r.sendDecision(from, &schema.PlaceDecision{Handle: m.Handle, Verdict: schema.PlaceDecision_REFUSED, Reason: reasonEndsEndpoints})
 		return
 	}
-	j.Suspicion = max(j.Suspicion, suspicionFor(view))
+	j.Suspicion = max(j.Suspicion, suspicionFor(status))
 	r.mu.Lock()
 	known := r.jobs[m.Handle]
 	if known == nil {
@@ -215,7 +215,7 @@
 		r.resendDecision(h, from)
 	}
 	for _, h := range ended {
-		r.drop(h, dispatch.CallerLeft)
+		r.drop(h, dispatch.CallerDisconnected)
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 	r.mu.Unlock()
 	for _, h := range ended {
-		r.drop(h, dispatch.CallerLeft)
+		r.drop(h, dispatch.CallerDisconnected)
 	}
 }
 
--- a/entry/rollout_evidence.go
+++ b/entry/rollout_evidence.go
@@ -22,8 +22,8 @@
 				c.WholeAnswer.Observe(took)
 			}
 		})
-	case dispatch.CallerLeft:
-		v.countCallerLeft(took)
+	case dispatch.CallerDisconnected:
+		v.countCallerDisconnected(took)
 	case dispatch.Failed:
 		v.countFailure()
 	case dispatch.Broken, dispatch.Silent:
@@ -35,9 +35,9 @@
 	}
 }
 
-// countCallerLeft counts a request whose caller disconnected. A caller that waited long saw a slow
+// countCallerDisconnected counts a request whose caller disconnected. A caller that waited long saw a slow
 // endpoint: without these counts slow versions would lose their slowest responses.
-func (v *trackedAttempt) countCallerLeft(took time.Duration) {
+func (v *trackedAttempt) countCallerDisconnected(took time.Duration) {
 	if v.cold || v.firstEventAfter == 0 && took < minCensoredTime {
 		return
 	}
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -30,7 +30,7 @@
 type judge struct {
 	// vms is the evidence of the failure domain's processes, domains that of whole failure domains.
 	vms, domains *rollout.Aggregator
-	watch        *rollout.Monitor
+	monitor      *rollout.Monitor
 	// drainedVMs and drainedDomains are those with no request at the old version.
 	drainedVMs, drainedDomains drainReports
 	// suspected and next are the last logged values.
@@ -60,7 +60,7 @@
 
 func newJudge(o rollout.Order) *judge {
 	return &judge{
-		vms: rollout.NewAggregator(), domains: rollout.NewAggregator(), watch: rollout.NewMonitor(o),
+		vms: rollout.NewAggregator(), domains: rollout.NewAggregator(), monitor: rollout.NewMonitor(o),
 		drainedVMs: make(drainReports), drainedDomains: make(drainReports),
 	}
 }
@@ -241,7 +241,7 @@
 	sum := m.judge.domains.Sum()
 	age := now - m.orderedAt
 	k := rollout.State{
-		Age: age, Finding: m.judge.watch.Evaluate(m.phase, age, sum, len(m.canaryEndpoints)), LongestAnswer: sum.LongestAnswer(),
+		Age: age, Finding: m.judge.monitor.Evaluate(m.phase, age, sum, len(m.canaryEndpoints)), LongestResponse: sum.LongestResponse(),
 		NewListed: m.listedNew, OldListed: m.listedOld, Held: slices.Contains(r.held, m.order.Service),
 	}
 	k.Answers, k.Failures, k.OldAnswers = sum.Totals()
--- a/entry/rollout_notes.go
+++ b/entry/rollout_notes.go
@@ -61,20 +61,20 @@
 
 // coverage returns the number of VMs served by the reachable placers, this VM included, and the
 // number of known VMs; both are 0 if the list of VMs is incomplete.
-func (p *peers) coverage() (heard, known int) {
+func (p *peers) coverage() (served, known int) {
 	now, members := p.d.now(), p.d.remoteJobs.requesterAddresses()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.listIsComplete {
 		return 0, 0
 	}
-	heard = 1 + len(members)
+	served = 1 + len(members)
 	for _, pe := range p.byAddress {
 		if pe.isAlive(now) && !pe.asksPlacer {
-			heard += 1 + pe.members
+			served += 1 + pe.members
 		}
 	}
-	return heard, len(p.byAddress) + 1
+	return served, len(p.byAddress) + 1
 }
 
 // fleetSize returns the number of VMs, this one included; 0 if the list is incomplete.
--- a/entry/scheduling.go
+++ b/entry/scheduling.go
@@ -67,11 +67,11 @@
 			}
 			probes := s.sched.DueProbes(s.now())
 			changes := s.sched.TakeEjectionChanges()
-			impossible := s.sched.TakeInvalidValues()
+			invalid := s.sched.TakeInvalidValues()
 			departures := s.members.TakeDepartures()
 			s.mu.Unlock()
 			s.onDepartures(departures)
-			s.countInvalid(impossible)
+			s.countInvalid(invalid)
 			for _, c := range changes {
 				s.logEjection(c)
 			}
@@ -82,10 +82,10 @@
 	}
 }
 
-func (s *sharedScheduler) recordProbe(id string, ok bool) {
+func (s *sharedScheduler) recordProbe(key string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.RecordProbe(s.now(), id, ok)
+	s.sched.RecordProbe(s.now(), key, ok)
 }
 
 func (s *sharedScheduler) deliver(decisions []dispatch.Decision) {
@@ -97,7 +97,7 @@
 		}
 		if !s.deliverRemote(d) && d.Endpoint != nil {
 			// The VM that sent the request has withdrawn it.
-			s.deliver(s.sched.EndRun(s.now(), d.Handle, dispatch.CallerLeft))
+			s.deliver(s.sched.EndRun(s.now(), d.Handle, dispatch.CallerDisconnected))
 		}
 	}
 }
@@ -119,10 +119,10 @@
 
 // adopt records that another VM placed a request. It returns nil and the reason if the endpoint
 // may not be used.
-func (s *sharedScheduler) adopt(j dispatch.Job, endpointHash uint64, firstEvent time.Duration, promptAhead int) (*dispatch.Decision, dispatch.UnusableReason) {
+func (s *sharedScheduler) adopt(j dispatch.Job, endpointHash uint64, predicted time.Duration, tokensAhead int) (*dispatch.Decision, dispatch.UnusableReason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sched.Adopt(s.now(), j, endpointHash, firstEvent, promptAhead)
+	return s.sched.Adopt(s.now(), j, endpointHash, predicted, tokensAhead)
 }
 
 // takeOwnership makes an adopted request count towards this VM's own load: the VM that placed it no
@@ -187,7 +187,7 @@
 		return dispatch.Decision{}, false
 	}
 	// The job has been placed in the meantime; release its slot.
-	s.deliver(s.sched.EndRun(s.now(), j.Handle, dispatch.CallerLeft))
+	s.deliver(s.sched.EndRun(s.now(), j.Handle, dispatch.CallerDisconnected))
 	return dispatch.Decision{}, false
 }
 
--- a/entry/sharing.go
+++ b/entry/sharing.go
@@ -15,11 +15,11 @@
 
 // sharedAllowances holds this VM's share of the allowances that all VMs spend from.
 type sharedAllowances struct {
-	now func() time.Duration
-	set *settings.Entry
+	now      func() time.Duration
+	settings *settings.Entry
 
-	mu     sync.Mutex
-	ledger *allowance.Limiter
+	mu      sync.Mutex
+	limiter *allowance.Limiter
 	// vms are all VMs, empty until they are known; holders are the VMs that hold a share of an
 	// organisation's allowance.
 	vms     []allowance.VM
@@ -34,7 +34,7 @@
 func newSharedAllowances(set *settings.Entry, now func() time.Duration) *sharedAllowances {
 	tol := allowance.Tolerance{Window: set.AllowanceWindow, Over: set.Bounds.AllowanceOver, Slack: set.Bounds.AllowanceSlack}
 	return &sharedAllowances{
-		now: now, set: set, ledger: allowance.New(tol),
+		now: now, settings: set, limiter: allowance.New(tol),
 		pending: make(map[string]float64), grantArrived: make(chan struct{}), holders: make(map[string][]allowance.VM),
 	}
 }
@@ -42,19 +42,19 @@
 func (s *sharedAllowances) setTable(t *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	terms := make([]allowance.Limit, 0, len(t.Document.Organisations))
+	limits := make([]allowance.Limit, 0, len(t.Document.Organisations))
 	s.reserves = reservesByTier(t.Document.Routes)
 	for _, o := range t.Document.Organisations {
-		terms = append(terms, allowance.Limit{Organisation: o.Name, Rate: o.Rate, Burst: o.Burst})
+		limits = append(limits, allowance.Limit{Organisation: o.Name, Rate: o.Rate, Burst: o.Burst})
 	}
-	s.ledger.SetLimits(s.now(), terms)
+	s.limiter.SetLimits(s.now(), limits)
 }
 
 // creditRestartAllowance adds the allowance reserved for restarted processes.
 func (s *sharedAllowances) creditRestartAllowance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.AddRestartGrant(s.now())
+	s.limiter.AddRestartGrant(s.now())
 }
 
 // setVMs sets the list of all VMs of the deployment, this one included.
@@ -66,7 +66,7 @@
 	}
 	s.vms = vms
 	s.holders = make(map[string][]allowance.VM)
-	s.ledger.SetShares(s.now(), s.shareOf)
+	s.limiter.SetShares(s.now(), s.shareOf)
 }
 
 // holdersOf returns the VMs that hold a share of an organisation's allowance.
@@ -77,21 +77,21 @@
 }
 
 func (s *sharedAllowances) holdersLocked(organisation string) []allowance.VM {
-	k, ok := s.holders[organisation]
+	holders, ok := s.holders[organisation]
 	if !ok {
-		k = allowance.Holders(organisation, s.vms)
-		s.holders[organisation] = k
+		holders = allowance.Holders(organisation, s.vms)
+		s.holders[organisation] = holders
 	}
-	return k
+	return holders
 }
 
 // shareOf returns this VM's share of an organisation's allowance, from 0 to 1.
 func (s *sharedAllowances) shareOf(organisation string) float64 {
-	k := s.holdersLocked(organisation)
-	if !slices.ContainsFunc(k, func(v allowance.VM) bool { return v.Address == s.set.Listen.Peers }) {
+	holders := s.holdersLocked(organisation)
+	if !slices.ContainsFunc(holders, func(v allowance.VM) bool { return v.Address == s.settings.Listen.Peers }) {
 		return 0
 	}
-	return 1 / float64(len(k))
+	return 1 / float64(len(holders))
 }
 
 const (
@@ -106,7 +106,7 @@
 // asks other VMs for grants and waits up to grantTimeout.
 func (s *sharedAllowances) spend(ctx context.Context, r allowance.Request, ask func(want allowance.Request, more bool)) allowance.SpendResult {
 	s.mu.Lock()
-	v := s.ledger.Spend(s.now(), r)
+	v := s.limiter.Spend(s.now(), r)
 	if v.OK {
 		s.mu.Unlock()
 		return v
@@ -134,7 +134,7 @@
 			done = true
 		}
 		s.mu.Lock()
-		v = s.ledger.Spend(s.now(), r)
+		v = s.limiter.Spend(s.now(), r)
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
@@ -148,14 +148,14 @@
 func (s *sharedAllowances) grant(want allowance.Request) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Grant(s.now(), want)
+	return s.limiter.Grant(s.now(), want)
 }
 
 // receiveGrant credits an amount granted by another VM and returns the excess to send back.
 func (s *sharedAllowances) receiveGrant(got allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	back = s.ledger.Credit(s.now(), got, s.pending[got.Organisation])
+	back = s.limiter.Credit(s.now(), got, s.pending[got.Organisation])
 	close(s.grantArrived)
 	s.grantArrived = make(chan struct{})
 	return back
@@ -181,7 +181,7 @@
 }
 
 func (s *sharedAllowances) reserveFor(tier int) float64 {
-	if s.set.Disabled.Has(mechanism.TierReserve) {
+	if s.settings.Disabled.Has(mechanism.TierReserve) {
 		return 0
 	}
 	s.mu.Lock()
@@ -194,5 +194,5 @@
 func (s *sharedAllowances) refund(a allowance.Amount) (back float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Credit(s.now(), a, 0)
+	return s.limiter.Credit(s.now(), a, 0)
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -55,9 +55,9 @@
 			if len(events) > 0 {
 				watchdog.recordEvent()
 				s.c.tracked.markFirstEvent()
-				s.c.d.placing.recordEvents(handle, s.splitter.IDCount)
+				s.c.d.placement.recordEvents(handle, s.splitter.IDCount)
 				if werr := s.writeEvents(resp.Response, events); werr != nil {
-					return attemptResult{outcome: dispatch.CallerLeft, err: werr, delivered: true}
+					return attemptResult{outcome: dispatch.CallerDisconnected, err: werr, delivered: true}
 				}
 			}
 		}
@@ -67,7 +67,7 @@
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				return attemptResult{outcome: dispatch.CallerLeft, err: err}
+				return attemptResult{outcome: dispatch.CallerDisconnected, err: err}
 			}
 			return attemptResult{outcome: dispatch.Broken, connectionLost: isConnectionBroken(err), err: err}
 		}
@@ -76,9 +76,9 @@
 
 // finish sends what is left of the last event and records the stream as complete.
 func (s *eventStream) finish(resp *http.Response) attemptResult {
-	if torn := s.splitter.Pending(); len(torn) > 0 {
-		if err := s.writeEvents(resp, torn); err != nil {
-			return attemptResult{outcome: dispatch.CallerLeft, err: err, delivered: true}
+	if partial := s.splitter.Pending(); len(partial) > 0 {
+		if err := s.writeEvents(resp, partial); err != nil {
+			return attemptResult{outcome: dispatch.CallerDisconnected, err: err, delivered: true}
 		}
 	}
 	if !s.headersSent {
--- a/entry/suspect_notes.go
+++ b/entry/suspect_notes.go
@@ -79,9 +79,9 @@
 func (s *suspects) forNote(inRotation bool) []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.ledger.Recent(s.d.now(), maxRecentSuspects)
+	list := s.tracker.Recent(s.d.now(), maxRecentSuspects)
 	if inRotation {
-		list = append(list, s.ledger.NextInRotation(s.d.now(), maxRecentSuspects)...)
+		list = append(list, s.tracker.NextInRotation(s.d.now(), maxRecentSuspects)...)
 	}
 	return suspectsToWire(list)
 }
@@ -90,7 +90,7 @@
 func (s *suspects) forNewProcess() []*schema.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return suspectsToWire(s.ledger.HighestLevel(s.d.now(), maxStartSuspects))
+	return suspectsToWire(s.tracker.HighestLevel(s.d.now(), maxStartSuspects))
 }
 
 // mergeRemote merges records received from another VM.
@@ -104,7 +104,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range list {
-		s.ledger.Merge(s.d.now(), suspectFromWire(m))
+		s.tracker.Merge(s.d.now(), suspectFromWire(m))
 	}
 	s.handleChanges(learned)
 }
@@ -177,7 +177,7 @@
 // for its failure domain. The VM that saw one may be lost before it has written it, and the
 // conviction with it if all VMs are killed while the store is away. The caller holds the lock.
 func (s *suspects) storeConvicted() {
-	convicted := s.ledger.ConvictedDigests()
+	convicted := s.tracker.ConvictedDigests()
 	if len(convicted) == 0 || !s.d.peers.isStoreReader() {
 		return
 	}
@@ -244,8 +244,8 @@
 // storeValue encodes the store's record of a request, nil if the request is no longer convicted.
 func (s *suspects) storeValue(d suspect.Digest) ([]byte, error) {
 	s.mu.Lock()
-	r, ok := s.ledger.RecordOf(s.d.now(), d)
-	convicted := ok && s.ledger.Status(d).Level >= suspect.ConvictionLevel
+	r, ok := s.tracker.RecordOf(s.d.now(), d)
+	convicted := ok && s.tracker.Status(d).Level >= suspect.ConvictionLevel
 	s.mu.Unlock()
 	if !convicted {
 		return nil, nil
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -41,8 +41,8 @@
 type suspects struct {
 	d *Daemon
 
-	mu     sync.Mutex
-	ledger *suspect.Tracker
+	mu      sync.Mutex
+	tracker *suspect.Tracker
 	// unanswered holds the requests here that no endpoint has answered yet. When a digest is
 	// convicted its other requests are stopped: those in an endpoint's queue have not run yet, and
 	// closing their connections may spare the endpoint.
@@ -67,30 +67,30 @@
 
 func newSuspects(d *Daemon) *suspects {
 	s := &suspects{
-		d: d, ledger: suspect.New(), unanswered: make(map[suspect.Digest]map[*callerRequest]context.CancelFunc),
+		d: d, tracker: suspect.New(), unanswered: make(map[suspect.Digest]map[*callerRequest]context.CancelFunc),
 		stored: make(map[suspect.Digest]bool), probing: make(map[uint64]bool), ended: make(map[uint64]time.Duration), storeQueue: make(chan suspect.Digest, storeQueueSize), urgent: make(chan struct{}, 1),
 	}
-	s.ledger.SetReleased(d.settings.Released)
+	s.tracker.SetReleased(d.settings.Released)
 	return s
 }
 
 func (s *suspects) setReleased(list []suspect.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.SetReleased(list)
+	s.tracker.SetReleased(list)
 }
 
 // status returns what is known against a request.
 func (s *suspects) status(d suspect.Digest) suspect.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Status(d)
+	return s.tracker.Status(d)
 }
 
 // suspicionFor returns how carefully a request is placed.
 func suspicionFor(v suspect.Status) dispatch.Suspicion {
 	switch {
-	case v.OnTrial():
+	case v.Quarantined():
 		return dispatch.Quarantined
 	case v.Level > 0 && !v.Released:
 		return dispatch.Suspected
@@ -103,7 +103,7 @@
 func (s *suspects) admit(c *callerRequest, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ledger.Status(c.digest).Convicted() {
+	if s.tracker.Status(c.digest).Convicted() {
 		return false
 	}
 	if s.unanswered[c.digest] == nil {
@@ -128,30 +128,30 @@
 	}
 }
 
-// recordAnswerStart records that an endpoint began to answer a request that was sent at the time
+// recordResponseStart records that an endpoint began to answer a request that was sent at the time
 // sent.
-func (s *suspects) recordAnswerStart(c *callerRequest, ep *members.Endpoint, sent time.Duration, reply ResponseHeaders) {
-	if reply.Replaced {
+func (s *suspects) recordResponseStart(c *callerRequest, ep *members.Endpoint, sent time.Duration, headers ResponseHeaders) {
+	if headers.Replaced {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !reply.NotExecuted {
+	if !headers.NotExecuted {
 		s.unregisterLocked(c)
 	}
-	s.ledger.RecordResponse(s.d.now(), sent, dispatch.EndpointHash(ep.Key()))
+	s.tracker.RecordResponse(s.d.now(), sent, dispatch.EndpointHash(ep.Key()))
 	s.handleChanges(learnedSeen)
 }
 
 // recordSuccess records that an endpoint gave a request a complete response. A response that ends
 // with its connection is ignored: it may be incomplete.
-func (s *suspects) recordSuccess(d suspect.Digest, ans *upstream.Response) {
-	if ans.Unframed() {
+func (s *suspects) recordSuccess(d suspect.Digest, resp *upstream.Response) {
+	if resp.Unframed() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.RecordSuccess(s.d.now(), d)
+	s.tracker.RecordSuccess(s.d.now(), d)
 	s.handleChanges(learnedSeen)
 }
 
@@ -188,9 +188,9 @@
 	hash := dispatch.EndpointHash(ep.Key())
 	s.mu.Lock()
 	now := s.d.now()
-	s.ledger.RecordCut(now, sent, d, hash, generation)
+	s.tracker.RecordCut(now, sent, d, hash, generation)
 	if _, ok := s.ended[hash]; ok {
-		s.ledger.RecordEnd(now, hash)
+		s.tracker.RecordEnd(now, hash)
 	}
 	s.handleChanges(learnedSeen)
 	s.mu.Unlock()
@@ -203,7 +203,7 @@
 	hash := dispatch.EndpointHash(ep.Key())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ended := s.ended[hash]; ended || s.probing[hash] || !s.ledger.Watched(hash) {
+	if _, ended := s.ended[hash]; ended || s.probing[hash] || !s.tracker.Watched(hash) {
 		return
 	}
 	s.probing[hash] = true
@@ -248,7 +248,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.d.now()
-	watched := s.ledger.Watched(hash)
+	watched := s.tracker.Watched(hash)
 	_, known := s.ended[hash]
 	s.ended[hash] = now
 	if !watched {
@@ -258,7 +258,7 @@
 		s.d.count("endpoints_ended")
 		s.d.log.Info().Str("endpoint", key).Uint64("endpoint_hash", hash).Str("how", how).Msg("endpoint_ended")
 	}
-	s.ledger.RecordEnd(now, hash)
+	s.tracker.RecordEnd(now, hash)
 	s.handleChanges(learnedSeen)
 }
 
@@ -278,7 +278,7 @@
 			continue
 		}
 		s.mu.Lock()
-		s.ledger.RecordLeaving(s.d.now(), dispatch.EndpointHash(dep.Key))
+		s.tracker.RecordLeaving(s.d.now(), dispatch.EndpointHash(dep.Key))
 		s.handleChanges(learnedSeen)
 		s.mu.Unlock()
 	}
@@ -289,7 +289,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.d.now()
-	s.ledger.Expire(now)
+	s.tracker.Expire(now)
 	for hash, at := range s.ended {
 		if now-at >= endedTTL {
 			delete(s.ended, hash)
@@ -311,7 +311,7 @@
 
 // handleChanges logs the ledger's latest changes and acts on them. The caller holds the lock.
 func (s *suspects) handleChanges(learned string) {
-	for _, c := range s.ledger.TakeChanges() {
+	for _, c := range s.tracker.TakeChanges() {
 		if learned == learnedSeen && c.Level > c.PreviousLevel {
 			select {
 			case s.urgent <- struct{}{}:
@@ -340,7 +340,7 @@
 // stopUnanswered stops the requests of a digest that no endpoint has answered. The caller holds the
 // lock.
 func (s *suspects) stopUnanswered(d suspect.Digest) {
-	if s.ledger.Status(d).Released {
+	if s.tracker.Status(d).Released {
 		return
 	}
 	for c, stop := range s.unanswered[d] {
