--- a/core/rollout/evaluate.go
+++ b/core/rollout/evaluate.go
@@ -39,7 +39,7 @@
 	// minOldAnswers is the number of responses of the old version that an estimate of these odds
 	// needs.
 	toleratedOldOddsRatio = 3
-	minOldAnswers         = 100
+	minOldResponses       = 100
 )
 
 // testedOddsRatios are the alternatives that the test averages over, in multiples of the
@@ -231,7 +231,7 @@
 		return 0
 	}
 	byVersion := logLikelihoodRatio(toleratedOddsRatio*float64(newVersion.total)/float64(oldVersion.total), newVersion.bad, oldVersion.bad)
-	if oldVersion.total < minOldAnswers {
+	if oldVersion.total < minOldResponses {
 		return byVersion
 	}
 	return max(byVersion, logLikelihoodRatio(toleratedOldOddsRatio*oldVersion.odds(), newVersion.bad, newVersion.total-newVersion.bad))
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -32,9 +32,9 @@
 const (
 	// gossipInterval, gossipFanout and recordsPerMessage describe the gossip: every 100 ms each VM
 	// sends its eight most important records to five others.
-	gossipInterval    = 100 * time.Millisecond
-	gossipFanout      = 5
-	recordsPerMessage = 8
+	gossipInterval = 100 * time.Millisecond
+	gossipFanout   = 5
+	recordsPerNote = 8
 	// lossRate is the share of messages that are lost.
 	lossRate = 0.02
 	// neighbours is the number of other requests that an endpoint runs.
@@ -63,7 +63,7 @@
 	}
 	var messages []message
 	for i, tr := range f.vms {
-		records := tr.Recent(f.now, recordsPerMessage)
+		records := tr.Recent(f.now, recordsPerNote)
 		if len(records) == 0 {
 			continue
 		}
@@ -205,7 +205,7 @@
 	d := digestOf(0)
 	f.simulate(d, 2, 60)
 	started := New()
-	for _, r := range f.vms[3].HighestLevel(f.now, recordsPerMessage) {
+	for _, r := range f.vms[3].HighestLevel(f.now, recordsPerNote) {
 		started.Merge(0, r)
 	}
 	if !started.Status(d).Convicted() {
@@ -213,7 +213,7 @@
 	}
 	fresh := New()
 	for range 20 {
-		for _, r := range f.vms[3].NextInRotation(f.now, recordsPerMessage) {
+		for _, r := range f.vms[3].NextInRotation(f.now, recordsPerNote) {
 			fresh.Merge(0, r)
 		}
 	}
@@ -231,12 +231,12 @@
 	}
 	b.Run("hot", func(b *testing.B) {
 		for b.Loop() {
-			_ = tr.Recent(0, recordsPerMessage)
+			_ = tr.Recent(0, recordsPerNote)
 		}
 	})
 	b.Run("turn", func(b *testing.B) {
 		for b.Loop() {
-			_ = tr.NextInRotation(0, recordsPerMessage)
+			_ = tr.NextInRotation(0, recordsPerNote)
 		}
 	})
 	for _, n := range []int{0, maxEntries} {
