--- a/core/dispatch/bounds.go
+++ b/core/dispatch/bounds.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Quantities from callers and other VMs are validated on input. An impossible value would
+// Quantities from callers and other VMs are validated on input. An out-of-range value would
 // spread through sums and predictions, and with the notes to all other VMs, where the only
 // symptom is requests that are placed badly.
 
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -151,7 +151,7 @@
 	list      []*endpoint
 	queue     []*Job
 	latency   latencyModel
-	// scarce is set while few endpoints have room.
+	// scarce is set while few endpoints have capacity.
 	scarce bool
 	// placements is the recent rate of placements, classPlacements the rate for each class.
 	placements      decayingRate
@@ -169,7 +169,7 @@
 	runs map[uint64]*run
 	// peerLoads are the loads of other VMs.
 	peerLoads []peerLoad
-	// eventGap is the undisturbed time between two events, answerTime the mean response time
+	// eventGap is the undisturbed time between two events, responseTime the mean response time
 	// for jobs without a prompt, both in seconds.
 	eventGap     lowEstimate
 	responseTime float64
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against several VMs taking the same slot: up to seven requests that were expected on
-// time waited in the queue of one engine while others had room. Several VMs saw the free slot
+// time waited in the queue of one engine while others had capacity. Several VMs saw the free slot
 // in each other's last notes, a tenth of a second old, and each took it. Load: one and a half
 // times the engines' capacity; before turns were introduced, 0.15 of the middle tier were late
 // despite a prediction on time.
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against requests that wait for a turn although there is room for all: with 66 VMs a
+// Guards against requests that wait for a turn although there is capacity for all: with 66 VMs a
 // third of the requests were late under light load, with half of the slots free. VMs receive
 // most peers' loads only once in half a second, so each endpoint was left to the VMs ranked
 // first, while the others waited in vain, and endpoints in other domains were taken by several
@@ -126,7 +126,7 @@
 }
 
 // Guards against turns at the slots of plain services: a third of the lookups of one were late
-// though its servers had room. Its responses take 60 ms, while each of 66 VMs waited a tenth of
+// though its servers had capacity. Its responses take 60 ms, while each of 66 VMs waited a tenth of
 // a second or more for its turn. A turn costs more there than the short queue that it avoids.
 func TestNoSlotTurnsForPlainServices(t *testing.T) {
 	is := is.New(t)
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -10,7 +10,7 @@
 // maxQueued limits the queued jobs of one service on a VM.
 const maxQueued = 400
 
-// openEndpoint is an endpoint with room for a job, and its load.
+// openEndpoint is an endpoint with capacity for a job, and its load.
 type openEndpoint struct {
 	ep   *endpoint
 	load Load
@@ -35,7 +35,7 @@
 	kept := sv.queue[:0]
 	for _, j := range sv.queue {
 		c := s.bestCandidate(now, sv, j, open)
-		// A job that can still be on time elsewhere waits for room there.
+		// A job that can still be on time elsewhere waits for capacity there.
 		if c.ep == nil || !c.onTime && !j.late && !isCanaryRun(j, c.ep) {
 			kept = append(kept, j)
 			continue
@@ -47,7 +47,7 @@
 	sv.queue = kept
 }
 
-// openEndpoints returns the endpoints that have room for a job.
+// openEndpoints returns the endpoints that have capacity for a job.
 func (s *Scheduler) openEndpoints(now time.Duration, sv *service) []openEndpoint {
 	var open []openEndpoint
 	accepts := (*endpoint).eligible
@@ -66,7 +66,7 @@
 }
 
 // refreshLoad recomputes the load of an endpoint that was assigned a job and removes the
-// endpoint if it has no more room.
+// endpoint if it has no more capacity.
 func (s *Scheduler) refreshLoad(now time.Duration, sv *service, open []openEndpoint, e *endpoint) []openEndpoint {
 	i := slices.IndexFunc(open, func(o openEndpoint) bool { return o.ep == e })
 	open[i].load = e.totalLoad(now, sv.latency.prefillTime(e, 0), s.lastNote)
--- a/core/dispatch/suspicion_test.go
+++ b/core/dispatch/suspicion_test.go
@@ -43,7 +43,7 @@
 // Guards against innocent requests that are taken for the cause of an endpoint's termination:
 // after three terminations more than one request had been at all three. The request at fault
 // and those that ran beside it are retried together, and placement by least load puts them on
-// the same endpoint again. Suspects run apart while there is room elsewhere.
+// the same endpoint again. Suspects run apart while there is capacity elsewhere.
 func TestSuspectsRunApart(t *testing.T) {
 	is := is.New(t)
 	s := newEngineScheduler(4)
--- a/core/dispatch/unservable.go
+++ b/core/dispatch/unservable.go
@@ -14,7 +14,7 @@
 }
 
 // minQueuedPerClass is the number of jobs of a class that may always wait, whatever the recent
-// rate of placements: they reveal when there is room for the class again.
+// rate of placements: they reveal when there is capacity for the class again.
 const minQueuedPerClass = 3
 
 func (sv *service) classRate(c class) *decayingRate {
--- a/core/limit/fleet_test.go
+++ b/core/limit/fleet_test.go
@@ -43,7 +43,7 @@
 
 	sched   *dispatch.Scheduler
 	tracker *notice.Tracker
-	// known are the VMs that it knows, lastGossip is when each last sent a message.
+	// known are the VMs that it knows, lastGossip is when each last sent a note.
 	known      map[int]bool
 	lastGossip map[int]time.Duration
 	started    time.Duration
@@ -118,7 +118,7 @@
 	}})
 }
 
-// gossip sends a VM's message to the VMs in its partition that it knows.
+// gossip sends a VM's note to the VMs in its partition that it knows.
 func (f *fleet) gossip(i int) {
 	from := &f.vms[i]
 	records := from.tracker.NextInRotation(f.now, 1)
@@ -148,7 +148,7 @@
 	v.sched.RemoveLimit(name)
 }
 
-// reachable returns the number of VMs heard from recently, including itself.
+// reachable returns the number of VMs seen recently, including itself.
 func (f *fleet) reachable(v *vm) int {
 	n := 1
 	for _, at := range v.lastGossip {
@@ -251,7 +251,7 @@
 }
 
 // Guards against VMs that together exceed the limit that an endpoint names, while they start, are partitioned, crash,
-// and receive and send messages late.
+// and receive and send notes late.
 func TestAllVMsTogetherStayWithinLimit(t *testing.T) {
 	counted := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -3,7 +3,7 @@
 // For each endpoint one VM sends at a time: the first among the placers, in an order by endpoint that all VMs
 // agree on. A placer serves the VMs that request placements from it. No quota is therefore divided by the number of
 // VMs, and none is handed out that could be lost or held twice. VMs disagree on who is first for as long as
-// they do not receive each other's gossip: while messages are in transit, and during a partition. Therefore a VM
+// they do not receive each other's notes: while notes are in transit, and during a partition. Therefore a VM
 // uses majorityShare of the limit only if it reaches the placers of more than half of all known VMs, which is
 // possible on at most one side of a partition; all others together use minorityShare. Lists of VMs differ while VMs
 // are added. Even if two VMs then both take themselves for the first on the larger side, they stay within one and a
--- a/core/members/members.go
+++ b/core/members/members.go
@@ -40,7 +40,7 @@
 	return e.ID + "@" + strconv.FormatInt(e.Born, 10)
 }
 
-// EndpointHash returns the hash by which VMs identify an incarnation in messages, from its key.
+// EndpointHash returns the hash by which VMs identify an incarnation in notes, from its key.
 func EndpointHash(key string) uint64 { return xxhash.Sum64String(key) }
 
 // Change is one record of the registry: an endpoint, or its removal.
@@ -67,7 +67,7 @@
 	availableSince  time.Duration
 	everUnavailable bool
 	byService       map[string][]*Endpoint
-	// endpointHashes are the key hashes of the known incarnations; nil after a change.
+	// endpointHashes are the endpoint hashes of the known incarnations; nil after a change.
 	endpointHashes map[uint64]bool
 	version        uint64
 	// latestBorn is the latest start known of each id, including ids that are gone. A record
@@ -77,7 +77,7 @@
 	// tombstones are the incarnations that are gone, by id. A registry restored from a backup
 	// lists them again, in their state of some seconds ago.
 	tombstones map[string]tombstone
-	// announcedLeaving are the key hashes of the incarnations that announced that they leave.
+	// announcedLeaving are the endpoint hashes of the incarnations that announced that they leave.
 	announcedLeaving map[uint64]bool
 	// restores counts the restores of the registry, restoredAt is the time of the last.
 	restores   int
@@ -125,8 +125,8 @@
 	return &Set{known: make(map[string]*entry), latestBorn: make(map[string]int64), tombstones: make(map[string]tombstone), announcedLeaving: make(map[uint64]bool)}
 }
 
-// MarkLeaving records that an incarnation, given by its key hash, has announced that it leaves. The registry
-// may not list it yet, may lag, or may be restored from a backup.
+// MarkLeaving records that an incarnation, given by its endpoint hash, has announced that it
+// leaves. The registry may not list it yet, may lag, or may be restored from a backup.
 func (s *Set) MarkLeaving(hash uint64) {
 	s.announcedLeaving[hash] = true
 	for _, e := range s.known {
@@ -315,7 +315,8 @@
 	return list
 }
 
-// Contains reports whether an incarnation is known, by its key hash. Leaving ones are included.
+// Contains reports whether an incarnation is known, by its endpoint hash. Leaving ones are
+// included.
 func (s *Set) Contains(hash uint64) bool {
 	if s.endpointHashes == nil {
 		s.endpointHashes = make(map[uint64]bool, len(s.known))
--- a/core/notice/bench_test.go
+++ b/core/notice/bench_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// BenchmarkGossipRecords measures building the records of one gossip message: recent ones, ten times a second, and
+// BenchmarkGossipRecords measures building the records of one note: recent ones, ten times a second, and
 // those in rotation, once a second.
 func BenchmarkGossipRecords(b *testing.B) {
 	tr := filledTracker(targetEndpoints)
--- a/core/notice/fleet_test.go
+++ b/core/notice/fleet_test.go
@@ -12,7 +12,7 @@
 
 const (
 	gossipInterval = 100 * time.Millisecond
-	// recentRecords and rotationRecords are the numbers of records in a message; one message in rotationEvery carries
+	// recentRecords and rotationRecords are the numbers of records in a note; one note in rotationEvery carries
 	// the latter. One in lossEvery records is lost.
 	recentRecords, rotationRecords = 16, 8
 	rotationEvery                  = 10
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,6 +1,6 @@
 // Package notice tracks what incarnations of endpoints announce about themselves in their responses: rate limits,
-// backoff and that they leave. It performs no I/O: responses, records of other VMs and the current time are passed
-// in.
+// backoff and that they leave. VMs send each other records of them in notes, the datagrams that they exchange ten
+// times a second. The package performs no I/O: responses, records of other VMs and the current time are passed in.
 package notice
 
 import "time"
--- a/core/notice/tracker.go
+++ b/core/notice/tracker.go
@@ -8,11 +8,10 @@
 )
 
 const (
-	// transitAllowance is subtracted from the times that another VM reports: its message may have been in transit
+	// transitAllowance is subtracted from the times that another VM reports: its note may have been in transit
 	// for that long, and must not override a response that was received here in the meantime.
 	transitAllowance = 500 * time.Millisecond
-	// maxSends is the number of gossip messages that carry a change before it is only sent in rotation. Few
-	// datagrams are lost.
+	// maxSends is the number of notes that carry a change before it is only sent in rotation. Few notes are lost.
 	maxSends = 3
 	// maxEntries bounds the number of tracked incarnations.
 	maxEntries = 1 << 14
@@ -83,7 +82,7 @@
 	// backoffUntil is when the backoff ends that the incarnation asked of this VM, othersBackoffUntil the latest end
 	// of those that it asked of other VMs.
 	backoffUntil, othersBackoffUntil time.Duration
-	// changedAt is when the notice or a backoff last changed, sends the number of messages that carried the change.
+	// changedAt is when the notice or a backoff last changed, sends the number of notes that carried the change.
 	changedAt time.Duration
 	sends     int
 	// listed is when the registry was last seen to list the incarnation, responded when its last response arrived here.
@@ -243,8 +242,8 @@
 	return Record{Endpoint: endpoint, Limit: e.limit, Asked: e.asked.age(now), Named: e.named.age(now), Lifted: e.lifted.age(now), Leaving: e.leaving, Backoff: max(0, e.backoffUntil-now)}
 }
 
-// Recent returns at most n records that changed recently, for one gossip message. Records with a notice that holds
-// for all VMs come first, then those that fewer messages have carried.
+// Recent returns at most n records that changed recently, for one note. Records with a notice that holds
+// for all VMs come first, then those that fewer notes have carried.
 func (t *Tracker) Recent(now time.Duration, n int) []Record {
 	list := t.selectRecords(now, n, func(e *entry) bool { return e.sends < maxSends && e.gossiped(now) })
 	for _, r := range list {
--- a/core/rollout/evaluate.go
+++ b/core/rollout/evaluate.go
@@ -36,7 +36,7 @@
 	untrustedThreshold = 6.5
 	// toleratedOldOddsRatio is the tolerated ratio to the odds among the old version's own
 	// responses, which are known less precisely than the versions' shares of the bad responses.
-	// minOldAnswers is the number of responses of the old version that an estimate of these odds
+	// minOldResponses is the number of responses of the old version that an estimate of these odds
 	// needs.
 	toleratedOldOddsRatio = 3
 	minOldResponses       = 100
--- a/core/suspect/doc.go
+++ b/core/suspect/doc.go
@@ -21,10 +21,11 @@
 //     that terminated three incarnations.
 //   - A response, even one that reports a failure, clears all earlier sightings: when many callers
 //     send the same body, some of the copies succeed.
-//   - From the second generation on a request is on trial: it runs one copy at a time, where few
-//     other requests run, so that the next termination is not caused by another request
+//   - From the second generation on a request is quarantined: it runs one copy at a time, where
+//     few other requests run, so that the next termination is not caused by another request
 //     (core/dispatch).
 //
-// VMs gossip what they know. Merging takes the maximum of each value, so the order, duplication
-// and loss of messages do not matter, and a VM that rejoins after a partition lowers no value.
+// VMs gossip what they know, in the notes that they send each other ten times a second. Merging
+// takes the maximum of each value, so the order, duplication and loss of notes do not matter, and a
+// VM that rejoins after a partition lowers no value.
 package suspect
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -35,7 +35,7 @@
 	gossipInterval = 100 * time.Millisecond
 	gossipFanout   = 5
 	recordsPerNote = 8
-	// lossRate is the share of messages that are lost.
+	// lossRate is the share of notes that are lost.
 	lossRate = 0.02
 	// neighbours is the number of other requests that an endpoint runs.
 	neighbours = 11
@@ -55,7 +55,7 @@
 	return f.partitioned && (a < len(f.vms)/2) != (b < len(f.vms)/2)
 }
 
-// gossip lets each VM send one message to each of gossipFanout others.
+// gossip lets each VM send one note to each of gossipFanout others.
 func (f *fleet) gossip() {
 	type message struct {
 		to      int
@@ -141,7 +141,7 @@
 // Guards against each VM admitting the request anew, when each retry arrives at another VM and
 // each VM sees only the terminations that its own copies caused. All VMs must refuse the request
 // well within three seconds of the third termination, at any number of VMs and any request rate,
-// although messages are lost.
+// although notes are lost.
 func TestConvictionReachesAllVMsInTime(t *testing.T) {
 	for n, seeds := range map[int]uint64{3: 10, 8: 10, 66: 2, 300: 1, 1800: 1} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
@@ -222,7 +222,7 @@
 	}
 }
 
-// BenchmarkNotes measures building the records of one gossip message while many requests are
+// BenchmarkNotes measures building the records of one note while many requests are
 // recent, and looking up the status of a request with 1,000 suspects known.
 func BenchmarkNotes(b *testing.B) {
 	tr := New()
--- a/core/suspect/gossip.go
+++ b/core/suspect/gossip.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// recentFor is how long a new record goes into each gossip message. Messages leave ten times a
-// second to at least five VMs, so each round multiplies the number of VMs that have the record
+// recentFor is how long a new record goes into each note. Notes leave ten times a second to at
+// least five VMs, so each round multiplies the number of VMs that have the record
 // by about six: it reaches 1,800 VMs after five rounds, half a second. The rest of the time makes
-// up for lost messages.
+// up for lost notes.
 const recentFor = 1500 * time.Millisecond
 
 // Recent returns up to n records that changed recently, the most important first. They go into
-// each gossip message.
+// each note.
 func (t *Tracker) Recent(now time.Duration, n int) []Record {
 	type candidate struct {
 		d       Digest
@@ -51,7 +51,7 @@
 }
 
 // NextInRotation returns up to n records. Successive calls go through all of them, so that VMs
-// that missed a message or have just started receive every record.
+// that missed a note or have just started receive every record.
 func (t *Tracker) NextInRotation(now time.Duration, n int) []Record {
 	all := make([]Digest, 0, len(t.entries))
 	for d, e := range t.entries {
--- a/core/suspect/tracker.go
+++ b/core/suspect/tracker.go
@@ -14,9 +14,9 @@
 	// for some whose callers retry at once. Users tolerate three terminations and a few attempts
 	// after them.
 	ConvictionLevel = 3
-	// quarantineLevel is the number of possible generations from which a request is on trial, provided
-	// that at least one of them certainly terminated an endpoint. Broken connections alone put no
-	// request on trial.
+	// quarantineLevel is the number of possible generations from which a request is quarantined,
+	// provided that at least one of them certainly terminated an endpoint. Broken connections alone
+	// quarantine no request.
 	quarantineLevel = 2
 	// maxEntries bounds the number of tracked requests, at about half a megabyte. One termination of
 	// an endpoint adds a dozen entries. An attacker who keeps sending new bodies that crash
--- a/core/suspect/tracker_test.go
+++ b/core/suspect/tracker_test.go
@@ -260,7 +260,7 @@
 	is.Equal(tr.Len(), 0)
 }
 
-// NextInRotation covers all entries that matter, however few records fit into a message.
+// NextInRotation covers all entries that matter, however few records fit into a note.
 func TestNextInRotationCoversAll(t *testing.T) {
 	is := is.New(t)
 	tr := New()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -56,7 +56,7 @@
 
 	table atomic.Pointer[routing.Table]
 	// configMu serialises the loading of configurations; configRecord is the store's record of
-	// the one in force.
+	// the current one.
 	configMu     sync.Mutex
 	configRecord atomic.Pointer[Record]
 	// endpointsLoaded is set once the registry was read.
@@ -233,7 +233,7 @@
 }
 
 // ready reports whether this VM can serve requests. An outage of the store does not change that:
-// the last known state stays in force.
+// the last known state stays in use.
 func (d *Daemon) ready() bool {
 	return !d.draining.Load() && d.hasInitialState()
 }
@@ -299,8 +299,7 @@
 	}
 }
 
-// logEjection logs which endpoint gets only trial requests, and why, or that it no longer is
-// ejected.
+// logEjection logs that an endpoint was ejected and why, or that it was readmitted.
 func (d *Daemon) logEjection(c dispatch.EjectionChange) {
 	event := "endpoint_taken_back"
 	if c.Ejected {
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -138,8 +138,8 @@
 			SameCell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
-	// Each VM starts the rotation at another offset: otherwise a VM would hear from all others at
-	// once and then from none for a while.
+	// Each VM starts the rotation at another offset: otherwise a VM would receive notes from all
+	// others at once and then from none for a while.
 	return cell.ChooseRecipients(peers, i+p.offset, placer == nil)
 }
 
@@ -200,7 +200,7 @@
 	p.d.placement.handleDecisions(n, from)
 	p.d.remoteJobs.handleNote(n, from)
 	if n.Address == "" {
-		// Messages about single requests carry nothing else.
+		// Notes about single requests contain nothing else.
 		return
 	}
 	p.mu.Lock()
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -69,8 +69,8 @@
 	sharedAmong int
 }
 
-// newcomerTimeout is the uptime after which a VM takes its share of the allowances even if some
-// listed VMs were never heard from: they may be gone for good.
+// newcomerTimeout is the uptime after which a VM takes its share of the allowances even if no
+// note was ever received from some listed VMs: they may be gone for good.
 const newcomerTimeout = 5 * time.Second
 
 type peer struct {
@@ -108,9 +108,9 @@
 const placerNameTTL = 12 * time.Second
 
 // placesRequests reports whether the VM places requests, its own or others', and thus needs loads.
-// A VM that was never heard from does so only if notes name it as a placer: if loads were sent to
-// all remote VMs in rotation, the placers among them would get them too seldom and send requests to
-// full engines.
+// A VM that has sent no note so far counts as one only if notes name it as a placer: if loads were
+// sent to all remote VMs in rotation, the placers among them would get them too seldom and send
+// requests to full engines.
 func (pe *peer) placesRequests(now time.Duration) bool {
 	return pe.isAlive(now) && !pe.asksPlacer || pe.namedAt > 0 && now-pe.namedAt < placerNameTTL
 }
@@ -272,8 +272,8 @@
 }
 
 // countedByOthers reports whether the other VMs count this one when dividing shared amounts. A VM
-// sends notes only to VMs that it counts, so a peer that was heard from does. Before that this VM
-// would hold a share of what the others have divided without it.
+// sends notes only to VMs that it counts, so a peer from which a note was received does. Before
+// that this VM would hold a share of what the others have divided without it.
 func (p *peers) countedByOthers() bool {
 	if !p.counted {
 		p.counted = p.listedBefore || p.d.now() >= newcomerTimeout || p.allSeen()
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -12,14 +12,14 @@
 
 const (
 	// placerTimeout is the time without a note after which a placer is considered lost: notes are
-	// sent ten times a second, and one datagram in a hundred is lost.
+	// sent ten times a second, and one in a hundred is lost.
 	placerTimeout = 350 * time.Millisecond
 	// placeRetryInterval is the interval at which an unanswered placement request is sent again,
 	// twenty round trips within a region; after maxPlaceRequests the VM places the request
 	// itself.
 	placeRetryInterval = 40 * time.Millisecond
 	maxPlaceRequests   = 3
-	// placerAvoidTime is how long a placer that did not answer is not used.
+	// placerAvoidTime is how long a placer that did not respond is not used.
 	placerAvoidTime = time.Second
 	// placerWarmup is how long a process receives notes before it places requests for others:
 	// until then it knows neither their loads nor the speeds of the endpoints. If no other VM
@@ -82,7 +82,7 @@
 		p.d.log.Info().Str("request", request).Str("placer", placer.addr.String()).Str("reason", localReason).
 			Uint64("endpoint_hash", dec.EndpointHash).Dur("asked_for", p.d.now()-start).Msg("placer_passed_over")
 		if dec.EndpointHash != 0 && len(j.Avoided) < maxAvoided && localReason != string(dispatch.CanaryOnly) {
-			// Ask again under a new handle: messages about the old one may still be in transit.
+			// Ask again under a new handle: notes about the old one may still be in transit.
 			j.Avoided = append(j.Avoided, dec.EndpointHash)
 			j.Handle = p.d.lastHandle.Add(1)
 			continue
@@ -241,7 +241,7 @@
 	p.d.peers.send(&schema.PeerNote{Progress: []*schema.RunProgress{m}}, to.addr)
 }
 
-// avoidPlacer stops using a placer that did not answer, for placerAvoidTime.
+// avoidPlacer stops using a placer that did not respond, for placerAvoidTime.
 func (p *placement) avoidPlacer(placer *peer) {
 	p.d.peers.setAvoidUntil(placer, p.d.now()+placerAvoidTime)
 	p.d.log.Warn().Str("placer", placer.addr.String()).Int("asks", maxPlaceRequests).Dur("for", placerAvoidTime).Msg("placer_lost")
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// fetchConfig fetches the configuration that another VM has in force.
+// fetchConfig fetches the current configuration of another VM.
 func (p *peers) fetchConfig(ctx context.Context, h configHint) (*Record, []*schema.Rollout, error) {
 	ctx, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -20,8 +20,8 @@
 	requesterTimeout = 1500 * time.Millisecond
 )
 
-// remoteJobs holds the requests of other VMs that this VM places. Lost datagrams are recovered
-// through the notes, which list all requests: a request that a note does not list has ended, and
+// remoteJobs holds the requests of other VMs that this VM places. A lost note is made up
+// for by later ones, which list all requests: a request that a note does not list has ended, and
 // the decision on one that it lists as waiting is sent again.
 type remoteJobs struct {
 	d *Daemon
@@ -35,7 +35,7 @@
 // requester is a VM that sends placement requests to this one. Requests are kept per VM, so that
 // each note is compared with the requests of its sender only.
 type requester struct {
-	// lastSeen is when the last message was received.
+	// lastSeen is when the last note was received.
 	lastSeen time.Duration
 	jobs     map[uint64]*remoteJob
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// recordContact records that a message was received from a requester.
+// recordContact records that a note was received from a requester.
 func (r *remoteJobs) recordContact(from *net.UDPAddr) *requester {
 	address := from.String()
 	req := r.requesters[address]
@@ -219,7 +219,7 @@
 	}
 }
 
-// expireRequesters drops the requests of VMs that have stopped sending messages.
+// expireRequesters drops the requests of VMs that have stopped sending notes.
 func (r *remoteJobs) expireRequesters() {
 	now := r.d.now()
 	var ended []uint64
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -300,7 +300,7 @@
 	return m != nil && m.phase == rollout.Shifting
 }
 
-// markFirstEvent records that the endpoint began to answer.
+// markFirstEvent records that the endpoint began to respond.
 func (v *trackedAttempt) markFirstEvent() {
 	if v != nil && v.firstEventAfter == 0 {
 		v.firstEventAfter = v.rollouts.d.now() - v.startedAt
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -26,8 +26,8 @@
 const endedTTL = 10 * time.Second
 
 // suspects detects poison requests, which crash the endpoints that run them, and keeps them from
-// running. Sightings from this VM and others go into a ledger, which decides. This file detects the
-// cuts, ends and responses that the ledger records:
+// running. Sightings from this VM and others go into a tracker, which decides. This file detects
+// the cuts, ends and responses that the tracker records:
 //
 //   - A cut: the connection of a request broke, or was given up for silence, while the registry
 //     listed the incarnation and it had not announced that it leaves. Responses that were
@@ -43,7 +43,7 @@
 
 	mu      sync.Mutex
 	tracker *suspect.Tracker
-	// unanswered holds the requests here that no endpoint has answered yet. When a digest is
+	// unanswered holds the requests here that no endpoint has responded to yet. When a digest is
 	// convicted its other requests are stopped: those in an endpoint's queue have not run yet, and
 	// closing their connections may spare the endpoint.
 	unanswered map[suspect.Digest]map[*callerRequest]context.CancelFunc
@@ -98,8 +98,8 @@
 	return dispatch.Unsuspected
 }
 
-// admit reports whether a request may run. If the request is convicted before an endpoint answers
-// it, stop is called. The caller must call unregister afterwards.
+// admit reports whether a request may run. If the request is convicted before an endpoint responds
+// to it, stop is called. The caller must call unregister afterwards.
 func (s *suspects) admit(c *callerRequest, stop context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +128,8 @@
 	}
 }
 
-// recordResponseStart records that an endpoint began to answer a request that was sent at the time
-// sent.
+// recordResponseStart records that an endpoint began to respond to a request that was sent at the
+// time sent.
 func (s *suspects) recordResponseStart(c *callerRequest, ep *members.Endpoint, sent time.Duration, headers ResponseHeaders) {
 	if headers.Replaced {
 		return
@@ -166,7 +166,7 @@
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // recordAttempt records how an attempt that was sent at the time sent ended. generation is the
-// request's generation in the ledger at that time.
+// request's generation in the tracker at that time.
 func (s *suspects) recordAttempt(c *callerRequest, ep *members.Endpoint, sent time.Duration, generation int, a attemptResult) {
 	switch {
 	case a.connectionLost:
@@ -309,7 +309,7 @@
 // changeEvents maps the kinds of changes to log events.
 var changeEvents = [...]string{"request_suspected", "request_convicted", "request_cleared", "request_forgotten"}
 
-// handleChanges logs the ledger's latest changes and acts on them. The caller holds the lock.
+// handleChanges logs the tracker's latest changes and acts on them. The caller holds the lock.
 func (s *suspects) handleChanges(learned string) {
 	for _, c := range s.tracker.TakeChanges() {
 		if learned == learnedSeen && c.Level > c.PreviousLevel {
@@ -337,8 +337,8 @@
 	}
 }
 
-// stopUnanswered stops the requests of a digest that no endpoint has answered. The caller holds the
-// lock.
+// stopUnanswered stops the requests of a digest that no endpoint has responded to. The caller holds
+// the lock.
 func (s *suspects) stopUnanswered(d suspect.Digest) {
 	if s.tracker.Status(d).Released {
 		return
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// configWaitShare is the fraction of the time within which a configuration must be in force
+	// configWaitShare is the fraction of the time within which a configuration must be applied
 	// that a read of it waits for a change, and minConfigWait the minimum. The remainder is the
 	// margin for noticing a connection that fell silent.
 	configWaitShare = 0.75
@@ -171,7 +171,7 @@
 	}
 }
 
-// followConfig keeps the configuration in force up to date. One VM of each failure domain reads the
+// followConfig keeps this VM's configuration up to date. One VM of each failure domain reads the
 // store; the others learn of a new version from any VM's notes and fetch it there. A VM that knows
 // of no reader reads the store. Before the first version is written the other VMs wait in the same
 // way: otherwise all VMs of a starting deployment would read, one call every two seconds each.
@@ -233,7 +233,7 @@
 	}
 }
 
-// applyConfig puts a document in force if it is newer than the current one.
+// applyConfig applies a configuration document if it is newer than the current one.
 func (d *Daemon) applyConfig(r Record) {
 	doc, err := d.codec.DecodeConfig(r)
 	if err != nil {
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -113,9 +113,9 @@
 }
 
 // Guards against most VMs taking themselves for the reader at a start: a calm day of 295 VMs made
-// 8,900 calls to the store, most of them in the first seconds. VMs learn the list at once but hear
-// from each other in rotation, over seconds, and the reader was chosen among those heard from. Of
-// 49 VMs that know each other exactly one must read.
+// 8,900 calls to the store, most of them in the first seconds. VMs learn the list at once but
+// receive each other's notes in rotation, over seconds, and the reader was chosen among the VMs
+// from which one was received. Of 49 VMs that know each other exactly one must read.
 func TestOneVMReadsBeforeNotesArrive(t *testing.T) {
 	is := is.New(t)
 	var entries []string
