--- a/core/limit/fleet_test.go
+++ b/core/limit/fleet_test.go
@@ -44,9 +44,9 @@
 	sched   *dispatch.Scheduler
 	tracker *notice.Tracker
 	// known are the VMs that it knows, lastGossip is when each last sent a note.
-	known      map[int]bool
-	lastGossip map[int]time.Duration
-	started    time.Duration
+	known    map[int]bool
+	lastSeen map[int]time.Duration
+	started  time.Duration
 	// limitSeenAt is when it first got a response that names a limit.
 	limitSeenAt  time.Duration
 	hasSeenLimit bool
@@ -90,7 +90,7 @@
 	v := &f.vms[i]
 	v.listed = true
 	v.sched, v.tracker, v.started = dispatch.New(v.name, v.domain), notice.New(), f.now
-	v.known, v.lastGossip, v.hasSeenLimit, v.process = make(map[int]bool), make(map[int]time.Duration), false, v.process+1
+	v.known, v.lastSeen, v.hasSeenLimit, v.process = make(map[int]bool), make(map[int]time.Duration), false, v.process+1
 	v.sched.SetEndpoints(f.now, service, []*members.Endpoint{f.server}, false)
 	f.readList(v)
 }
@@ -128,7 +128,7 @@
 		}
 		f.schedule(f.randomDelay(300*time.Millisecond), k, func(v *vm) {
 			v.known[i] = true
-			v.lastGossip[i] = f.now
+			v.lastSeen[i] = f.now
 			v.sched.ApplyPeerLoads(f.now, from.name, from.domain, nil, true)
 			for _, r := range records {
 				if v.tracker.Merge(f.now, r, true) {
@@ -151,7 +151,7 @@
 // reachable returns the number of VMs seen recently, including itself.
 func (f *fleet) reachable(v *vm) int {
 	n := 1
-	for _, at := range v.lastGossip {
+	for _, at := range v.lastSeen {
 		if f.now-at < reachableFor {
 			n++
 		}
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -40,12 +40,12 @@
 const (
 	stepDuration   = 100 * time.Millisecond
 	logNormalSigma = 0.55
-	// maxAnswerTime is the time that the longest responses take.
-	maxAnswerTime = time.Second
+	// maxResponseTime is the time that the longest responses take.
+	maxResponseTime = time.Second
 	// exposureShare and exposureSlack bound the requests that a bad version may receive. After
 	// badAnswerLimit bad responses it must soon be stopped.
 	exposureShare, exposureSlack = 0.1, 50
-	badAnswerLimit               = 50
+	badResponseLimit             = 50
 )
 
 var modelRoutes = []string{"long", "short", "plain"}
@@ -54,16 +54,16 @@
 type result struct {
 	phase Phase
 	at    time.Duration
-	// answers and bad count responses of the new version until then. overLimitFor is the time
+	// responses and bad count responses of the new version until then. overLimitFor is the time
 	// since bad reached badAnswerLimit.
-	answers, bad int
-	overLimitFor time.Duration
+	responses, bad int
+	overLimitFor   time.Duration
 	// exposed of all requests in the order's time reached the new version.
 	exposed, all int
 	finding      Finding
 }
 
-func (m *model) answer(e Evidence, v version, endpoint uint64, at float64) (bad bool) {
+func (m *model) respond(e Evidence, v version, endpoint uint64, at float64) (bad bool) {
 	route := modelRoutes[m.rng.IntN(len(modelRoutes))]
 	took := 300 * time.Millisecond * time.Duration(1000*math.Exp(logNormalSigma*m.rng.NormFloat64())) / 1000
 	affected := at >= v.from && (v.route == "" || v.route == route)
@@ -95,24 +95,24 @@
 		for range int(m.perSecond * stepDuration.Seconds()) {
 			r.all++
 			if m.rng.Float64() >= share {
-				m.answer(e, m.old, 0, 0)
+				m.respond(e, m.old, 0, 0)
 				continue
 			}
 			r.exposed++
-			if m.answer(e, m.newVersion, 1+uint64(m.rng.IntN(m.endpoints)), float64(age)/float64(m.order.Duration)) && !r.phase.Final() {
+			if m.respond(e, m.newVersion, 1+uint64(m.rng.IntN(m.endpoints)), float64(age)/float64(m.order.Duration)) && !r.phase.Final() {
 				r.bad++
 			}
 		}
 		if r.phase.Final() {
 			continue
 		}
-		if r.bad >= badAnswerLimit {
+		if r.bad >= badResponseLimit {
 			r.overLimitFor += stepDuration
 		}
-		r.at, r.finding, r.answers = age+stepDuration, monitor.Evaluate(r.phase, age, e, m.endpoints), r.exposed
+		r.at, r.finding, r.responses = age+stepDuration, monitor.Evaluate(r.phase, age, e, m.endpoints), r.exposed
 		state := State{
 			Age: age, Finding: r.finding, LongestResponse: e.LongestResponse(), NewListed: m.endpoints, OldListed: m.endpoints,
-			Drained: r.phase == Shifting && age-shiftStart >= m.order.RampDuration()+maxAnswerTime,
+			Drained: r.phase == Shifting && age-shiftStart >= m.order.RampDuration()+maxResponseTime,
 		}
 		state.Answers, state.Failures, state.OldAnswers = e.Totals()
 		next := m.order.Decide(r.phase, state)
@@ -167,7 +167,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []time.Duration
-			var answers, bad []int
+			var responses, bad []int
 			rolledBack := 0
 			for seed := range uint64(seeds) {
 				r := newModel(seed, 600, c.v).run()
@@ -178,15 +178,15 @@
 					t.Errorf("seed %d: %v after %v: %d of %d requests reached the new version", seed, r.phase, r.at, r.exposed, r.all)
 				}
 				if r.overLimitFor > stopWithin {
-					t.Errorf("seed %d: stopped %v after %d bad responses, want at most %v", seed, r.overLimitFor, badAnswerLimit, stopWithin)
+					t.Errorf("seed %d: stopped %v after %d bad responses, want at most %v", seed, r.overLimitFor, badResponseLimit, stopWithin)
 				}
-				took, answers, bad = append(took, r.at), append(answers, r.answers), append(bad, r.bad)
+				took, responses, bad = append(took, r.at), append(responses, r.responses), append(bad, r.bad)
 			}
 			slices.Sort(took)
-			slices.Sort(answers)
+			slices.Sort(responses)
 			slices.Sort(bad)
 			t.Logf("%d of %d rolled back; median and maximum: after %v, %v; %d, %d responses; %d, %d bad",
-				rolledBack, seeds, took[seeds/2], took[seeds-1], answers[seeds/2], answers[seeds-1], bad[seeds/2], bad[seeds-1])
+				rolledBack, seeds, took[seeds/2], took[seeds-1], responses[seeds/2], responses[seeds-1], bad[seeds/2], bad[seeds-1])
 			if float64(rolledBack) < c.within*seeds {
 				t.Errorf("only %d of %d rolled back", rolledBack, seeds)
 			}
--- a/entry/rollouts_test.go
+++ b/entry/rollouts_test.go
@@ -73,7 +73,7 @@
 // rollout. The placer has shifted all requests; a VM that asks it is some ms behind, rejects each
 // new endpoint as a canary, and then avoids all of them when it places requests itself, where the
 // old ones are no longer used. The log showed five lines "held_back" within 5 ms, then "too_late".
-func TestPlacerIsAheadWhileRequestsMove(t *testing.T) {
+func TestPlacerIsAheadWhileRequestsShift(t *testing.T) {
 	is := is.New(t)
 	ep := versioned("v2", 1)[0]
 	m := testRollout(rollout.Shifting)
--- a/report/report.go
+++ b/report/report.go
@@ -25,8 +25,8 @@
 	// Refused counts refusals by the VMs, by reason.
 	Refused map[string]int `json:"refused"`
 	// Broken counts aborted streams, CallerLeft callers that disconnected.
-	Broken     int `json:"broken"`
-	CallerLeft int `json:"left"`
+	Broken             int `json:"broken"`
+	CallerDisconnected int `json:"left"`
 }
 
 // OnTimeShare returns the share of the requests that were on time; 1 if there were none.
@@ -56,7 +56,7 @@
 	case broken:
 		c.Broken++
 	case callerLeft:
-		c.CallerLeft++
+		c.CallerDisconnected++
 	case refused:
 		if c.Refused == nil {
 			c.Refused = make(map[string]int)
--- a/report/write.go
+++ b/report/write.go
@@ -55,7 +55,7 @@
 
 // cells returns the counts as tab-separated cells.
 func (c *Counts) cells() string {
-	return fmt.Sprintf("%d\t%d\t%d\t%s\t%d\t%d", c.Requests, c.OnTime, c.Late, formatCounts(c.Refused), c.Broken, c.CallerLeft)
+	return fmt.Sprintf("%d\t%d\t%d\t%s\t%d\t%d", c.Requests, c.OnTime, c.Late, formatCounts(c.Refused), c.Broken, c.CallerDisconnected)
 }
 
 // formatCounts returns the sum of the counts and each count by name, such as "3 (too_late 2, no_route 1)".
