--- a/core/limit/fleet_test.go
+++ b/core/limit/fleet_test.go
@@ -43,7 +43,7 @@
 
 	sched   *dispatch.Scheduler
 	tracker *notice.Tracker
-	// known are the VMs that it knows, lastGossip is when each last sent a note.
+	// known are the VMs that it knows, lastSeen is when each last sent a note.
 	known    map[int]bool
 	lastSeen map[int]time.Duration
 	started  time.Duration
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -43,7 +43,7 @@
 	// maxResponseTime is the time that the longest responses take.
 	maxResponseTime = time.Second
 	// exposureShare and exposureSlack bound the requests that a bad version may receive. After
-	// badAnswerLimit bad responses it must soon be stopped.
+	// badResponseLimit bad responses it must soon be stopped.
 	exposureShare, exposureSlack = 0.1, 50
 	badResponseLimit             = 50
 )
@@ -55,7 +55,7 @@
 	phase Phase
 	at    time.Duration
 	// responses and bad count responses of the new version until then. overLimitFor is the time
-	// since bad reached badAnswerLimit.
+	// since bad reached badResponseLimit.
 	responses, bad int
 	overLimitFor   time.Duration
 	// exposed of all requests in the order's time reached the new version.
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	// gossipInterval, gossipFanout and recordsPerMessage describe the gossip: every 100 ms each VM
+	// gossipInterval, gossipFanout and recordsPerNote describe the gossip: every 100 ms each VM
 	// sends its eight most important records to five others.
 	gossipInterval = 100 * time.Millisecond
 	gossipFanout   = 5
--- a/report/report.go
+++ b/report/report.go
@@ -24,7 +24,7 @@
 	Late     int `json:"late"`
 	// Refused counts refusals by the VMs, by reason.
 	Refused map[string]int `json:"refused"`
-	// Broken counts aborted streams, CallerLeft callers that disconnected.
+	// Broken counts aborted streams, CallerDisconnected callers that disconnected.
 	Broken             int `json:"broken"`
 	CallerDisconnected int `json:"left"`
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -150,7 +150,7 @@
 }
 
 // abandon closes a connection and discards data that has not been sent to the endpoint yet. On a
-// link that is cut or congested the data would arrive long after the request was sent elsewhere.
+// broken or congested link the data would arrive long after the request was sent elsewhere.
 func (c *conn) abandon() {
 	if l, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		// A connection that is closed already has nothing left to discard.
