--- a/core/dispatch/bounds.go
+++ b/core/dispatch/bounds.go
@@ -40,12 +40,12 @@
 }
 
 // clampLoad limits the quantities of a load reported by another VM.
-func (s *Scheduler) clampLoad(u *Load) {
-	u.Running = s.clampCount(u.Running, maxRuns)
-	u.Waiting = s.clampCount(u.Waiting, maxRuns)
-	u.PromptTokens = s.clampCount(u.PromptTokens, maxTokens)
-	u.EventGap = s.validDuration(u.EventGap)
-	u.RecentGap = s.validDuration(u.RecentGap)
+func (s *Scheduler) clampLoad(load *Load) {
+	load.Running = s.clampCount(load.Running, maxRuns)
+	load.Waiting = s.clampCount(load.Waiting, maxRuns)
+	load.PromptTokens = s.clampCount(load.PromptTokens, maxTokens)
+	load.EventGap = s.validDuration(load.EventGap)
+	load.RecentGap = s.validDuration(load.RecentGap)
 }
 
 // validDuration returns d, or 0 if it is out of range.
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -19,7 +19,7 @@
 }
 
 func (e *endpoint) loadOfRuns(now time.Duration, prefillTime float64, placedOnly bool) Load {
-	u := Load{}
+	load := Load{}
 	oldest := -1 * time.Second
 	var oldestPrompt int
 	for _, r := range e.runs {
@@ -27,39 +27,39 @@
 			continue
 		}
 		if r.started {
-			u.Running++
+			load.Running++
 			continue
 		}
-		u.Waiting++
-		u.PromptTokens = addTokens(u.PromptTokens, r.job.PromptTokens)
+		load.Waiting++
+		load.PromptTokens = addTokens(load.PromptTokens, r.job.PromptTokens)
 		if oldest < 0 || r.sent < oldest {
 			oldest, oldestPrompt = r.sent, r.job.PromptTokens
 		}
 	}
 	if oldest >= 0 {
-		u.PromptTokens -= tokensPrefilledIn(now-max(oldest, e.lastFirstEvent), prefillTime, oldestPrompt)
+		load.PromptTokens -= tokensPrefilledIn(now-max(oldest, e.lastFirstEvent), prefillTime, oldestPrompt)
 	}
 	if e.eventGap.samples >= minReportedSamples {
-		u.EventGap = toDuration(e.eventGap.value)
+		load.EventGap = toDuration(e.eventGap.value)
 	}
-	return u
+	return load
 }
 
 // setPeerLoad replaces one VM's load.
-func (e *endpoint) setPeerLoad(u peerLoad) {
+func (e *endpoint) setPeerLoad(load peerLoad) {
 	for i := range e.peerLoads {
-		if e.peerLoads[i].vm == u.vm {
-			e.peerLoads[i] = u
+		if e.peerLoads[i].vm == load.vm {
+			e.peerLoads[i] = load
 			return
 		}
 	}
-	e.peerLoads = append(e.peerLoads, u)
+	e.peerLoads = append(e.peerLoads, load)
 }
 
 // totalLoad returns the known load of all VMs together at the endpoint. lastNote is the time of
 // each VM's last note; loads from earlier notes are dropped.
 func (e *endpoint) totalLoad(now time.Duration, prefillTime float64, lastNote []time.Duration) Load {
-	u := e.ownLoad(now, prefillTime)
+	load := e.ownLoad(now, prefillTime)
 	kept := e.peerLoads[:0]
 	for _, o := range e.peerLoads {
 		age := now - o.received
@@ -67,10 +67,10 @@
 			continue
 		}
 		kept = append(kept, o)
-		u.Running += o.Running
-		u.Waiting += o.Waiting
-		u.PromptTokens = addTokens(u.PromptTokens, o.PromptTokens-tokensPrefilledIn(age, prefillTime, o.PromptTokens))
+		load.Running += o.Running
+		load.Waiting += o.Waiting
+		load.PromptTokens = addTokens(load.PromptTokens, o.PromptTokens-tokensPrefilledIn(age, prefillTime, o.PromptTokens))
 	}
 	e.peerLoads = kept
-	return u
+	return load
 }
--- a/core/dispatch/estimate.go
+++ b/core/dispatch/estimate.go
@@ -24,40 +24,40 @@
 )
 
 // observe records a value above 0; others are ignored.
-func (f *lowEstimate) observe(v float64) { f.observeWeighted(v, lowUpWeight) }
+func (e *lowEstimate) observe(v float64) { e.observeWeighted(v, lowUpWeight) }
 
 // observeWeighted records a value as observe does, with the given weight for higher values.
-func (f *lowEstimate) observeWeighted(v, up float64) {
+func (e *lowEstimate) observeWeighted(v, up float64) {
 	if !(v > 0) || math.IsInf(v, 0) {
 		return
 	}
-	f.samples++
+	e.samples++
 	switch {
-	case f.value == 0:
-		f.value = v
-	case v < f.value:
-		f.value += (max(v, f.value/lowMaxJump) - f.value) * lowDownWeight
+	case e.value == 0:
+		e.value = v
+	case v < e.value:
+		e.value += (max(v, e.value/lowMaxJump) - e.value) * lowDownWeight
 	default:
-		f.value += (min(v, lowMaxJump*f.value) - f.value) * up
+		e.value += (min(v, lowMaxJump*e.value) - e.value) * up
 	}
 }
 
 // merge blends in a peer's estimate with the given weight. It takes the value as it is if
 // nothing was observed here.
-func (f *lowEstimate) merge(v, weight float64) {
-	if f.samples == 0 {
-		f.value = v
+func (e *lowEstimate) merge(v, weight float64) {
+	if e.samples == 0 {
+		e.value = v
 		return
 	}
-	f.value += (v - f.value) * weight
+	e.value += (v - e.value) * weight
 }
 
 // valueOr returns the estimate, or def if there is none.
-func (f *lowEstimate) valueOr(def float64) float64 {
-	if f.value == 0 {
+func (e *lowEstimate) valueOr(def float64) float64 {
+	if e.value == 0 {
 		return def
 	}
-	return f.value
+	return e.value
 }
 
 // quantileEstimate follows the lowest fifth of a quantity in steps of a fixed share, whatever
@@ -88,26 +88,26 @@
 )
 
 // observe records a value above 0.
-func (t *quantileEstimate) observe(v float64) {
-	t.samples++
+func (q *quantileEstimate) observe(v float64) {
+	q.samples++
 	switch {
-	case t.samples <= quantileMeanSamples:
-		t.value += (v - t.value) / float64(t.samples)
-	case v <= t.value:
-		t.consecutiveAbove = 0
-		t.value *= 1 - quantileDown
-	case t.consecutiveAbove < quantileFarAfter:
-		t.consecutiveAbove++
-		t.value *= 1 + quantileUp
+	case q.samples <= quantileMeanSamples:
+		q.value += (v - q.value) / float64(q.samples)
+	case v <= q.value:
+		q.consecutiveAbove = 0
+		q.value *= 1 - quantileDown
+	case q.consecutiveAbove < quantileFarAfter:
+		q.consecutiveAbove++
+		q.value *= 1 + quantileUp
 	default:
-		t.value *= 1 + quantileFarFactor*quantileUp
+		q.value *= 1 + quantileFarFactor*quantileUp
 	}
 }
 
 // valueOr returns the estimate, or def if there is none.
-func (t *quantileEstimate) valueOr(def float64) float64 {
-	if t.samples == 0 {
+func (q *quantileEstimate) valueOr(def float64) float64 {
+	if q.samples == 0 {
 		return def
 	}
-	return t.value
+	return q.value
 }
--- a/core/dispatch/filter.go
+++ b/core/dispatch/filter.go
@@ -12,14 +12,14 @@
 const plainFillFactor = 2
 
 // hasCapacity reports whether this VM may take a slot of the endpoint.
-func (s *Scheduler) hasCapacity(now time.Duration, e *endpoint, u Load) bool {
+func (s *Scheduler) hasCapacity(now time.Duration, e *endpoint, load Load) bool {
 	if !e.engine {
-		return u.Running+u.Waiting < plainFillFactor*e.Slots
+		return load.Running+load.Waiting < plainFillFactor*e.Slots
 	}
 	if s.disabled.Has(mechanism.Turns) {
-		return u.Running+u.Waiting < e.Slots
+		return load.Running+load.Waiting < e.Slots
 	}
 	e.turn.updateRank(e, peerVM{hash: s.self, domain: s.domain}, s.peers, s.placerChanges)
 	c := s.contentionAt(e)
-	return e.turn.mayTake(now, e.Slots-u.Running-u.Waiting, c.unseenTakes, c.loadAge <= maxTurnLoadAge)
+	return e.turn.mayTake(now, e.Slots-load.Running-load.Waiting, c.unseenTakes, c.loadAge <= maxTurnLoadAge)
 }
--- a/core/dispatch/latency.go
+++ b/core/dispatch/latency.go
@@ -109,12 +109,12 @@
 }
 
 // observeGap records the time between two events of a stream.
-func (p *latencyModel) observeGap(now time.Duration, ep *endpoint, gap time.Duration) {
+func (m *latencyModel) observeGap(now time.Duration, ep *endpoint, gap time.Duration) {
 	ep.eventGap.observe(gap.Seconds())
 	ep.recentGaps = [2]float64{ep.recentGaps[1], gap.Seconds()}
 	ep.gapUnreported, ep.gapObserved = true, now
-	mean := orDefault(p.meanGap, p.defaultGap())
-	p.meanGap = mean + (ep.eventGap.value-mean)*meanWeight
+	mean := orDefault(m.meanGap, m.defaultGap())
+	m.meanGap = mean + (ep.eventGap.value-mean)*meanWeight
 }
 
 const (
@@ -129,20 +129,20 @@
 )
 
 // observeFirstEvent records the time to the first event of a run.
-func (p *latencyModel) observeFirstEvent(r *run, took time.Duration) {
+func (m *latencyModel) observeFirstEvent(r *run, took time.Duration) {
 	seconds := took.Seconds()
 	if r.job.PromptTokens == 0 {
 		r.ep.responseTime = orDefault(r.ep.responseTime, defaultResponseTime)
 		r.ep.responseTime += (seconds - r.ep.responseTime) * responseTimeWeight
-		p.responseTime = orDefault(p.responseTime, defaultResponseTime)
-		p.responseTime += (seconds - p.responseTime) * meanWeight
+		m.responseTime = orDefault(m.responseTime, defaultResponseTime)
+		m.responseTime += (seconds - m.responseTime) * meanWeight
 		return
 	}
 	prompt := float64(r.job.PromptTokens)
 	if r.ep.eventGap.value == 0 || float64(r.tokensAhead) > maxAheadShare*prompt {
 		return
 	}
-	p.observePrompt(r.job.PromptTokens, prompt+float64(r.tokensAhead), seconds/p.expectedGap(r.ep))
+	m.observePrompt(r.job.PromptTokens, prompt+float64(r.tokensAhead), seconds/m.expectedGap(r.ep))
 }
 
 // observePrompt records the first event of a prompt. tokens is the length of the prompt and of
@@ -152,41 +152,41 @@
 // from any start. An earlier version attributed each observation to whichever part was
 // estimated as the larger: two placers of six then kept to a tenth of the real prefill time for
 // long prompts for as long as they ran.
-func (p *latencyModel) observePrompt(prompt int, tokens, took float64) {
+func (m *latencyModel) observePrompt(prompt int, tokens, took float64) {
 	size := promptSize(prompt)
-	longPrompts := &p.prefillRatio[1]
+	longPrompts := &m.prefillRatio[1]
 	if size == 0 && (prompt < minPrefillPrompt || longPrompts.samples > 0) {
-		prefill := longPrompts.valueOr(p.expectedPrefillRatio(prompt)) * tokens
-		p.firstEventRatio.observe(clamp(took-prefill, minFirstEventRatio, maxFirstEventRatio))
+		prefill := longPrompts.valueOr(m.expectedPrefillRatio(prompt)) * tokens
+		m.firstEventRatio.observe(clamp(took-prefill, minFirstEventRatio, maxFirstEventRatio))
 	}
 	if prompt >= minPrefillPrompt {
-		p.prefillRatio[size].observe(clamp((took-p.firstEventFactor())/tokens, minPrefillRatio, maxPrefillRatio))
+		m.prefillRatio[size].observe(clamp((took-m.firstEventFactor())/tokens, minPrefillRatio, maxPrefillRatio))
 	}
 }
 
 // firstEventFactor returns the time of a first event beyond prefill, as a multiple of the event
 // gap.
-func (p *latencyModel) firstEventFactor() float64 {
-	return p.firstEventRatio.valueOr(defaultFirstEventRatio)
+func (m *latencyModel) firstEventFactor() float64 {
+	return m.firstEventRatio.valueOr(defaultFirstEventRatio)
 }
 
 // defaultFirstEventRatio applies until first events were observed: as long as any other event.
 const defaultFirstEventRatio = 1
 
 // tokensInEvent returns the number of tokens in an event, at least one.
-func (p *latencyModel) tokensInEvent() int { return max(1, p.tokensPerEvent) }
+func (m *latencyModel) tokensInEvent() int { return max(1, m.tokensPerEvent) }
 
 // defaultGap returns the event gap assumed until one was observed, in seconds.
-func (p *latencyModel) defaultGap() float64 { return defaultTokenTime * float64(p.tokensInEvent()) }
+func (m *latencyModel) defaultGap() float64 { return defaultTokenTime * float64(m.tokensInEvent()) }
 
 // defaultPrefillRatio returns the prefill ratio assumed until one was observed.
-func (p *latencyModel) defaultPrefillRatio() float64 {
-	return defaultPrefillShare / float64(p.tokensInEvent())
+func (m *latencyModel) defaultPrefillRatio() float64 {
+	return defaultPrefillShare / float64(m.tokensInEvent())
 }
 
 // expectedGap returns the expected event gap at an endpoint, in seconds.
-func (p *latencyModel) expectedGap(e *endpoint) float64 {
-	return clamp(e.eventGap.valueOr(orDefault(p.meanGap, p.defaultGap())), minGap, maxGap)
+func (m *latencyModel) expectedGap(e *endpoint) float64 {
+	return clamp(e.eventGap.valueOr(orDefault(m.meanGap, m.defaultGap())), minGap, maxGap)
 }
 
 // promptSizes is the number of prompt size classes. The first extends to smallPromptTokens,
@@ -206,22 +206,22 @@
 
 // expectedPrefillRatio returns the expected prefill ratio for a prompt length. A size class
 // without observations uses the next smaller one.
-func (p *latencyModel) expectedPrefillRatio(prompt int) float64 {
-	ratio := p.defaultPrefillRatio()
+func (m *latencyModel) expectedPrefillRatio(prompt int) float64 {
+	ratio := m.defaultPrefillRatio()
 	for size := range promptSize(prompt) + 1 {
-		ratio = p.prefillRatio[size].valueOr(ratio)
+		ratio = m.prefillRatio[size].valueOr(ratio)
 	}
 	return clamp(ratio, minPrefillRatio, maxPrefillRatio)
 }
 
 // prefillTime returns the expected time to process a prompt token at an endpoint, in seconds.
 // It is never 0.
-func (p *latencyModel) prefillTime(e *endpoint, prompt int) float64 {
-	return p.expectedGap(e) * p.expectedPrefillRatio(prompt)
+func (m *latencyModel) prefillTime(e *endpoint, prompt int) float64 {
+	return m.expectedGap(e) * m.expectedPrefillRatio(prompt)
 }
 
 // firstEventTime returns the expected time to the first event of a prompt at an endpoint that
 // processes no other prompts, in seconds.
-func (p *latencyModel) firstEventTime(e *endpoint, prompt int) float64 {
-	return p.prefillTime(e, prompt)*float64(prompt) + p.firstEventFactor()*p.expectedGap(e)
+func (m *latencyModel) firstEventTime(e *endpoint, prompt int) float64 {
+	return m.prefillTime(e, prompt)*float64(prompt) + m.firstEventFactor()*m.expectedGap(e)
 }
--- a/core/dispatch/loads.go
+++ b/core/dispatch/loads.go
@@ -15,12 +15,12 @@
 	var loads []EndpointLoad
 	for _, sv := range s.services {
 		for _, ep := range sv.list {
-			u := ep.placedLoad(now, sv.latency.prefillTime(ep, 0))
-			u.SuspectedDown, u.Replaced = ep.health.suspectedDown && ep.health.probes > 0, ep.health.replaced
-			u.Ejected = ep.health.ejection.active
-			u.RecentGap = ep.takeUnreportedGap()
-			if u.Running+u.Waiting > 0 || includeGaps && u.EventGap > 0 || u.RecentGap > 0 || u.SuspectedDown || u.Replaced || u.Ejected {
-				loads = append(loads, EndpointLoad{ep.hash, u})
+			load := ep.placedLoad(now, sv.latency.prefillTime(ep, 0))
+			load.SuspectedDown, load.Replaced = ep.health.suspectedDown && ep.health.probes > 0, ep.health.replaced
+			load.Ejected = ep.health.ejection.active
+			load.RecentGap = ep.takeUnreportedGap()
+			if load.Running+load.Waiting > 0 || includeGaps && load.EventGap > 0 || load.RecentGap > 0 || load.SuspectedDown || load.Replaced || load.Ejected {
+				loads = append(loads, EndpointLoad{ep.hash, load})
 			}
 		}
 	}
@@ -55,21 +55,21 @@
 	}
 	s.peers[i].recordNote(now, s.lastNote[i])
 	s.lastNote[i] = now
-	for _, u := range loads {
-		ep := s.byHash[u.EndpointHash]
+	for _, load := range loads {
+		ep := s.byHash[load.EndpointHash]
 		if ep == nil {
 			continue
 		}
-		s.clampLoad(&u.Load)
+		s.clampLoad(&load.Load)
 		// A VM that delegates placement sends no trial requests on its own.
-		u.Ejected = u.Ejected && isPlacer
-		ep.setPeerLoad(peerLoad{u.Load, i, now})
-		ep.applyPeerGap(now, u.Load, isPlacer)
-		if u.SuspectedDown && !s.delegates && !s.disabled.Has(mechanism.PeerDoubts) {
+		load.Ejected = load.Ejected && isPlacer
+		ep.setPeerLoad(peerLoad{load.Load, i, now})
+		ep.applyPeerGap(now, load.Load, isPlacer)
+		if load.SuspectedDown && !s.delegates && !s.disabled.Has(mechanism.PeerDoubts) {
 			ep.applyPeerSuspicion(now)
 		}
-		ep.health.replaced = ep.health.replaced || u.Replaced
-		if u.Ejected {
+		ep.health.replaced = ep.health.replaced || load.Replaced
+		if load.Ejected {
 			ep.applyPeerEjection(now, s.service(ep.Service))
 		}
 	}
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -58,8 +58,8 @@
 		if !accepts(e, now) || !s.withinLimit(now, e) {
 			continue
 		}
-		if u := e.totalLoad(now, sv.latency.prefillTime(e, 0), s.lastNote); s.hasCapacity(now, e, u) {
-			open = append(open, openEndpoint{e, u})
+		if load := e.totalLoad(now, sv.latency.prefillTime(e, 0), s.lastNote); s.hasCapacity(now, e, load) {
+			open = append(open, openEndpoint{e, load})
 		}
 	}
 	return open
--- a/core/dispatch/score.go
+++ b/core/dispatch/score.go
@@ -48,13 +48,13 @@
 )
 
 // score predicts the latency of a job at an endpoint and computes the endpoint's score for it.
-func (s *Scheduler) score(now time.Duration, sv *service, j *Job, e *endpoint, u Load) candidate {
-	c := candidate{ep: e, tokensAhead: u.PromptTokens, load: u}
+func (s *Scheduler) score(now time.Duration, sv *service, j *Job, e *endpoint, load Load) candidate {
+	c := candidate{ep: e, tokensAhead: load.PromptTokens, load: load}
 	if e.engine {
 		sv.scoreEngine(now, j, &c)
 	} else {
 		responseTime := orDefault(e.responseTime, orDefault(sv.latency.responseTime, defaultResponseTime))
-		firstEvent := responseTime * (1 + float64(u.Running+u.Waiting)/float64(max(1, e.Slots)))
+		firstEvent := responseTime * (1 + float64(load.Running+load.Waiting)/float64(max(1, e.Slots)))
 		c.firstEvent = toDuration(firstEvent)
 		c.onTime = true
 		c.score = firstEvent
@@ -69,7 +69,7 @@
 	if e.FailureDomain != s.domain && !s.disabled.Has(mechanism.StaleCost) {
 		c.score += staleCost * s.contention[1].loadAge.Seconds()
 	}
-	c.score += s.suspicionCost(j, e, u) + canaryCost(j, e) + s.backoffCostOf(now, e)
+	c.score += s.suspicionCost(j, e, load) + canaryCost(j, e) + s.backoffCostOf(now, e)
 	return c
 }
 
--- a/core/dispatch/suspicion.go
+++ b/core/dispatch/suspicion.go
@@ -38,7 +38,7 @@
 
 // suspicionCost returns the cost for a job of suspects at an endpoint, and of the requests
 // there that the job itself would endanger.
-func (s *Scheduler) suspicionCost(j *Job, e *endpoint, u Load) float64 {
+func (s *Scheduler) suspicionCost(j *Job, e *endpoint, load Load) float64 {
 	cost := 0.0
 	if e.quarantinedRuns > 0 {
 		cost += quarantineCost
@@ -47,7 +47,7 @@
 		cost += suspectCost
 	}
 	if j.Suspicion == Quarantined {
-		cost += quarantineNeighbourCost * float64(u.Running+u.Waiting)
+		cost += quarantineNeighbourCost * float64(load.Running+load.Waiting)
 	}
 	return cost
 }
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -32,14 +32,14 @@
 
 // Share returns the share of each limit that a VM may use which is first in the order for the endpoint, if
 // the placers it reaches serve the given number of the known VMs. It returns 0 if either number is not known.
-func Share(reachable, known int) float64 {
+func Share(served, known int) float64 {
 	switch {
-	case known <= 0 || reachable <= 0:
+	case known <= 0 || served <= 0:
 		return 0
-	case 2*reachable > known:
+	case 2*served > known:
 		return majorityShare
 	}
-	return minorityShare * float64(reachable) / float64(known)
+	return minorityShare * float64(served) / float64(known)
 }
 
 // Bucket is the token bucket of one VM for one endpoint. Times are of one monotonic clock. It is not safe for
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -256,10 +256,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*schema.EndpointUse
-	for _, u := range s.sched.Loads(s.now(), withGaps) {
+	for _, load := range s.sched.Loads(s.now(), withGaps) {
 		list = append(list, &schema.EndpointUse{
-			Endpoint: u.EndpointHash, Running: uint32(u.Running), Waiting: uint32(u.Waiting),
-			PromptTokens: uint32(u.PromptTokens), EventGapUs: uint32(u.EventGap.Microseconds()), FreshGapUs: uint32(u.RecentGap.Microseconds()), Doubted: u.SuspectedDown, Gone: u.Replaced, Ejected: u.Ejected,
+			Endpoint: load.EndpointHash, Running: uint32(load.Running), Waiting: uint32(load.Waiting),
+			PromptTokens: uint32(load.PromptTokens), EventGapUs: uint32(load.EventGap.Microseconds()), FreshGapUs: uint32(load.RecentGap.Microseconds()), Doubted: load.SuspectedDown, Gone: load.Replaced, Ejected: load.Ejected,
 		})
 	}
 	return list
@@ -267,10 +267,10 @@
 
 func (s *sharedScheduler) applyPeerLoads(n *schema.PeerNote) {
 	loads := make([]dispatch.EndpointLoad, 0, len(n.Uses))
-	for _, u := range n.Uses {
-		loads = append(loads, dispatch.EndpointLoad{EndpointHash: u.Endpoint, Load: dispatch.Load{
-			Running: int(u.Running), Waiting: int(u.Waiting), PromptTokens: int(u.PromptTokens),
-			EventGap: micros(uint64(u.EventGapUs)), RecentGap: micros(uint64(u.FreshGapUs)), SuspectedDown: u.Doubted, Replaced: u.Gone, Ejected: u.Ejected,
+	for _, use := range n.Uses {
+		loads = append(loads, dispatch.EndpointLoad{EndpointHash: use.Endpoint, Load: dispatch.Load{
+			Running: int(use.Running), Waiting: int(use.Waiting), PromptTokens: int(use.PromptTokens),
+			EventGap: micros(uint64(use.EventGapUs)), RecentGap: micros(uint64(use.FreshGapUs)), SuspectedDown: use.Doubted, Replaced: use.Gone, Ejected: use.Ejected,
 		}})
 	}
 	s.mu.Lock()
--- a/entry/rollout_judge.go
+++ b/entry/rollout_judge.go
@@ -240,14 +240,14 @@
 	}
 	sum := m.judge.domains.Sum()
 	age := now - m.orderedAt
-	k := rollout.State{
+	state := rollout.State{
 		Age: age, Finding: m.judge.monitor.Evaluate(m.phase, age, sum, len(m.canaryEndpoints)), LongestResponse: sum.LongestResponse(),
 		NewListed: m.listedNew, OldListed: m.listedOld, Held: slices.Contains(r.held, m.order.Service),
 	}
-	k.Answers, k.Failures, k.OldAnswers = sum.Totals()
-	k.Drained = m.phase == rollout.Shifting && r.allDrained(m, now, interval, judges)
-	next := m.order.Decide(m.phase, k)
-	r.logFinding(m, k, next)
+	state.Answers, state.Failures, state.OldAnswers = sum.Totals()
+	state.Drained = m.phase == rollout.Shifting && r.allDrained(m, now, interval, judges)
+	next := m.order.Decide(m.phase, state)
+	r.logFinding(m, state, next)
 	if next == rollout.RolledBack || lead && next == rollout.Shifting {
 		r.advance(m, next, learnedSeen)
 	}
@@ -257,18 +257,18 @@
 }
 
 // logFinding logs the evidence against a version when it becomes suspect and at the verdict.
-func (r *rollouts) logFinding(m *rolloutState, k rollout.State, next rollout.Phase) {
-	suspect := k.Finding.Suspect()
+func (r *rollouts) logFinding(m *rolloutState, state rollout.State, next rollout.Phase) {
+	suspect := state.Finding.Suspect()
 	logged := next == m.judge.next && (!suspect || m.judge.suspected)
 	m.judge.suspected, m.judge.next = suspect, next
 	if logged {
 		return
 	}
-	f := k.Finding
+	f := state.Finding
 	r.d.log.Info().Str("service", m.order.Service).Str("version", m.order.Version).Stringer("phase", m.phase).Stringer("next", next).
-		Dur("age", k.Age).Str("route", f.Route).Stringer("kind", f.Kind).Str("strength", strconv.FormatFloat(f.Strength, 'f', 1, 64)).
+		Dur("age", state.Age).Str("route", f.Route).Stringer("kind", f.Kind).Str("strength", strconv.FormatFloat(f.Strength, 'f', 1, 64)).
 		Int("new_bad", f.NewBad).Int("new_total", f.NewTotal).Int("old_bad", f.OldBad).Int("old_total", f.OldTotal).
-		Str("doubt", strconv.FormatFloat(f.TotalStrength, 'f', 1, 64)).Int("answers", k.Answers).Int("failures", k.Failures).Int("old_answers", k.OldAnswers).Int("listed_new", k.NewListed).Int("listed_old", k.OldListed).Bool("drained", k.Drained).Msg("rollout_judged")
+		Str("doubt", strconv.FormatFloat(f.TotalStrength, 'f', 1, 64)).Int("answers", state.Answers).Int("failures", state.Failures).Int("old_answers", state.OldAnswers).Int("listed_new", state.NewListed).Int("listed_old", state.OldListed).Bool("drained", state.Drained).Msg("rollout_judged")
 }
 
 // mergeVMReport merges the evidence of a process of this VM's failure domain. source identifies the
