--- a/core/dispatch/bounds.go
+++ b/core/dispatch/bounds.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Quantities from callers and other VMs are validated on input. An impossible value would
+// Quantities from callers and other VMs are validated on input. An out-of-range value would
 // spread through sums and predictions, and with the notes to all other VMs, where the only
 // symptom is requests that are placed badly.
 
@@ -40,12 +40,12 @@
 }
 
 // clampLoad limits the quantities of a load reported by another VM.
-func (s *Scheduler) clampLoad(u *Load) {
-	u.Running = s.clampCount(u.Running, maxRuns)
-	u.Waiting = s.clampCount(u.Waiting, maxRuns)
-	u.PromptTokens = s.clampCount(u.PromptTokens, maxTokens)
-	u.EventGap = s.validDuration(u.EventGap)
-	u.RecentGap = s.validDuration(u.RecentGap)
+func (s *Scheduler) clampLoad(load *Load) {
+	load.Running = s.clampCount(load.Running, maxRuns)
+	load.Waiting = s.clampCount(load.Waiting, maxRuns)
+	load.PromptTokens = s.clampCount(load.PromptTokens, maxTokens)
+	load.EventGap = s.validDuration(load.EventGap)
+	load.RecentGap = s.validDuration(load.RecentGap)
 }
 
 // validDuration returns d, or 0 if it is out of range.
@@ -60,9 +60,9 @@
 // addTokens adds token counts, limited to maxTokens.
 func addTokens(a, b int) int { return min(maxTokens, a+b) }
 
-// tokensReadIn returns how many of the given tokens are processed in d, at prefillTime seconds
+// tokensPrefilledIn returns how many of the given tokens are processed in d, at prefillTime seconds
 // each.
-func tokensReadIn(d time.Duration, prefillTime float64, tokens int) int {
+func tokensPrefilledIn(d time.Duration, prefillTime float64, tokens int) int {
 	done := d.Seconds() / prefillTime
 	if done >= float64(tokens) {
 		return tokens
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -151,7 +151,7 @@
 	list      []*endpoint
 	queue     []*Job
 	latency   latencyModel
-	// scarce is set while few endpoints have room.
+	// scarce is set while few endpoints have capacity.
 	scarce bool
 	// placements is the recent rate of placements, classPlacements the rate for each class.
 	placements      decayingRate
@@ -169,10 +169,10 @@
 	runs map[uint64]*run
 	// peerLoads are the loads of other VMs.
 	peerLoads []peerLoad
-	// eventGap is the undisturbed time between two events, answerTime the mean response time
+	// eventGap is the undisturbed time between two events, responseTime the mean response time
 	// for jobs without a prompt, both in seconds.
-	eventGap   lowEstimate
-	answerTime float64
+	eventGap     lowEstimate
+	responseTime float64
 	// recentGaps are the last two times between events observed here, in seconds. gapUnreported
 	// is set if one was observed since the last report to peers. gapObserved is the time at
 	// which the gap was last learned from events rather than from other VMs' estimates.
@@ -358,8 +358,8 @@
 	Broken
 	// Silent: the endpoint sent nothing for too long.
 	Silent
-	// CallerLeft: the caller disconnected or its deadline passed.
-	CallerLeft
+	// CallerDisconnected: the caller disconnected or its deadline passed.
+	CallerDisconnected
 )
 
 // outcomeNames are the outcomes as written to logs, in order.
@@ -377,7 +377,7 @@
 	delete(s.running, handle)
 	delete(r.ep.runs, handle)
 	s.countSuspects(r, -1)
-	if !r.adopted && (o == Answered || o == CallerLeft) {
+	if !r.adopted && (o == Answered || o == CallerDisconnected) {
 		// A slot freed by a failure does not indicate spare capacity.
 		r.ep.turn.recordEnd(now)
 	}
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -3,7 +3,7 @@
 // For each endpoint one VM sends at a time: the first among the placers, in an order by endpoint that all VMs
 // agree on. A placer serves the VMs that request placements from it. No quota is therefore divided by the number of
 // VMs, and none is handed out that could be lost or held twice. VMs disagree on who is first for as long as
-// they do not receive each other's gossip: while messages are in transit, and during a partition. Therefore a VM
+// they do not receive each other's notes: while notes are in transit, and during a partition. Therefore a VM
 // uses majorityShare of the limit only if it reaches the placers of more than half of all known VMs, which is
 // possible on at most one side of a partition; all others together use minorityShare. Lists of VMs differ while VMs
 // are added. Even if two VMs then both take themselves for the first on the larger side, they stay within one and a
@@ -32,14 +32,14 @@
 
 // Share returns the share of each limit that a VM may use which is first in the order for the endpoint, if
 // the placers it reaches serve the given number of the known VMs. It returns 0 if either number is not known.
-func Share(reachable, known int) float64 {
+func Share(served, known int) float64 {
 	switch {
-	case known <= 0 || reachable <= 0:
+	case known <= 0 || served <= 0:
 		return 0
-	case 2*reachable > known:
+	case 2*served > known:
 		return majorityShare
 	}
-	return minorityShare * float64(reachable) / float64(known)
+	return minorityShare * float64(served) / float64(known)
 }
 
 // Bucket is the token bucket of one VM for one endpoint. Times are of one monotonic clock. It is not safe for
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -30,12 +30,12 @@
 }
 
 const (
-	// gossipInterval, gossipFanout and recordsPerMessage describe the gossip: every 100 ms each VM
+	// gossipInterval, gossipFanout and recordsPerNote describe the gossip: every 100 ms each VM
 	// sends its eight most important records to five others.
-	gossipInterval    = 100 * time.Millisecond
-	gossipFanout      = 5
-	recordsPerMessage = 8
-	// lossRate is the share of messages that are lost.
+	gossipInterval = 100 * time.Millisecond
+	gossipFanout   = 5
+	recordsPerNote = 8
+	// lossRate is the share of notes that are lost.
 	lossRate = 0.02
 	// neighbours is the number of other requests that an endpoint runs.
 	neighbours = 11
@@ -55,7 +55,7 @@
 	return f.partitioned && (a < len(f.vms)/2) != (b < len(f.vms)/2)
 }
 
-// gossip lets each VM send one message to each of gossipFanout others.
+// gossip lets each VM send one note to each of gossipFanout others.
 func (f *fleet) gossip() {
 	type message struct {
 		to      int
@@ -63,7 +63,7 @@
 	}
 	var messages []message
 	for i, tr := range f.vms {
-		records := tr.Recent(f.now, recordsPerMessage)
+		records := tr.Recent(f.now, recordsPerNote)
 		if len(records) == 0 {
 			continue
 		}
@@ -141,7 +141,7 @@
 // Guards against each VM admitting the request anew, when each retry arrives at another VM and
 // each VM sees only the terminations that its own copies caused. All VMs must refuse the request
 // well within three seconds of the third termination, at any number of VMs and any request rate,
-// although messages are lost.
+// although notes are lost.
 func TestConvictionReachesAllVMsInTime(t *testing.T) {
 	for n, seeds := range map[int]uint64{3: 10, 8: 10, 66: 2, 300: 1, 1800: 1} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
@@ -205,7 +205,7 @@
 	d := digestOf(0)
 	f.simulate(d, 2, 60)
 	started := New()
-	for _, r := range f.vms[3].HighestLevel(f.now, recordsPerMessage) {
+	for _, r := range f.vms[3].HighestLevel(f.now, recordsPerNote) {
 		started.Merge(0, r)
 	}
 	if !started.Status(d).Convicted() {
@@ -213,7 +213,7 @@
 	}
 	fresh := New()
 	for range 20 {
-		for _, r := range f.vms[3].NextInRotation(f.now, recordsPerMessage) {
+		for _, r := range f.vms[3].NextInRotation(f.now, recordsPerNote) {
 			fresh.Merge(0, r)
 		}
 	}
@@ -222,7 +222,7 @@
 	}
 }
 
-// BenchmarkNotes measures building the records of one gossip message while many requests are
+// BenchmarkNotes measures building the records of one note while many requests are
 // recent, and looking up the status of a request with 1,000 suspects known.
 func BenchmarkNotes(b *testing.B) {
 	tr := New()
@@ -231,12 +231,12 @@
 	}
 	b.Run("hot", func(b *testing.B) {
 		for b.Loop() {
-			_ = tr.Recent(0, recordsPerMessage)
+			_ = tr.Recent(0, recordsPerNote)
 		}
 	})
 	b.Run("turn", func(b *testing.B) {
 		for b.Loop() {
-			_ = tr.NextInRotation(0, recordsPerMessage)
+			_ = tr.NextInRotation(0, recordsPerNote)
 		}
 	})
 	for _, n := range []int{0, maxEntries} {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -56,7 +56,7 @@
 
 	table atomic.Pointer[routing.Table]
 	// configMu serialises the loading of configurations; configRecord is the store's record of
-	// the one in force.
+	// the current one.
 	configMu     sync.Mutex
 	configRecord atomic.Pointer[Record]
 	// endpointsLoaded is set once the registry was read.
@@ -82,7 +82,7 @@
 	lastHandle atomic.Uint64
 
 	sched      *sharedScheduler
-	placing    *placement
+	placement  *placement
 	remoteJobs *remoteJobs
 	suspects   *suspects
 	notices    *notices
@@ -133,7 +133,7 @@
 	d.sched = newSharedScheduler(d.settings.Vm.Name, d.settings.Vm.FailureDomain, d.settings.Disabled, d.now)
 	d.sched.probe, d.sched.logEjection, d.sched.countInvalid = d.probe, d.logEjection, d.countInvalid
 	d.lastHandle.Store(rand.Uint64())
-	d.placing, d.remoteJobs = newPlacement(d), newRemoteJobs(d)
+	d.placement, d.remoteJobs = newPlacement(d), newRemoteJobs(d)
 	d.sched.deliverRemote = d.remoteJobs.deliver
 	d.suspects, d.notices = newSuspects(d), newNotices(d)
 	d.rollouts = newRollouts(d)
@@ -233,7 +233,7 @@
 }
 
 // ready reports whether this VM can serve requests. An outage of the store does not change that:
-// the last known state stays in force.
+// the last known state stays in use.
 func (d *Daemon) ready() bool {
 	return !d.draining.Load() && d.hasInitialState()
 }
@@ -299,8 +299,7 @@
 	}
 }
 
-// logEjection logs which endpoint gets only trial requests, and why, or that it no longer is
-// ejected.
+// logEjection logs that an endpoint was ejected and why, or that it was readmitted.
 func (d *Daemon) logEjection(c dispatch.EjectionChange) {
 	event := "endpoint_taken_back"
 	if c.Ejected {
--- a/entry/notes.go
+++ b/entry/notes.go
@@ -60,7 +60,7 @@
 		}
 		p.d.remoteJobs.expireRequesters()
 		p.updatePlacerRole()
-		p.d.placing.updatePlacer()
+		p.d.placement.updatePlacer()
 		p.d.sched.setCoverage(p.coverage())
 		p.d.rollouts.step()
 		p.sendRound(i)
@@ -76,7 +76,7 @@
 	n.Registry, n.RegistryEra = at.Offset, at.Era
 	n.Members = uint32(len(p.d.remoteJobs.requesterAddresses()))
 	n.Rollouts = p.d.rollouts.forNote()
-	if placer := p.d.placing.assignedPlacer(); placer != nil {
+	if placer := p.d.placement.assignedPlacer(); placer != nil {
 		n.Placer = placer.addr.String()
 	}
 	return n
@@ -91,7 +91,7 @@
 	heartbeat.Suspects, heartbeat.Notices = p.d.suspects.forNote(full), p.d.notices.forNote(full)
 	p.writeAll(p.encode(heartbeat), to.Heartbeats)
 	state := proto.Clone(heartbeat).(*schema.PeerNote)
-	p.d.placing.addRunState(state)
+	p.d.placement.addRunState(state)
 	if full {
 		state.Vms = p.listEntries()
 		// VMs that ask a placer need the event gaps in case they have to place requests themselves.
@@ -121,7 +121,7 @@
 // recipients returns who gets the i-th round of notes.
 func (p *peers) recipients(i uint64) cell.Recipients {
 	members := p.d.remoteJobs.requesterAddresses()
-	placer := p.d.placing.assignedPlacer()
+	placer := p.d.placement.assignedPlacer()
 	var next []string
 	if placer == nil && len(members) > 0 {
 		self, willing := p.willingPlacers(p.d.now())
@@ -138,15 +138,15 @@
 			SameCell: pe == placer || placer == nil && members[a], Successor: slices.Contains(next, a),
 		})
 	}
-	// Each VM starts the rotation at another offset: otherwise a VM would hear from all others at
-	// once and then from none for a while.
+	// Each VM starts the rotation at another offset: otherwise a VM would receive notes from all
+	// others at once and then from none for a while.
 	return cell.ChooseRecipients(peers, i+p.offset, placer == nil)
 }
 
-// turnOffsetRange bounds rotation offsets; it exceeds the rotation length of any list in use.
-const turnOffsetRange = 1 << 16
+// rotationOffsetRange bounds rotation offsets; it exceeds the rotation length of any list in use.
+const rotationOffsetRange = 1 << 16
 
-func turnOffset(address string) uint64 { return xxhash.Sum64String(address) % turnOffsetRange }
+func rotationOffset(address string) uint64 { return xxhash.Sum64String(address) % rotationOffsetRange }
 
 func (p *peers) encode(n *schema.PeerNote) []byte {
 	b, err := proto.Marshal(n)
@@ -197,10 +197,10 @@
 
 // handleNote processes a received note.
 func (p *peers) handleNote(n *schema.PeerNote, from *net.UDPAddr) {
-	p.d.placing.handleDecisions(n, from)
+	p.d.placement.handleDecisions(n, from)
 	p.d.remoteJobs.handleNote(n, from)
 	if n.Address == "" {
-		// Messages about single requests carry nothing else.
+		// Notes about single requests contain nothing else.
 		return
 	}
 	p.mu.Lock()
@@ -256,24 +256,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*schema.EndpointUse
-	for _, u := range s.sched.Loads(s.now(), withGaps) {
+	for _, load := range s.sched.Loads(s.now(), withGaps) {
 		list = append(list, &schema.EndpointUse{
-			Endpoint: u.EndpointHash, Running: uint32(u.Running), Waiting: uint32(u.Waiting),
-			PromptTokens: uint32(u.PromptTokens), EventGapUs: uint32(u.EventGap.Microseconds()), FreshGapUs: uint32(u.RecentGap.Microseconds()), Doubted: u.SuspectedDown, Gone: u.Replaced, Ejected: u.Ejected,
+			Endpoint: load.EndpointHash, Running: uint32(load.Running), Waiting: uint32(load.Waiting),
+			PromptTokens: uint32(load.PromptTokens), EventGapUs: uint32(load.EventGap.Microseconds()), FreshGapUs: uint32(load.RecentGap.Microseconds()), Doubted: load.SuspectedDown, Gone: load.Replaced, Ejected: load.Ejected,
 		})
 	}
 	return list
 }
 
 func (s *sharedScheduler) applyPeerLoads(n *schema.PeerNote) {
-	uses := make([]dispatch.EndpointLoad, 0, len(n.Uses))
-	for _, u := range n.Uses {
-		uses = append(uses, dispatch.EndpointLoad{EndpointHash: u.Endpoint, Load: dispatch.Load{
-			Running: int(u.Running), Waiting: int(u.Waiting), PromptTokens: int(u.PromptTokens),
-			EventGap: micros(uint64(u.EventGapUs)), RecentGap: micros(uint64(u.FreshGapUs)), SuspectedDown: u.Doubted, Replaced: u.Gone, Ejected: u.Ejected,
+	loads := make([]dispatch.EndpointLoad, 0, len(n.Uses))
+	for _, use := range n.Uses {
+		loads = append(loads, dispatch.EndpointLoad{EndpointHash: use.Endpoint, Load: dispatch.Load{
+			Running: int(use.Running), Waiting: int(use.Waiting), PromptTokens: int(use.PromptTokens),
+			EventGap: micros(uint64(use.EventGapUs)), RecentGap: micros(uint64(use.FreshGapUs)), SuspectedDown: use.Doubted, Replaced: use.Gone, Ejected: use.Ejected,
 		}})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sched.ApplyPeerLoads(s.now(), n.Vm, n.FailureDomain, uses, n.Placer == "")
+	s.sched.ApplyPeerLoads(s.now(), n.Vm, n.FailureDomain, loads, n.Placer == "")
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -69,8 +69,8 @@
 	sharedAmong int
 }
 
-// newcomerTimeout is the uptime after which a VM takes its share of the allowances even if some
-// listed VMs were never heard from: they may be gone for good.
+// newcomerTimeout is the uptime after which a VM takes its share of the allowances even if no
+// note was ever received from some listed VMs: they may be gone for good.
 const newcomerTimeout = 5 * time.Second
 
 type peer struct {
@@ -82,8 +82,8 @@
 	learnedAt time.Duration
 	// incarnation identifies the peer's process; 0 if no note of it was received.
 	incarnation uint64
-	// lastHeard is when the last note arrived, 0 for never.
-	lastHeard time.Duration
+	// lastSeen is when the last note arrived, 0 for never.
+	lastSeen time.Duration
 	// usualInterval is the usual time between two notes of the peer.
 	usualInterval time.Duration
 	// State from the peer's own notes: it reads the configuration from the store, failed to read
@@ -108,9 +108,9 @@
 const placerNameTTL = 12 * time.Second
 
 // placesRequests reports whether the VM places requests, its own or others', and thus needs loads.
-// A VM that was never heard from does so only if notes name it as a placer: if loads were sent to
-// all remote VMs in rotation, the placers among them would get them too seldom and send requests to
-// full engines.
+// A VM that has sent no note so far counts as one only if notes name it as a placer: if loads were
+// sent to all remote VMs in rotation, the placers among them would get them too seldom and send
+// requests to full engines.
 func (pe *peer) placesRequests(now time.Duration) bool {
 	return pe.isAlive(now) && !pe.asksPlacer || pe.namedAt > 0 && now-pe.namedAt < placerNameTTL
 }
@@ -147,7 +147,7 @@
 
 func newPeers(d *Daemon) *peers {
 	return &peers{
-		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.FleetSize{Region: 1, Domain: 1}, offset: turnOffset(d.settings.Listen.Peers),
+		d: d, incarnation: uint64(time.Now().UnixNano()), byAddress: make(map[string]*peer), counts: cell.FleetSize{Region: 1, Domain: 1}, offset: rotationOffset(d.settings.Listen.Peers),
 		relays: make(chan relay, relayBuffer), configHints: make(chan configHint, hintBuffer),
 		client: &http.Client{Transport: &http.Transport{DialContext: d.opts.Dial, DisableKeepAlives: true}},
 	}
@@ -272,18 +272,18 @@
 }
 
 // countedByOthers reports whether the other VMs count this one when dividing shared amounts. A VM
-// sends notes only to VMs that it counts, so a peer that was heard from does. Before that this VM
-// would hold a share of what the others have divided without it.
+// sends notes only to VMs that it counts, so a peer from which a note was received does. Before
+// that this VM would hold a share of what the others have divided without it.
 func (p *peers) countedByOthers() bool {
 	if !p.counted {
-		p.counted = p.listedBefore || p.d.now() >= newcomerTimeout || p.allHeard()
+		p.counted = p.listedBefore || p.d.now() >= newcomerTimeout || p.allSeen()
 	}
 	return p.counted
 }
 
-func (p *peers) allHeard() bool {
+func (p *peers) allSeen() bool {
 	for _, pe := range p.byAddress {
-		if pe.lastHeard == 0 {
+		if pe.lastSeen == 0 {
 			return false
 		}
 	}
--- a/entry/remote_jobs.go
+++ b/entry/remote_jobs.go
@@ -20,8 +20,8 @@
 	requesterTimeout = 1500 * time.Millisecond
 )
 
-// remoteJobs holds the requests of other VMs that this VM places. Lost datagrams are recovered
-// through the notes, which list all requests: a request that a note does not list has ended, and
+// remoteJobs holds the requests of other VMs that this VM places. A lost note is made up
+// for by later ones, which list all requests: a request that a note does not list has ended, and
 // the decision on one that it lists as waiting is sent again.
 type remoteJobs struct {
 	d *Daemon
@@ -35,7 +35,7 @@
 // requester is a VM that sends placement requests to this one. Requests are kept per VM, so that
 // each note is compared with the requests of its sender only.
 type requester struct {
-	// lastSeen is when the last message was received.
+	// lastSeen is when the last note was received.
 	lastSeen time.Duration
 	jobs     map[uint64]*remoteJob
 }
@@ -77,12 +77,12 @@
 		return
 	}
 	j := r.dispatchJob(m)
-	view := r.d.suspects.status(j.Request)
-	if view.Convicted() {
+	status := r.d.suspects.status(j.Request)
+	if status.Convicted() {
 		r.sendDecision(from, &schema.PlaceDecision{Handle: m.Handle, Verdict: schema.PlaceDecision_REFUSED, Reason: reasonEndsEndpoints})
 		return
 	}
-	j.Suspicion = max(j.Suspicion, suspicionFor(view))
+	j.Suspicion = max(j.Suspicion, suspicionFor(status))
 	r.mu.Lock()
 	known := r.jobs[m.Handle]
 	if known == nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// recordContact records that a message was received from a requester.
+// recordContact records that a note was received from a requester.
 func (r *remoteJobs) recordContact(from *net.UDPAddr) *requester {
 	address := from.String()
 	req := r.requesters[address]
@@ -215,11 +215,11 @@
 		r.resendDecision(h, from)
 	}
 	for _, h := range ended {
-		r.drop(h, dispatch.CallerLeft)
+		r.drop(h, dispatch.CallerDisconnected)
 	}
 }
 
-// expireRequesters drops the requests of VMs that have stopped sending messages.
+// expireRequesters drops the requests of VMs that have stopped sending notes.
 func (r *remoteJobs) expireRequesters() {
 	now := r.d.now()
 	var ended []uint64
@@ -233,7 +233,7 @@
 	}
 	r.mu.Unlock()
 	for _, h := range ended {
-		r.drop(h, dispatch.CallerLeft)
+		r.drop(h, dispatch.CallerDisconnected)
 	}
 }
 
