--- a/cmd/chivefield/load.go
+++ b/cmd/chivefield/load.go
@@ -83,7 +83,7 @@
 	for _, s := range load.Slopes() {
 		fmt.Println(s)
 	}
-	took, size := load.CheckTime(3400, 12000)
+	took, size := load.MeasureCheck(3400, 12000)
 	fmt.Printf("\nA document of 3,400 organisations and 12,000 endpoints: %d bytes, checked and compiled in %v.\n", size, took)
 	return nil
 }
--- a/cmd/chivefield/operate.go
+++ b/cmd/chivefield/operate.go
@@ -174,7 +174,7 @@
 
 // Execute implements flags.Commander. It evaluates the log by the same rules as every VM.
 func (c *auditCommand) Execute([]string) error {
-	client := &logservice.Client{Base: "http://" + c.Platform, HTTP: http.DefaultClient}
+	client := &logservice.Client{BaseURL: "http://" + c.Platform, HTTP: http.DefaultClient}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	trail := config.NewTrail()
--- a/core/dispatch/play_test.go
+++ b/core/dispatch/play_test.go
@@ -145,7 +145,7 @@
 	for i, x := range slow {
 		id := fmt.Sprintf("e%02d", i)
 		m := engine.New(engine.Config{Slots: slots, PrefillSpeed: 61200, OutputSpeed: 297, BatchCost: 0.003, ChunkTokens: 1024}, 0)
-		m.SetSlow(0, x)
+		m.SetSlowdown(0, x)
 		p.engines[id] = m
 		p.ids = append(p.ids, id)
 		list = append(list, &members.Endpoint{ID: id, Service: simService, Slots: slots, FailureDomain: strconv.Itoa(i % domains)})
@@ -305,7 +305,7 @@
 			if err != nil || req == nil || req.engine != id {
 				continue
 			}
-			if ev.Kind == engine.First {
+			if ev.Kind == engine.FirstToken {
 				req.started, req.first, req.last = true, ev.At, ev.At
 				p.firstEventRatios = append(p.firstEventRatios, float64(ev.At-req.placed)/float64(max(1, req.predicted)))
 				p.schedulers[req.vm].RecordEvents(p.now, h, 1)
@@ -326,7 +326,7 @@
 		if !req.started {
 			continue
 		}
-		if n := p.engines[req.engine].Written(strconv.FormatUint(h, 10))/p.tokens - req.eventsReported; n > 0 {
+		if n := p.engines[req.engine].GeneratedTokens(strconv.FormatUint(h, 10))/p.tokens - req.eventsReported; n > 0 {
 			req.eventsReported += n
 			req.pause = max(req.pause, p.now-req.last)
 			req.last = p.now
--- a/core/session_test.go
+++ b/core/session_test.go
@@ -70,7 +70,7 @@
 	// dispatched are the runs by key; ran counts them.
 	dispatched map[string]*dispatchRef
 	ran        map[string]int
-	seen       []history.Seen
+	seen       []history.Observation
 	attempts   map[uint64]int
 }
 
@@ -139,7 +139,7 @@
 			}
 		}
 	case "check":
-		for _, b := range (&history.History{Seen: s.seen, Ran: s.ran}).Check() {
+		for _, b := range (&history.History{Observations: s.seen, RunCounts: s.ran}).Check() {
 			fmt.Fprintln(&s.out, b)
 		}
 		fmt.Fprintf(&s.out, "ran %v\n", s.ran)
@@ -374,7 +374,7 @@
 func (s *session) finish(n *node, ef Finish) {
 	key := n.keys[ef.Handle]
 	s.say(n, "finish %s: %s, %s, again in %v", key, ef.Outcome, ef.Reason, ef.RetryAfter)
-	s.seen = append(s.seen, history.Seen{Key: key, Attempt: s.attempts[ef.Handle], Outcome: ef.Outcome})
+	s.seen = append(s.seen, history.Observation{Key: key, Attempt: s.attempts[ef.Handle], Outcome: ef.Outcome})
 }
 
 func (s *session) say(n *node, format string, args ...any) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -104,7 +104,7 @@
 		calls: make(map[uint64]*callerCall), judged: newVerdicts(), drained: make(chan struct{}), expelled: make(chan struct{}),
 	}
 	d.endpoints = &endpoint.Client{HTTP: d.client(maxIdlePerEndpoint), ResumeEvery: resumeEvery, ResumeTries: resumeTries}
-	d.platform = &logservice.Client{Base: "http://" + d.set.Platform.Address, HTTP: d.client(maxIdlePerPeer)}
+	d.platform = &logservice.Client{BaseURL: "http://" + d.set.Platform.Address, HTTP: d.client(maxIdlePerPeer)}
 	d.peerHTTP = d.countedClient()
 	d.exchangeHTTP = d.countedClient()
 	var h2 http.Protocols
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -219,7 +219,7 @@
 		_ = json.Unmarshal([]byte(body), &e)
 		is.Equal(c.name+fmt.Sprint(status)+e.Error.Code, c.name+fmt.Sprint(c.status)+c.code)
 	}
-	is.Equal(len(v.engine.Ran()), 0) // nothing was dispatched
+	is.Equal(len(v.engine.RunCounts()), 0) // nothing was dispatched
 }
 
 // TestOrganisationsApart: an organisation that guesses another's id neither
@@ -233,14 +233,14 @@
 	again := map[string]string{HeaderID: "same", HeaderAttempt: "2"}
 	status, theirs := v.do(v.callers, "POST", completions, otherAPIKey, again, goodBody)
 	is.Equal(status, 200)
-	is.True(mine != theirs)          // an answer of its own
-	is.Equal(len(v.engine.Ran()), 2) // two runs, one for each
+	is.True(mine != theirs)                // an answer of its own
+	is.Equal(len(v.engine.RunCounts()), 2) // two runs, one for each
 	status, repeated := v.do(v.callers, "POST", completions, testAPIKey, again, goodBody)
 	is.Equal(status, 200)
 	is.Equal(repeated, mine)
 	status, _ = v.do(v.callers, "POST", completions, testAPIKey, again, `{"model":"m","prompt":"changed","max_tokens":3}`)
 	is.Equal(status, 422) // the same id with another body
-	is.Equal(len(v.engine.Ran()), 2)
+	is.Equal(len(v.engine.RunCounts()), 2)
 }
 
 // TestDrainEnds: an operator's drain left a process that served nothing and never
--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -79,7 +79,7 @@
 	relays   map[[2]int]*relay
 
 	mu   sync.Mutex
-	seen []history.Seen
+	seen []history.Observation
 	keys map[string]bool // non-idempotent ones
 }
 
@@ -311,9 +311,9 @@
 }
 
 // send sends a request to a VM and keeps what the caller saw.
-func (d *deployment) send(v *vm, s sending) history.Seen {
+func (d *deployment) send(v *vm, s sending) history.Observation {
 	key := "karrawong/" + s.id
-	seen := history.Seen{Key: key, Attempt: s.attempt, Want: standin.Answer(key, s.tokens)}
+	seen := history.Observation{Key: key, Attempt: s.attempt, Want: standin.ResponseText(key, s.tokens)}
 	path := "/v1/completions"
 	body := fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":%d,"stream":%t}`, s.prompt+s.id, s.tokens, s.stream)
 	if s.kind == "invoice" {
@@ -331,7 +331,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		seen.Broken = true
+		seen.ConnectionLost = true
 	} else {
 		readAnswer(resp, &seen, s)
 	}
@@ -342,18 +342,18 @@
 	return seen
 }
 
-func readAnswer(resp *http.Response, seen *history.Seen, s sending) {
+func readAnswer(resp *http.Response, seen *history.Observation, s sending) {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		var out struct{ Outcome request.Outcome }
 		_ = json.Unmarshal(body, &out)
 		seen.Outcome = out.Outcome
-		seen.Broken = err != nil || out.Outcome == ""
+		seen.ConnectionLost = err != nil || out.Outcome == ""
 		return
 	}
 	if err != nil {
-		seen.Broken = true
+		seen.ConnectionLost = true
 		return
 	}
 	seen.Outcome = request.Answered
@@ -388,7 +388,7 @@
 // verify judges everything the callers saw.
 func (d *deployment) verify(mustFinish bool) {
 	d.t.Helper()
-	h := history.History{Seen: d.seen, Ran: d.ran(), NonIdempotent: d.keys, MustFinish: mustFinish}
+	h := history.History{Observations: d.seen, RunCounts: d.ran(), NonIdempotent: d.keys, RequireGraceful: mustFinish}
 	for _, b := range h.Check() {
 		d.t.Error(b)
 	}
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -21,8 +21,8 @@
 
 // insist sends a request and repeats it, at the next VM each time, until it is
 // answered or cancelled, as a careful caller does.
-func (d *deployment) insist(vms []*vm, first int, s sending) history.Seen {
-	var seen history.Seen
+func (d *deployment) insist(vms []*vm, first int, s sending) history.Observation {
+	var seen history.Observation
 	firstAttempt := s.attempt
 	for i := range maxSendings {
 		if firstAttempt > 0 {
@@ -39,9 +39,9 @@
 
 // load sends many requests at once and waits for all. While they are under way
 // it calls fault.
-func (d *deployment) load(vms []*vm, count int, request func(i int) sending, fault func()) []history.Seen {
+func (d *deployment) load(vms []*vm, count int, request func(i int) sending, fault func()) []history.Observation {
 	var wg sync.WaitGroup
-	last := make([]history.Seen, count)
+	last := make([]history.Observation, count)
 	for i := range count {
 		wg.Go(func() { last[i] = d.insist(vms, i, request(i)) })
 	}
@@ -131,7 +131,7 @@
 	d.waitRunning(10)
 	v.signal(syscall.SIGKILL)
 	wg.Wait()
-	h := history.History{Seen: d.seen, Ran: d.ran(), MustFinish: true}
+	h := history.History{Observations: d.seen, RunCounts: d.ran(), RequireGraceful: true}
 	if len(h.Check()) == 0 {
 		t.Fatal("the checker passed callers that were cut off")
 	}
@@ -146,7 +146,7 @@
 	for _, e := range d.engines {
 		d.control(e, standin.EngineFaults{CutAfter: 20})
 	}
-	d.control(d.service, standin.ServiceFaults{LoseAnswers: true})
+	d.control(d.service, standin.ServiceFaults{LoseResponses: true})
 	go func() {
 		d.waitRunning(1)
 		for _, e := range d.engines {
@@ -245,7 +245,7 @@
 func TestConfigurationRace(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
-	d.control(d.platform, standin.PlatformFaults{LoseAnswers: true})
+	d.control(d.platform, standin.PlatformFaults{LoseResponses: true})
 	_, before := d.operator(d.vms[0], http.MethodGet, "/status", "")
 	base := versionOf(before)
 	var wg sync.WaitGroup
--- a/engine/model.go
+++ b/engine/model.go
@@ -36,8 +36,8 @@
 
 // Events of requests.
 const (
-	// First: the prompt was read and the first token is there.
-	First EventKind = iota
+	// FirstToken: the prompt was read and the first token is there.
+	FirstToken EventKind = iota
 	// Done: the last token is there.
 	Done
 )
@@ -47,8 +47,8 @@
 	ID   string
 	Kind EventKind
 	At   time.Duration
-	// Uncached are the prompt tokens that were paid for, with First.
-	Uncached int
+	// UncachedTokens are the prompt tokens that were paid for, with First.
+	UncachedTokens int
 }
 
 // CacheEvent tells of blocks that came into the cache or left it.
@@ -57,56 +57,56 @@
 }
 
 type sequence struct {
-	id       string
-	blocks   []uint64
-	prompt   int
-	output   int
-	uncached int
-	// read is the prompt tokens read, written the output tokens.
-	read    float64
-	written float64
-	reading bool
+	id             string
+	blocks         []uint64
+	promptTokens   int
+	outputTokens   int
+	uncachedTokens int
+	// prefilled is the prompt tokens prefilled, written the output tokens.
+	prefilled  float64
+	generated  float64
+	prefilling bool
 }
 
 // Model is one engine. It is not safe for concurrent use.
 type Model struct {
-	cfg     Config
-	now     time.Duration
-	slow    float64
-	queue   []*sequence
-	batch   []*sequence
-	cache   *lru.Cache[uint64, struct{}]
-	dropped []uint64
-	events  []CacheEvent
-	// happened are the events not returned yet.
-	happened []Event
-	// PrefillPaid counts the prompt tokens read and not found in the cache.
-	PrefillPaid int
+	cfg           Config
+	now           time.Duration
+	slowdown      float64
+	queue         []*sequence
+	batch         []*sequence
+	cache         *lru.Cache[uint64, struct{}]
+	droppedBlocks []uint64
+	cacheEvents   []CacheEvent
+	// pendingEvents are the events not returned yet.
+	pendingEvents []Event
+	// PrefilledTokens counts the prompt tokens read and not found in the cache.
+	PrefilledTokens int
 }
 
 // New returns an idle engine.
 func New(cfg Config, now time.Duration) *Model {
-	m := &Model{cfg: cfg, now: now, slow: 1}
-	m.cache, _ = lru.NewWithEvict(max(1, cfg.CacheBlocks), func(h uint64, _ struct{}) { m.dropped = append(m.dropped, h) })
+	m := &Model{cfg: cfg, now: now, slowdown: 1}
+	m.cache, _ = lru.NewWithEvict(max(1, cfg.CacheBlocks), func(h uint64, _ struct{}) { m.droppedBlocks = append(m.droppedBlocks, h) })
 	return m
 }
 
-// SetSlow makes everything take the given factor of time from now on.
-func (m *Model) SetSlow(now time.Duration, factor float64) {
-	m.pass(now)
-	m.slow = factor
+// SetSlowdown makes everything take the given factor of time from now on.
+func (m *Model) SetSlowdown(now time.Duration, factor float64) {
+	m.advanceTo(now)
+	m.slowdown = factor
 }
 
 // Submit queues a request.
 func (m *Model) Submit(now time.Duration, id string, blocks []uint64, promptTokens, outputTokens int) {
-	m.pass(now)
-	m.queue = append(m.queue, &sequence{id: id, blocks: blocks, prompt: promptTokens, output: max(1, outputTokens)})
+	m.advanceTo(now)
+	m.queue = append(m.queue, &sequence{id: id, blocks: blocks, promptTokens: promptTokens, outputTokens: max(1, outputTokens)})
 	m.admit()
 }
 
 // Cancel takes a request out, wherever it is. What was read stays in the cache.
 func (m *Model) Cancel(now time.Duration, id string) {
-	m.pass(now)
+	m.advanceTo(now)
 	m.queue = remove(m.queue, id)
 	m.batch = remove(m.batch, id)
 	m.admit()
@@ -128,21 +128,21 @@
 		m.queue = m.queue[1:]
 	}
 	for _, s := range m.batch {
-		if s.reading {
+		if s.prefilling {
 			return
 		}
 	}
 	for _, s := range m.batch {
-		if s.written == 0 {
-			m.startReading(s)
+		if s.generated == 0 {
+			m.startPrefill(s)
 			return
 		}
 	}
 }
 
-// startReading finds what the cache has of a prompt.
-func (m *Model) startReading(s *sequence) {
-	s.reading = true
+// startPrefill finds what the cache has of a prompt.
+func (m *Model) startPrefill(s *sequence) {
+	s.prefilling = true
 	cached := 0
 	for _, h := range s.blocks {
 		if _, ok := m.cache.Get(h); !ok {
@@ -150,15 +150,15 @@
 		}
 		cached++
 	}
-	s.uncached = max(0, s.prompt-cached*prompt.BlockTokens)
-	m.PrefillPaid += s.uncached
+	s.uncachedTokens = max(0, s.promptTokens-cached*prompt.BlockTokens)
+	m.PrefilledTokens += s.uncachedTokens
 }
 
-// doneReading puts the prompt into the cache and writes the first token.
-func (m *Model) doneReading(s *sequence) {
-	s.reading = false
-	s.written = 1
-	m.dropped = nil
+// finishPrefill puts the prompt into the cache and writes the first token.
+func (m *Model) finishPrefill(s *sequence) {
+	s.prefilling = false
+	s.generated = 1
+	m.droppedBlocks = nil
 	var stored []uint64
 	for _, h := range s.blocks {
 		if !m.cache.Contains(h) {
@@ -166,134 +166,134 @@
 		}
 		m.cache.Add(h, struct{}{})
 	}
-	if len(stored)+len(m.dropped) > 0 {
-		m.events = append(m.events, CacheEvent{Stored: stored, Dropped: m.dropped})
+	if len(stored)+len(m.droppedBlocks) > 0 {
+		m.cacheEvents = append(m.cacheEvents, CacheEvent{Stored: stored, Dropped: m.droppedBlocks})
 	}
 }
 
 // TakeCacheEvents returns the cache events since the last call.
 func (m *Model) TakeCacheEvents() []CacheEvent {
-	ev := m.events
-	m.events = nil
-	return ev
+	events := m.cacheEvents
+	m.cacheEvents = nil
+	return events
 }
 
-// stepTime is the seconds of one step of the running requests by itself.
-func (m *Model) stepTime() float64 {
-	return (1 + m.cfg.BatchCost*float64(len(m.batch)-1)) * m.slow / m.cfg.OutputSpeed
+// stepSeconds is the seconds of one step of the running requests by itself.
+func (m *Model) stepSeconds() float64 {
+	return (1 + m.cfg.BatchCost*float64(len(m.batch)-1)) * m.slowdown / m.cfg.OutputSpeed
 }
 
-// chunkTime is the seconds that a chunk of a prompt takes.
-func (m *Model) chunkTime() float64 {
-	return float64(m.cfg.ChunkTokens) * m.slow / m.cfg.PrefillSpeed
+// chunkSeconds is the seconds that a chunk of a prompt takes.
+func (m *Model) chunkSeconds() float64 {
+	return float64(m.cfg.ChunkTokens) * m.slowdown / m.cfg.PrefillSpeed
 }
 
 // outputRate is the tokens a second of each writing request.
 func (m *Model) outputRate() float64 {
-	step := m.stepTime()
-	if m.cfg.ChunkTokens > 0 && m.any(func(s *sequence) bool { return s.reading }) {
-		step += m.chunkTime()
+	step := m.stepSeconds()
+	if m.cfg.ChunkTokens > 0 && m.any(func(s *sequence) bool { return s.prefilling }) {
+		step += m.chunkSeconds()
 	}
 	return 1 / step
 }
 
-// readRate is the prompt tokens a second of the request that is read.
-func (m *Model) readRate() float64 {
-	rate := m.cfg.PrefillSpeed / m.slow
-	if m.cfg.ChunkTokens > 0 && m.any(func(s *sequence) bool { return s.written > 0 }) {
-		return float64(m.cfg.ChunkTokens) / (m.chunkTime() + m.stepTime())
+// prefillRate is the prompt tokens a second of the request that is read.
+func (m *Model) prefillRate() float64 {
+	rate := m.cfg.PrefillSpeed / m.slowdown
+	if m.cfg.ChunkTokens > 0 && m.any(func(s *sequence) bool { return s.generated > 0 }) {
+		return float64(m.cfg.ChunkTokens) / (m.chunkSeconds() + m.stepSeconds())
 	}
 	return rate
 }
 
-func (m *Model) any(is func(*sequence) bool) bool { return slices.ContainsFunc(m.batch, is) }
+func (m *Model) any(match func(*sequence) bool) bool { return slices.ContainsFunc(m.batch, match) }
 
-// timeTo returns how long a sequence takes to its next event.
-func (m *Model) timeTo(s *sequence) (float64, bool) {
+// secondsToEvent returns how long a sequence takes to its next event.
+func (m *Model) secondsToEvent(s *sequence) (float64, bool) {
 	switch {
-	case s.reading:
-		return (float64(s.uncached) - s.read) / m.readRate(), true
-	case s.written > 0:
-		return (float64(s.output) - s.written) / m.outputRate(), true
+	case s.prefilling:
+		return (float64(s.uncachedTokens) - s.prefilled) / m.prefillRate(), true
+	case s.generated > 0:
+		return (float64(s.outputTokens) - s.generated) / m.outputRate(), true
 	}
 	return 0, false
 }
 
-// next returns the sequence with the earliest event and the seconds to it.
-func (m *Model) next() (*sequence, float64) {
+// nextEvent returns the sequence with the earliest event and the seconds to it.
+func (m *Model) nextEvent() (*sequence, float64) {
 	var first *sequence
-	var in float64
+	var wait float64
 	for _, s := range m.batch {
-		if t, ok := m.timeTo(s); ok && (first == nil || t < in) {
-			first, in = s, t
+		if t, ok := m.secondsToEvent(s); ok && (first == nil || t < wait) {
+			first, wait = s, t
 		}
 	}
-	return first, max(0, in)
+	return first, max(0, wait)
 }
 
-// Next returns when the next event is due, if any is.
-func (m *Model) Next() (time.Duration, bool) {
-	s, in := m.next()
+// NextEventTime returns when the next event is due, if any is.
+func (m *Model) NextEventTime() (time.Duration, bool) {
+	s, wait := m.nextEvent()
 	if s == nil {
 		return 0, false
 	}
-	return m.now + time.Duration(in*float64(time.Second)) + 1, true
+	return m.now + time.Duration(wait*float64(time.Second)) + 1, true
 }
 
 // Advance lets time pass and returns what happened since the last call, in order.
 func (m *Model) Advance(now time.Duration) []Event {
-	m.pass(now)
-	out := m.happened
-	m.happened = nil
+	m.advanceTo(now)
+	out := m.pendingEvents
+	m.pendingEvents = nil
 	return out
 }
 
-func (m *Model) pass(now time.Duration) {
+func (m *Model) advanceTo(now time.Duration) {
 	for {
-		s, in := m.next()
-		at := m.now + time.Duration(in*float64(time.Second)) + 1
+		s, wait := m.nextEvent()
+		at := m.now + time.Duration(wait*float64(time.Second)) + 1
 		if s == nil || at > now {
-			m.progress((now - m.now).Seconds())
+			m.advanceBatch((now - m.now).Seconds())
 			m.now = max(m.now, now)
 			return
 		}
-		m.progress((at - m.now).Seconds())
+		m.advanceBatch((at - m.now).Seconds())
 		m.now = at
-		m.happened = append(m.happened, m.complete(s))
+		m.pendingEvents = append(m.pendingEvents, m.completeNext(s))
 	}
 }
 
-func (m *Model) progress(dt float64) {
+func (m *Model) advanceBatch(dt float64) {
 	if dt <= 0 {
 		return
 	}
 	rate := m.outputRate()
 	for _, s := range m.batch {
 		switch {
-		case s.reading:
-			s.read = min(s.read+dt*m.readRate(), float64(s.uncached))
-		case s.written > 0:
-			s.written = min(s.written+dt*rate, float64(s.output))
+		case s.prefilling:
+			s.prefilled = min(s.prefilled+dt*m.prefillRate(), float64(s.uncachedTokens))
+		case s.generated > 0:
+			s.generated = min(s.generated+dt*rate, float64(s.outputTokens))
 		}
 	}
 }
 
-func (m *Model) complete(s *sequence) Event {
-	if s.reading {
-		m.doneReading(s)
+func (m *Model) completeNext(s *sequence) Event {
+	if s.prefilling {
+		m.finishPrefill(s)
 		m.admit()
-		return Event{ID: s.id, Kind: First, At: m.now, Uncached: s.uncached}
+		return Event{ID: s.id, Kind: FirstToken, At: m.now, UncachedTokens: s.uncachedTokens}
 	}
 	m.batch = remove(m.batch, s.id)
 	m.admit()
 	return Event{ID: s.id, Kind: Done, At: m.now}
 }
 
-// Written returns how many tokens of a request are there.
-func (m *Model) Written(id string) int {
+// GeneratedTokens returns how many tokens of a request are there.
+func (m *Model) GeneratedTokens(id string) int {
 	for _, s := range m.batch {
 		if s.id == id {
-			return int(s.written)
+			return int(s.generated)
 		}
 	}
 	return 0
--- a/history/deployment.go
+++ b/history/deployment.go
@@ -9,26 +9,26 @@
 
 // Promises of a deployment of entry VMs.
 const (
-	// Unasked: an endpoint ran what no caller sent, or not as it was sent.
-	Unasked Promise = "unasked"
-	// Leaving: an endpoint that leaves gets no new work after a stated time.
-	Leaving Promise = "leaving"
-	// InForce: a configuration is in force on time, and never goes back.
-	InForce Promise = "in-force"
+	// Unsolicited: an endpoint ran what no caller sent, or not as it was sent.
+	Unsolicited Invariant = "unasked"
+	// Drained: an endpoint that leaves gets no new work after a stated time.
+	Drained Invariant = "leaving"
+	// ConfigApplied: a configuration is in force on time, and never goes back.
+	ConfigApplied Invariant = "in-force"
 	// WithinAllowance: an organisation's requests stay within its allowance.
-	WithinAllowance Promise = "allowance"
-	// FewRepeats: requests are sent once more within the budget and the route's bound.
-	FewRepeats Promise = "repeats"
-	// Stopped: work ends soon after its caller has left.
-	Stopped Promise = "stopped"
-	// Prompt: the final answer comes by the route's timeout.
-	Prompt Promise = "prompt"
+	WithinAllowance Invariant = "allowance"
+	// BoundedRetries: requests are sent once more within the budget and the route's bound.
+	BoundedRetries Invariant = "repeats"
+	// StopsAfterDisconnect: work ends soon after its caller has left.
+	StopsAfterDisconnect Invariant = "stopped"
+	// RespondsInTime: the final answer comes by the route's timeout.
+	RespondsInTime Invariant = "prompt"
 	// Recovers: requests are served once the faults are over.
-	Recovers Promise = "recovers"
-	// BoundsEnds: a request under which endpoints end is not sent on without bound.
-	BoundsEnds Promise = "bounds-ends"
-	// BoundsExposure: a bad version of a service gets a bounded share of its requests.
-	BoundsExposure Promise = "bounds-exposure"
+	Recovers Invariant = "recovers"
+	// BoundedTerminations: a request under which endpoints end is not sent on without bound.
+	BoundedTerminations Invariant = "bounds-ends"
+	// BoundedExposure: a bad version of a service gets a bounded share of its requests.
+	BoundedExposure Invariant = "bounds-exposure"
 )
 
 // Span is a stretch of time since the start of the session.
@@ -37,26 +37,26 @@
 // overlaps says whether two spans share a moment.
 func (s Span) overlaps(o Span) bool { return s.From <= o.To && o.From <= s.To }
 
-// Sending is one sending of a request, as its caller saw it.
-type Sending struct {
+// CallerRequest is one sending of a request, as its caller saw it.
+type CallerRequest struct {
 	ID, VM string
-	// Life tells the processes of one VM apart.
-	Life    int
-	Service string
-	// Repeatable requests may run more than once; Forbidden ones must never run.
-	Repeatable, Forbidden bool
+	// Incarnation tells the processes of one VM apart.
+	Incarnation int
+	Service     string
+	// Retryable requests may run more than once; Forbidden ones must never run.
+	Retryable, Forbidden bool
 	// Timeout is the longest time that the caller may be kept waiting.
 	Timeout time.Duration
 	Span
 	// Status is 0 if no answer came; Whole says that the answer came to its end.
-	Status int
-	Whole  bool
+	Status   int
+	Complete bool
 	// Fault says what was wrong with a successful answer.
 	Fault string
-	// Left says that the caller left before the end.
-	Left bool
-	// Probes is the version whose own route was asked for; 0 for none.
-	Probes int
+	// Disconnected says that the caller left before the end.
+	Disconnected bool
+	// ProbedVersion is the version whose own route was asked for; 0 for none.
+	ProbedVersion int
 }
 
 // Run is one run of a request at an endpoint, as the endpoint saw it.
@@ -69,8 +69,8 @@
 	Fault string
 }
 
-// Limit is what an organisation may spend over any window.
-type Limit struct {
+// Allowance is what an organisation may spend over any window.
+type Allowance struct {
 	Organisation string
 	Window       time.Duration
 	Units        float64
@@ -78,70 +78,70 @@
 
 // Deployment is a session of several VMs under faults.
 type Deployment struct {
-	Sendings []Sending
+	Requests []CallerRequest
 	// Arrivals are all requests that reached an endpoint, Runs those that it ran.
 	Arrivals, Runs []Run
 	// Disturbed are faults of a VM or an endpoint, or on its path; those under the
 	// empty name are everybody's. Planned work is not among Unplanned.
-	Disturbed map[string][]Span
-	Unplanned []Span
+	Disturbed       map[string][]Span
+	UnplannedFaults []Span
 	// Frozen is when VMs stood still, as Disturbed. Words are what endpoints said of themselves in their answers,
 	// Needs the times for which they named limits.
-	Frozen map[string][]Span
-	Words  []Word
-	Needs  []Need
+	Frozen         map[string][]Span
+	Notices        []Notice
+	EndpointLimits []EndpointLimit
 	// LeftAt is when the store accepted that an endpoint leaves.
 	LeftAt map[string]time.Duration
 	// Published is when each version was, by number.
-	Published map[int]time.Duration
-	Limits    []Limit
+	Published  map[int]time.Duration
+	Allowances []Allowance
 
-	// Calm is how long a VM must be undisturbed for bounds in time to hold.
-	Calm time.Duration
-	// DrainWithin, ConfigWithin, StopWithin and AnswerSlack are those bounds.
-	DrainWithin, ConfigWithin, StopWithin, AnswerSlack time.Duration
-	// CrossWithin is how long a request may cross the close of its connection.
-	CrossWithin time.Duration
-	// RepeatWindow, RepeatRatio and RepeatSlack bound repeats of a service.
-	RepeatWindow time.Duration
-	RepeatRatio  float64
-	RepeatSlack  float64
+	// SettleTime is how long a VM must be undisturbed for bounds in time to hold.
+	SettleTime time.Duration
+	// DrainWithin, ConfigWithin, StopWithin and ResponseSlack are those bounds.
+	DrainWithin, ConfigWithin, StopWithin, ResponseSlack time.Duration
+	// CloseRaceWithin is how long a request may cross the close of its connection.
+	CloseRaceWithin time.Duration
+	// RetryWindow, RepeatRatio and RepeatSlack bound repeats of a service.
+	RetryWindow time.Duration
+	RetryRatio  float64
+	RetrySlack  float64
 	// MaxEndpoints bounds the endpoints that one request is sent to.
 	MaxEndpoints int
 }
 
 // Check returns every breach, in the order of their text.
-func (d *Deployment) Check() []Breach {
-	byID := make(map[string]*Sending, len(d.Sendings))
-	for i := range d.Sendings {
-		byID[d.Sendings[i].ID] = &d.Sendings[i]
+func (d *Deployment) Check() []Violation {
+	byID := make(map[string]*CallerRequest, len(d.Requests))
+	for i := range d.Requests {
+		byID[d.Requests[i].ID] = &d.Requests[i]
 	}
-	c := &deploymentCheck{Deployment: d, byID: byID, runs: groupRuns(d.Runs), arrivals: groupRuns(d.Arrivals)}
-	for i := range d.Sendings {
-		c.sending(&d.Sendings[i])
+	c := &deploymentCheck{Deployment: d, byID: byID, runs: runsByID(d.Runs), arrivals: runsByID(d.Arrivals)}
+	for i := range d.Requests {
+		c.checkRequest(&d.Requests[i])
 	}
 	for i := range d.Arrivals {
-		c.arrival(&d.Arrivals[i])
+		c.checkArrival(&d.Arrivals[i])
 	}
 	for i := range d.Runs {
-		c.run(&d.Runs[i])
+		c.checkRun(&d.Runs[i])
 	}
-	c.allowances()
-	c.repeats()
-	c.versions()
-	c.notices()
-	slices.SortFunc(c.out, func(a, b Breach) int { return strings.Compare(a.String(), b.String()) })
-	return c.out
+	c.checkAllowances()
+	c.checkRetries()
+	c.checkVersions()
+	c.checkNotices()
+	slices.SortFunc(c.violations, func(a, b Violation) int { return strings.Compare(a.String(), b.String()) })
+	return c.violations
 }
 
 type deploymentCheck struct {
 	*Deployment
-	byID           map[string]*Sending
+	byID           map[string]*CallerRequest
 	runs, arrivals map[string][]Run
-	out            []Breach
+	violations     []Violation
 }
 
-func groupRuns(runs []Run) map[string][]Run {
+func runsByID(runs []Run) map[string][]Run {
 	m := make(map[string][]Run)
 	for _, r := range runs {
 		m[r.ID] = append(m[r.ID], r)
@@ -149,13 +149,13 @@
 	return m
 }
 
-func (c *deploymentCheck) breach(p Promise, key, format string, args ...any) {
-	c.out = append(c.out, Breach{p, key, fmt.Sprintf(format, args...)})
+func (c *deploymentCheck) addViolation(p Invariant, key, format string, args ...any) {
+	c.violations = append(c.violations, Violation{p, key, fmt.Sprintf(format, args...)})
 }
 
-// calm says whether nothing disturbed the VM from Calm before the span to its end.
-func (c *deploymentCheck) calm(vm string, s Span) bool {
-	s.From -= c.Calm
+// undisturbed says whether nothing disturbed the VM from Calm before the span to its end.
+func (c *deploymentCheck) undisturbed(vm string, s Span) bool {
+	s.From -= c.SettleTime
 	for _, list := range [][]Span{c.Disturbed[vm], c.Disturbed[""]} {
 		if slices.ContainsFunc(list, s.overlaps) {
 			return false
@@ -164,77 +164,77 @@
 	return true
 }
 
-// planned says whether at most planned work happened around the span.
-func (c *deploymentCheck) planned(s Span) bool {
-	s.From -= c.Calm
-	return !slices.ContainsFunc(c.Unplanned, s.overlaps)
+// noUnplannedFaults says whether at most noUnplannedFaults work happened around the span.
+func (c *deploymentCheck) noUnplannedFaults(s Span) bool {
+	s.From -= c.SettleTime
+	return !slices.ContainsFunc(c.UnplannedFaults, s.overlaps)
 }
 
-// promisesNotRun are the statuses that say so.
-func promisesNotRun(status int) bool {
+// meansNotExecuted are the statuses that say so.
+func meansNotExecuted(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-func (c *deploymentCheck) sending(s *Sending) {
+func (c *deploymentCheck) checkRequest(s *CallerRequest) {
 	runs := c.runs[s.ID]
 	if s.Fault != "" {
-		c.breach(WholeAnswer, s.ID, "%s", s.Fault)
+		c.addViolation(CompleteResponse, s.ID, "%s", s.Fault)
 	}
-	if !s.Repeatable && len(runs) > 1 {
-		c.breach(AtMostOnce, s.ID, "ran at %s and %s", runs[0].Endpoint, runs[1].Endpoint)
+	if !s.Retryable && len(runs) > 1 {
+		c.addViolation(AtMostOnce, s.ID, "ran at %s and %s", runs[0].Endpoint, runs[1].Endpoint)
 	}
-	if !s.Repeatable && promisesNotRun(s.Status) && len(runs) > 0 {
-		c.breach(NotRun, s.ID, "refused with %d and ran at %s", s.Status, runs[0].Endpoint)
+	if !s.Retryable && meansNotExecuted(s.Status) && len(runs) > 0 {
+		c.addViolation(NotExecuted, s.ID, "refused with %d and ran at %s", s.Status, runs[0].Endpoint)
 	}
-	if s.Status >= 200 && s.Status < 300 && s.Whole && len(runs) == 0 {
-		c.breach(WholeAnswer, s.ID, "answered without a run")
+	if s.Status >= 200 && s.Status < 300 && s.Complete && len(runs) == 0 {
+		c.addViolation(CompleteResponse, s.ID, "answered without a run")
 	}
 	if s.Forbidden && len(runs) > 0 {
-		c.breach(Unasked, s.ID, "ran though its key was never valid")
+		c.addViolation(Unsolicited, s.ID, "ran though its key was never valid")
 	}
 	if len(c.arrivals[s.ID]) > c.MaxEndpoints {
-		c.breach(FewRepeats, s.ID, "sent to %d endpoints", len(c.arrivals[s.ID]))
+		c.addViolation(BoundedRetries, s.ID, "sent to %d endpoints", len(c.arrivals[s.ID]))
 	}
-	// A request that crosses the close of an idle connection was never read.
-	read := len(c.arrivals[s.ID]) > 0 || s.To-s.From > c.CrossWithin
-	if !s.Whole && !s.Left && read && c.planned(s.Span) {
-		c.breach(Graceful, s.ID, "cut off at %s with status %d after %v", s.VM, s.Status, s.To-s.From)
+	// A request that crosses the close of an idle connection was never accepted.
+	accepted := len(c.arrivals[s.ID]) > 0 || s.To-s.From > c.CloseRaceWithin
+	if !s.Complete && !s.Disconnected && accepted && c.noUnplannedFaults(s.Span) {
+		c.addViolation(GracefulShutdown, s.ID, "cut off at %s with status %d after %v", s.VM, s.Status, s.To-s.From)
 	}
-	if held := s.To - s.From; held > s.Timeout+c.AnswerSlack && c.calm(s.VM, s.Span) {
-		c.breach(Prompt, s.ID, "held by %s for %v", s.VM, held)
+	if duration := s.To - s.From; duration > s.Timeout+c.ResponseSlack && c.undisturbed(s.VM, s.Span) {
+		c.addViolation(RespondsInTime, s.ID, "held by %s for %v", s.VM, duration)
 	}
 }
 
-func (c *deploymentCheck) arrival(r *Run) {
+func (c *deploymentCheck) checkArrival(r *Run) {
 	s := c.byID[r.ID]
 	if s == nil {
-		c.breach(Unasked, r.ID, "reached %s and was never sent", r.Endpoint)
+		c.addViolation(Unsolicited, r.ID, "reached %s and was never sent", r.Endpoint)
 		return
 	}
-	if at, ok := c.LeftAt[r.Endpoint]; ok && r.From > at+c.DrainWithin && c.calm(s.VM, Span{at, r.From}) {
-		c.breach(Leaving, r.ID, "reached %s by %s %v after it said that it leaves", r.Endpoint, s.VM, r.From-at)
+	if at, ok := c.LeftAt[r.Endpoint]; ok && r.From > at+c.DrainWithin && c.undisturbed(s.VM, Span{at, r.From}) {
+		c.addViolation(Drained, r.ID, "reached %s by %s %v after it said that it leaves", r.Endpoint, s.VM, r.From-at)
 	}
 }
 
-func (c *deploymentCheck) run(r *Run) {
+func (c *deploymentCheck) checkRun(r *Run) {
 	if r.Fault != "" {
-		c.breach(Unasked, r.ID, "at %s: %s", r.Endpoint, r.Fault)
+		c.addViolation(Unsolicited, r.ID, "at %s: %s", r.Endpoint, r.Fault)
 	}
 	s := c.byID[r.ID]
 	if s == nil {
 		return
 	}
 	if r.Service != s.Service {
-		c.breach(Unasked, r.ID, "ran at %s of another service", r.Endpoint)
+		c.addViolation(Unsolicited, r.ID, "ran at %s of another service", r.Endpoint)
 	}
-	if s.Left && r.To > s.To+c.StopWithin && c.calm(s.VM, Span{s.From, r.To}) && c.calm(r.Endpoint, Span{s.From, r.To}) {
-		c.breach(Stopped, r.ID, "%s worked on for %v", r.Endpoint, r.To-s.To)
+	if s.Disconnected && r.To > s.To+c.StopWithin && c.undisturbed(s.VM, Span{s.From, r.To}) && c.undisturbed(r.Endpoint, Span{s.From, r.To}) {
+		c.addViolation(StopsAfterDisconnect, r.ID, "%s worked on for %v", r.Endpoint, r.To-s.To)
 	}
 }
 
-// allowances slides each organisation's window over its runs.
-func (c *deploymentCheck) allowances() {
-	for _, l := range c.Limits {
+// checkAllowances slides each organisation's window over its runs.
+func (c *deploymentCheck) checkAllowances() {
+	for _, l := range c.Allowances {
 		var runs []Run
 		for _, r := range c.Runs {
 			if r.Organisation == l.Organisation {
@@ -250,120 +250,120 @@
 				first++
 			}
 			if sum > l.Units {
-				c.breach(WithinAllowance, l.Organisation, "%.0f units in %v before %v, %.0f allowed", sum, l.Window, r.From, l.Units)
+				c.addViolation(WithinAllowance, l.Organisation, "%.0f units in %v before %v, %.0f allowed", sum, l.Window, r.From, l.Units)
 				break
 			}
 		}
 	}
 }
 
-// repeats slides the window over arrivals beyond the first of each request.
-func (c *deploymentCheck) repeats() {
+// checkRetries slides the window over arrivals beyond the first of each request.
+func (c *deploymentCheck) checkRetries() {
 	seen := make(map[string]bool)
-	again := make(map[string][]time.Duration)
+	retryTimes := make(map[string][]time.Duration)
 	arrivals := slices.Clone(c.Arrivals)
 	slices.SortFunc(arrivals, func(a, b Run) int { return int(a.From - b.From) })
 	for _, r := range arrivals {
 		if seen[r.ID] {
-			again[r.Service] = append(again[r.Service], r.From)
+			retryTimes[r.Service] = append(retryTimes[r.Service], r.From)
 		}
 		seen[r.ID] = true
 	}
-	for service, times := range again {
-		w := c.worstWindow(service, times)
-		if w.over() > 0 {
-			c.breach(FewRepeats, service, "%d repeats in %v before %v, %.0f allowed", w.repeats, c.RepeatWindow, w.to, w.allowed)
+	for service, times := range retryTimes {
+		w := c.worstRetryWindow(service, times)
+		if w.excess() > 0 {
+			c.addViolation(BoundedRetries, service, "%d repeats in %v before %v, %.0f allowed", w.retries, c.RetryWindow, w.end, w.allowed)
 		}
 	}
 }
 
-// repeatWindow is the repeats that reached a service's endpoints in a window, and how many may.
-type repeatWindow struct {
-	to      time.Duration
-	repeats int
+// retryWindow is the repeats that reached a service's endpoints in a window, and how many may.
+type retryWindow struct {
+	end     time.Duration
+	retries int
 	allowed float64
 }
 
-func (w repeatWindow) over() float64 { return float64(w.repeats) - w.allowed }
+func (w retryWindow) excess() float64 { return float64(w.retries) - w.allowed }
 
-// worstWindow is the window that passes the bound furthest, or comes nearest to it. times are in
+// worstRetryWindow is the window that passes the bound furthest, or comes nearest to it. times are in
 // order.
-func (c *deploymentCheck) worstWindow(service string, times []time.Duration) repeatWindow {
-	var worst repeatWindow
+func (c *deploymentCheck) worstRetryWindow(service string, times []time.Duration) retryWindow {
+	var worst retryWindow
 	first := 0
-	for i, to := range times {
-		for times[first] < to-c.RepeatWindow {
+	for i, end := range times {
+		for times[first] < end-c.RetryWindow {
 			first++
 		}
-		w := repeatWindow{to: to, repeats: i - first + 1, allowed: c.RepeatRatio*c.sent(service, to) + c.RepeatSlack}
-		if i == 0 || w.over() > worst.over() {
+		w := retryWindow{end: end, retries: i - first + 1, allowed: c.RetryRatio*c.requestCount(service, end) + c.RetrySlack}
+		if i == 0 || w.excess() > worst.excess() {
 			worst = w
 		}
 	}
 	return worst
 }
 
-// sent counts the requests for a service in the window before a moment or the one
+// requestCount counts the requests for a service in the window before a moment or the one
 // before it, whichever has more.
-func (c *deploymentCheck) sent(service string, to time.Duration) float64 {
-	var now, before int
-	for i := range c.Sendings {
-		s := &c.Sendings[i]
-		switch age := to - s.From; {
+func (c *deploymentCheck) requestCount(service string, end time.Duration) float64 {
+	var current, previous int
+	for i := range c.Requests {
+		s := &c.Requests[i]
+		switch age := end - s.From; {
 		case s.Service != service || age < 0:
-		case age <= c.RepeatWindow:
-			now++
-		case age <= 2*c.RepeatWindow:
-			before++
+		case age <= c.RetryWindow:
+			current++
+		case age <= 2*c.RetryWindow:
+			previous++
 		}
 	}
-	return float64(max(now, before))
+	return float64(max(current, previous))
 }
 
-// versions checks that configurations come into force on time and never go back.
+// checkVersions checks that configurations come into force on time and never go back.
 // Each version has a route of its own, so an answer other than 404 shows it in force;
 // but for 503, which a VM also says that has just started and knows no version.
-func (c *deploymentCheck) versions() {
-	type life struct {
-		vm string
-		n  int
+func (c *deploymentCheck) checkVersions() {
+	type vmProcess struct {
+		vm          string
+		incarnation int
 	}
-	type sight struct {
+	type servedVersion struct {
 		version int
 		at      time.Duration
 	}
-	seen := make(map[life]sight)
-	probes := make([]*Sending, 0, len(c.Sendings))
-	for i := range c.Sendings {
-		if s := &c.Sendings[i]; s.Probes > 0 && s.Status != 0 && s.Status != 503 && !s.Left {
+	newest := make(map[vmProcess]servedVersion)
+	probes := make([]*CallerRequest, 0, len(c.Requests))
+	for i := range c.Requests {
+		if s := &c.Requests[i]; s.ProbedVersion > 0 && s.Status != 0 && s.Status != 503 && !s.Disconnected {
 			probes = append(probes, s)
 		}
 	}
-	slices.SortFunc(probes, func(a, b *Sending) int { return int(a.To - b.To) })
+	slices.SortFunc(probes, func(a, b *CallerRequest) int { return int(a.To - b.To) })
 	for _, s := range probes {
 		served := s.Status != 404
-		if at, ok := c.Published[s.Probes+1]; ok && served && s.From > at+c.ConfigWithin && c.calm(s.VM, Span{at, s.To}) {
-			c.breach(InForce, s.ID, "%s served by version %d, %v after the next", s.VM, s.Probes, s.From-at)
+		if at, ok := c.Published[s.ProbedVersion+1]; ok && served && s.From > at+c.ConfigWithin && c.undisturbed(s.VM, Span{at, s.To}) {
+			c.addViolation(ConfigApplied, s.ID, "%s served by version %d, %v after the next", s.VM, s.ProbedVersion, s.From-at)
 		}
-		if c.mustServe(s) && !served {
-			c.breach(InForce, s.ID, "%s had no version %d, %v after it came", s.VM, s.Probes, s.From-c.Published[s.Probes])
+		if c.mustServeProbed(s) && !served {
+			c.addViolation(ConfigApplied, s.ID, "%s had no version %d, %v after it came", s.VM, s.ProbedVersion, s.From-c.Published[s.ProbedVersion])
 		}
-		last := seen[life{s.VM, s.Life}]
-		if served && s.Probes < last.version && s.From > last.at {
-			c.breach(InForce, s.ID, "%s went back from version %d to %d", s.VM, last.version, s.Probes)
+		last := newest[vmProcess{s.VM, s.Incarnation}]
+		if served && s.ProbedVersion < last.version && s.From > last.at {
+			c.addViolation(ConfigApplied, s.ID, "%s went back from version %d to %d", s.VM, last.version, s.ProbedVersion)
 		}
-		if served && s.Probes > last.version {
-			seen[life{s.VM, s.Life}] = sight{s.Probes, s.To}
+		if served && s.ProbedVersion > last.version {
+			newest[vmProcess{s.VM, s.Incarnation}] = servedVersion{s.ProbedVersion, s.To}
 		}
 	}
 }
 
-// mustServe says whether only the probed version can have been in force.
-func (c *deploymentCheck) mustServe(s *Sending) bool {
-	at, ok := c.Published[s.Probes]
-	if !ok || s.From <= at+c.ConfigWithin || !c.calm(s.VM, Span{at, s.To}) {
+// mustServeProbed says whether only the probed version can have been in force.
+func (c *deploymentCheck) mustServeProbed(s *CallerRequest) bool {
+	at, ok := c.Published[s.ProbedVersion]
+	if !ok || s.From <= at+c.ConfigWithin || !c.undisturbed(s.VM, Span{at, s.To}) {
 		return false
 	}
-	next, ok := c.Published[s.Probes+1]
+	next, ok := c.Published[s.ProbedVersion+1]
 	return !ok || s.To < next
 }
--- a/history/history.go
+++ b/history/history.go
@@ -9,70 +9,70 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Seen is what a caller saw of one sending of a request.
-type Seen struct {
+// Observation is what a caller saw of one sending of a request.
+type Observation struct {
 	Key     string
 	Attempt int
 	Outcome request.Outcome
 	// Text is the answer; Want what a whole answer to this key is.
 	Text, Want string
-	// Broken: the connection broke before any outcome.
-	Broken bool
+	// ConnectionLost: the connection broke before any outcome.
+	ConnectionLost bool
 }
 
-// Promise names what must always hold.
-type Promise string
+// Invariant names what must always hold.
+type Invariant string
 
 // The promises that a history can break.
 const (
-	AtMostOnce    Promise = "at-most-once"
-	NonIdempotent Promise = "non-idempotent"
-	NotRun        Promise = "not-run"
-	WholeAnswer   Promise = "whole-answer"
-	Graceful      Promise = "graceful"
+	AtMostOnce       Invariant = "at-most-once"
+	NonIdempotent    Invariant = "non-idempotent"
+	NotExecuted      Invariant = "not-run"
+	CompleteResponse Invariant = "whole-answer"
+	GracefulShutdown Invariant = "graceful"
 )
 
-// Breach is one broken promise.
-type Breach struct {
-	Promise Promise
-	Key     string
-	Detail  string
+// Violation is one broken promise.
+type Violation struct {
+	Invariant Invariant
+	Key       string
+	Detail    string
 }
 
 // String tells the breach on one line.
-func (b Breach) String() string { return fmt.Sprintf("%s: %s: %s", b.Promise, b.Key, b.Detail) }
+func (b Violation) String() string { return fmt.Sprintf("%s: %s: %s", b.Invariant, b.Key, b.Detail) }
 
 // History is what happened in one session.
 type History struct {
-	Seen []Seen
-	// Ran is how often each key was run, over all endpoints.
-	Ran map[string]int
+	Observations []Observation
+	// RunCounts is how often each key was run, over all endpoints.
+	RunCounts map[string]int
 	// NonIdempotent are the keys that must not run twice by their kind.
 	NonIdempotent map[string]bool
-	// MustFinish: no caller may be cut off (graceful shutdown).
-	MustFinish bool
+	// RequireGraceful: no caller may be cut off (graceful shutdown).
+	RequireGraceful bool
 }
 
 // Check returns every breach, in the order of keys.
-func (h *History) Check() []Breach {
-	var out []Breach
-	for key, n := range h.Ran {
+func (h *History) Check() []Violation {
+	var out []Violation
+	for key, n := range h.RunCounts {
 		if n <= 1 {
 			continue
 		}
-		out = append(out, Breach{AtMostOnce, key, fmt.Sprintf("ran %d times", n)})
+		out = append(out, Violation{AtMostOnce, key, fmt.Sprintf("ran %d times", n)})
 		if h.NonIdempotent[key] {
-			out = append(out, Breach{NonIdempotent, key, fmt.Sprintf("ran %d times", n)})
+			out = append(out, Violation{NonIdempotent, key, fmt.Sprintf("ran %d times", n)})
 		}
 	}
-	byKey := make(map[string][]Seen)
-	for _, s := range h.Seen {
+	byKey := make(map[string][]Observation)
+	for _, s := range h.Observations {
 		byKey[s.Key] = append(byKey[s.Key], s)
 	}
 	for key, list := range byKey {
 		out = append(out, h.checkKey(key, list)...)
 	}
-	slices.SortFunc(out, func(a, b Breach) int {
+	slices.SortFunc(out, func(a, b Violation) int {
 		if a.String() < b.String() {
 			return -1
 		}
@@ -81,23 +81,23 @@
 	return out
 }
 
-func (h *History) checkKey(key string, list []Seen) []Breach {
-	var out []Breach
-	onlyNotRun := true
+func (h *History) checkKey(key string, list []Observation) []Violation {
+	var out []Violation
+	allNotRun := true
 	for _, s := range list {
-		onlyNotRun = onlyNotRun && s.Outcome == request.NotRun
+		allNotRun = allNotRun && s.Outcome == request.NotRun
 		if s.Outcome == request.Answered && s.Text != s.Want {
-			out = append(out, Breach{WholeAnswer, key, fmt.Sprintf("attempt %d got %d bytes of %d", s.Attempt, len(s.Text), len(s.Want))})
+			out = append(out, Violation{CompleteResponse, key, fmt.Sprintf("attempt %d got %d bytes of %d", s.Attempt, len(s.Text), len(s.Want))})
 		}
-		if s.Outcome == request.Answered && h.Ran[key] == 0 {
-			out = append(out, Breach{WholeAnswer, key, "answered without a run"})
+		if s.Outcome == request.Answered && h.RunCounts[key] == 0 {
+			out = append(out, Violation{CompleteResponse, key, "answered without a run"})
 		}
-		if h.MustFinish && s.Broken {
-			out = append(out, Breach{Graceful, key, "cut off"})
+		if h.RequireGraceful && s.ConnectionLost {
+			out = append(out, Violation{GracefulShutdown, key, "cut off"})
 		}
 	}
-	if onlyNotRun && h.Ran[key] > 0 {
-		out = append(out, Breach{NotRun, key, fmt.Sprintf("refused %d times and ran", len(list))})
+	if allNotRun && h.RunCounts[key] > 0 {
+		out = append(out, Violation{NotExecuted, key, fmt.Sprintf("refused %d times and ran", len(list))})
 	}
 	return out
 }
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -8,29 +8,29 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// TestCheckerObjects: a checker that sees nothing would make every proof pass.
+// TestCheckFindsViolations: a checker that sees nothing would make every proof pass.
 // Each history breaks one promise, and the last breaks none.
-func TestCheckerObjects(t *testing.T) {
-	whole := Seen{Key: "k", Attempt: 1, Outcome: request.Answered, Text: "a", Want: "a"}
-	refused := Seen{Key: "k", Attempt: 1, Outcome: request.NotRun}
+func TestCheckFindsViolations(t *testing.T) {
+	complete := Observation{Key: "k", Attempt: 1, Outcome: request.Answered, Text: "a", Want: "a"}
+	refused := Observation{Key: "k", Attempt: 1, Outcome: request.NotRun}
 	cases := []struct {
 		name string
 		h    History
-		want []Promise
+		want []Invariant
 	}{
-		{"ran twice", History{Seen: []Seen{whole}, Ran: map[string]int{"k": 2}}, []Promise{AtMostOnce}},
-		{"invoice ran twice", History{Seen: []Seen{whole}, Ran: map[string]int{"k": 2}, NonIdempotent: map[string]bool{"k": true}}, []Promise{AtMostOnce, NonIdempotent}},
-		{"ran though refused", History{Seen: []Seen{refused}, Ran: map[string]int{"k": 1}}, []Promise{NotRun}},
-		{"cut short", History{Seen: []Seen{{Key: "k", Outcome: request.Answered, Text: "", Want: "a"}}, Ran: map[string]int{"k": 1}}, []Promise{WholeAnswer}},
-		{"answered without a run", History{Seen: []Seen{whole}}, []Promise{WholeAnswer}},
-		{"cut off in a shutdown", History{Seen: []Seen{{Key: "k", Broken: true}}, MustFinish: true}, []Promise{Graceful}},
-		{"all well", History{Seen: []Seen{whole, refused}, Ran: map[string]int{"k": 1}, MustFinish: true}, nil},
+		{"ran twice", History{Observations: []Observation{complete}, RunCounts: map[string]int{"k": 2}}, []Invariant{AtMostOnce}},
+		{"invoice ran twice", History{Observations: []Observation{complete}, RunCounts: map[string]int{"k": 2}, NonIdempotent: map[string]bool{"k": true}}, []Invariant{AtMostOnce, NonIdempotent}},
+		{"ran though refused", History{Observations: []Observation{refused}, RunCounts: map[string]int{"k": 1}}, []Invariant{NotExecuted}},
+		{"cut short", History{Observations: []Observation{{Key: "k", Outcome: request.Answered, Text: "", Want: "a"}}, RunCounts: map[string]int{"k": 1}}, []Invariant{CompleteResponse}},
+		{"answered without a run", History{Observations: []Observation{complete}}, []Invariant{CompleteResponse}},
+		{"cut off in a shutdown", History{Observations: []Observation{{Key: "k", ConnectionLost: true}}, RequireGraceful: true}, []Invariant{GracefulShutdown}},
+		{"all well", History{Observations: []Observation{complete, refused}, RunCounts: map[string]int{"k": 1}, RequireGraceful: true}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var got []Promise
+			var got []Invariant
 			for _, b := range c.h.Check() {
-				got = append(got, b.Promise)
+				got = append(got, b.Invariant)
 			}
 			is.New(t).Equal(got, c.want)
 		})
--- a/history/notices.go
+++ b/history/notices.go
@@ -7,10 +7,10 @@
 
 // Promises about what endpoints say of themselves in their answers.
 const (
-	// Limited: an endpoint that names a limit gets no more from the VMs that it told.
-	Limited Promise = "limited"
-	// Rests: an endpoint that asked a VM for rest gets next to nothing from it.
-	Rests Promise = "rests"
+	// WithinEndpointLimit: an endpoint that names a limit gets no more from the VMs that it told.
+	WithinEndpointLimit Invariant = "limited"
+	// RespectsBackoff: an endpoint that asked a VM for rest gets next to nothing from it.
+	RespectsBackoff Invariant = "rests"
 )
 
 // Bounds of these promises.
@@ -18,27 +18,27 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitSettles is how long after it first named a limit the bound holds, wordHeard how long after an answer
+	// limitSettleTime is how long after it first named a limit the bound holds, wordHeard how long after an answer
 	// what its VM sends counts.
-	limitSettles = 3 * time.Second
-	wordHeard    = 500 * time.Millisecond
-	restMost     = 2
+	limitSettleTime  = 3 * time.Second
+	noticeDelay      = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// Word is an answer in which an endpoint said something of itself.
-type Word struct {
+// Notice is an answer in which an endpoint said something of itself.
+type Notice struct {
 	// ID is the request that it answered.
 	ID, Endpoint string
 	At           time.Duration
 	Leaving      bool
-	Rest         time.Duration
-	// Limited says that it named the limit of the need of that number.
-	Limited bool
-	Need    int
+	Backoff      time.Duration
+	// NamesLimit says that it named the limit of the need of that number.
+	NamesLimit bool
+	LimitIndex int
 }
 
-// Need is a time for which an endpoint names a limit in all its answers.
-type Need struct {
+// EndpointLimit is a time for which an endpoint names a limit in all its answers.
+type EndpointLimit struct {
 	Endpoint  string
 	PerSecond float64
 	Span
@@ -46,8 +46,8 @@
 
 // process is one process of a VM.
 type process struct {
-	vm   string
-	life int
+	vm          string
+	incarnation int
 }
 
 // sender is the process that a request was sent to.
@@ -56,11 +56,11 @@
 	if s == nil {
 		return process{}, false
 	}
-	return process{s.VM, s.Life}, true
+	return process{s.VM, s.Incarnation}, true
 }
 
-// frozen says whether a VM, or the whole machine, stood still in a span.
-func (c *deploymentCheck) frozen(vm string, s Span) bool {
+// isFrozen says whether a VM, or the whole machine, stood still in a span.
+func (c *deploymentCheck) isFrozen(vm string, s Span) bool {
 	for _, name := range []string{vm, ""} {
 		if slices.ContainsFunc(c.Frozen[name], s.overlaps) {
 			return true
@@ -69,49 +69,49 @@
 	return false
 }
 
-// harmed says whether the way to an endpoint was, so that it may have read late what was sent before.
-func (c *deploymentCheck) harmed(endpoint string, s Span) bool {
-	s.From -= c.Calm
+// pathDisturbed says whether the way to an endpoint was, so that it may have read late what was sent before.
+func (c *deploymentCheck) pathDisturbed(endpoint string, s Span) bool {
+	s.From -= c.SettleTime
 	return slices.ContainsFunc(c.Disturbed[endpoint], s.overlaps)
 }
 
-// notices checks what reached endpoints after they had said something of themselves.
-func (c *deploymentCheck) notices() {
+// checkNotices checks what reached endpoints after they had said something of themselves.
+func (c *deploymentCheck) checkNotices() {
 	arrivals := make(map[string][]Run)
 	for _, r := range c.Arrivals {
 		arrivals[r.Endpoint] = append(arrivals[r.Endpoint], r)
 	}
-	for _, w := range c.Words {
-		p, ok := c.sender(w.ID)
+	for _, n := range c.Notices {
+		p, ok := c.sender(n.ID)
 		if !ok {
 			continue
 		}
-		if w.Leaving {
-			c.afterLeaving(w, p, arrivals[w.Endpoint])
+		if n.Leaving {
+			c.checkLeaving(n, p, arrivals[n.Endpoint])
 		}
-		if w.Rest > 0 {
-			c.duringRest(w, p, arrivals[w.Endpoint])
+		if n.Backoff > 0 {
+			c.checkBackoff(n, p, arrivals[n.Endpoint])
 		}
 	}
-	for i, n := range c.Needs {
-		c.withinLimit(i, n, arrivals[n.Endpoint])
+	for i, n := range c.EndpointLimits {
+		c.checkEndpointLimit(i, n, arrivals[n.Endpoint])
 	}
 }
 
-func (c *deploymentCheck) afterLeaving(w Word, p process, arrivals []Run) {
+func (c *deploymentCheck) checkLeaving(notice Notice, p process, arrivals []Run) {
 	for _, r := range arrivals {
 		from, ok := c.sender(r.ID)
-		if !ok || from != p || c.byID[r.ID].From <= w.At+c.DrainWithin || c.frozen(p.vm, Span{w.At, r.From}) {
+		if !ok || from != p || c.byID[r.ID].From <= notice.At+c.DrainWithin || c.isFrozen(p.vm, Span{notice.At, r.From}) {
 			continue
 		}
-		c.breach(Leaving, r.ID, "reached %s by %s %v after an answer that it leaves", r.Endpoint, p.vm, r.From-w.At)
+		c.addViolation(Drained, r.ID, "reached %s by %s %v after an answer that it leaves", r.Endpoint, p.vm, r.From-notice.At)
 		return
 	}
 }
 
-func (c *deploymentCheck) duringRest(w Word, p process, arrivals []Run) {
-	s := Span{w.At + wordHeard, w.At + w.Rest}
-	if c.frozen(p.vm, Span{w.At, s.To}) || c.harmed(w.Endpoint, s) {
+func (c *deploymentCheck) checkBackoff(notice Notice, p process, arrivals []Run) {
+	s := Span{notice.At + noticeDelay, notice.At + notice.Backoff}
+	if c.isFrozen(p.vm, Span{notice.At, s.To}) || c.pathDisturbed(notice.Endpoint, s) {
 		return
 	}
 	n := 0
@@ -120,37 +120,37 @@
 			n++
 		}
 	}
-	if n > restMost {
-		c.breach(Rests, w.ID, "%d requests of %s reached %s in a rest of %v", n, p.vm, w.Endpoint, w.Rest)
+	if n > maxDuringBackoff {
+		c.addViolation(RespectsBackoff, notice.ID, "%d requests of %s reached %s in a rest of %v", n, p.vm, notice.Endpoint, notice.Backoff)
 	}
 }
 
-func (c *deploymentCheck) withinLimit(need int, n Need, arrivals []Run) {
-	told := make(map[process]time.Duration)
-	for _, w := range c.Words {
-		if p, ok := c.sender(w.ID); ok && w.Limited && w.Need == need {
-			if at, was := told[p]; !was || w.At < at {
-				told[p] = w.At
+func (c *deploymentCheck) checkEndpointLimit(index int, limit EndpointLimit, arrivals []Run) {
+	noticedAt := make(map[process]time.Duration)
+	for _, notice := range c.Notices {
+		if p, ok := c.sender(notice.ID); ok && notice.NamesLimit && notice.LimitIndex == index {
+			if at, known := noticedAt[p]; !known || notice.At < at {
+				noticedAt[p] = notice.At
 			}
 		}
 	}
 	var times []time.Duration
 	for _, r := range arrivals {
 		p, ok := c.sender(r.ID)
-		at, was := told[p]
-		if ok && was && r.From > at+wordHeard && r.From < n.To && !c.frozen(p.vm, Span{r.From - limitWindow, r.From}) && !c.harmed(n.Endpoint, Span{r.From, r.From}) {
+		at, known := noticedAt[p]
+		if ok && known && r.From > at+noticeDelay && r.From < limit.To && !c.isFrozen(p.vm, Span{r.From - limitWindow, r.From}) && !c.pathDisturbed(limit.Endpoint, Span{r.From, r.From}) {
 			times = append(times, r.From)
 		}
 	}
 	slices.Sort(times)
 	first := 0
-	for i, to := range times {
-		for times[first] < to-limitWindow {
+	for i, end := range times {
+		for times[first] < end-limitWindow {
 			first++
 		}
-		got, allowed := i-first+1, limitFactor*n.PerSecond*limitWindow.Seconds()+limitSlack
-		if to >= n.From+limitSettles && float64(got) > allowed {
-			c.breach(Limited, n.Endpoint, "%d requests in %v before %v, %.0f allowed by a limit of %v a second", got, limitWindow, to, allowed, n.PerSecond)
+		count, allowed := i-first+1, limitFactor*limit.PerSecond*limitWindow.Seconds()+limitSlack
+		if end >= limit.From+limitSettleTime && float64(count) > allowed {
+			c.addViolation(WithinEndpointLimit, limit.Endpoint, "%d requests in %v before %v, %.0f allowed by a limit of %v a second", count, limitWindow, end, allowed, limit.PerSecond)
 			return
 		}
 	}
--- a/load/current.go
+++ b/load/current.go
@@ -12,19 +12,19 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// current is the product's policy: a core for each VM, with a network between.
-type current struct {
-	s      *sim
-	nodes  []*core.Node
-	down   []bool
-	cutOff bool
-	// handles maps a VM's handles to requests.
-	handles []map[uint64]*arrival
-	runs    []map[uint64]*run
-	// waiting are attachments to a run that has not ended.
-	waiting map[string][]attachment
-	last    uint64
-	log     []*schema.LogRecord
+// corePolicy is the product's policy: a core for each VM, with a network between.
+type corePolicy struct {
+	s           *sim
+	nodes       []*core.Node
+	down        []bool
+	partitioned bool
+	// arrivals maps a VM's arrivals to requests.
+	arrivals []map[uint64]*arrival
+	runs     []map[uint64]*run
+	// attachments are attachments to a run that has not ended.
+	attachments map[string][]attachment
+	lastHandle  uint64
+	logRecords  []*schema.LogRecord
 }
 
 type attachment struct {
@@ -32,10 +32,10 @@
 	handle uint64
 }
 
-func newCurrent(s *sim) *current {
-	c := &current{s: s, waiting: map[string][]attachment{}}
+func newCorePolicy(s *sim) *corePolicy {
+	c := &corePolicy{s: s, attachments: map[string][]attachment{}}
 	var vms []claim.VM
-	for i, d := range s.sc.domains {
+	for i, d := range s.scenario.domains {
 		vms = append(vms, claim.VM{ID: uint32(i + 1), Domain: d})
 	}
 	for i := range vms {
@@ -47,29 +47,29 @@
 			Sched:       sched.Config{MaxQueued: 10000},
 			DigestEvery: 100 * time.Millisecond, ConfigEvery: 500 * time.Millisecond, CarryEvery: time.Hour,
 		}, 0))
-		c.handles = append(c.handles, map[uint64]*arrival{})
+		c.arrivals = append(c.arrivals, map[uint64]*arrival{})
 		c.runs = append(c.runs, map[uint64]*run{})
 		c.down = append(c.down, false)
 	}
-	doc := document(s.sc)
+	doc := scenarioDocument(s.scenario)
 	rec := &schema.LogRecord{AppendId: "load", Body: &schema.LogRecord_Document{Document: doc}}
 	c.append(rec)
 	return c
 }
 
 // append puts a record on the log, which every VM reads soon after.
-func (c *current) append(rec *schema.LogRecord) {
-	offset := uint64(len(c.log))
-	c.log = append(c.log, rec)
-	c.s.after(c.s.sc.netDelay, func() {
+func (c *corePolicy) append(rec *schema.LogRecord) {
+	offset := uint64(len(c.logRecords))
+	c.logRecords = append(c.logRecords, rec)
+	c.s.schedule(c.s.scenario.netDelay, func() {
 		for i := range c.nodes {
 			c.step(i, core.LogRead{Next: offset + 1, Records: []core.LogEntry{{Offset: offset, Record: rec}}})
 		}
 	})
 }
 
-// document is the scenario's endpoints as a configuration.
-func document(sc *Scenario) *schema.Document {
+// scenarioDocument is the scenario's endpoints as a configuration.
+func scenarioDocument(sc *Scenario) *schema.Document {
 	d := &schema.Document{SchemaVersion: 1, Author: "load", RecordTtl: "15m"}
 	for i := range 4 {
 		d.Tiers = append(d.Tiers, &schema.Tier{Number: uint32(i), Name: fmt.Sprint(i)})
@@ -92,22 +92,22 @@
 	return d
 }
 
-func (c *current) step(vm int, ev core.Event) {
+func (c *corePolicy) step(vm int, ev core.Event) {
 	if c.down[vm] {
 		return
 	}
 	for _, ef := range c.nodes[vm].Step(c.s.now, ev) {
-		c.apply(vm, ef)
+		c.applyEffect(vm, ef)
 	}
 }
 
-func (c *current) apply(vm int, ef core.Effect) {
+func (c *corePolicy) applyEffect(vm int, ef core.Effect) {
 	switch ef := ef.(type) {
 	case core.Send:
 		c.send(vm, int(ef.To)-1, ef.Message)
 	case core.Dispatch:
-		r := &run{a: c.handles[vm][ef.Handle], vm: vm, handle: ef.Handle, endpoint: -1, stream: ef.Stream}
-		if i, ok := c.s.byName[ef.Endpoint]; ok {
+		r := &run{a: c.arrivals[vm][ef.Handle], vm: vm, handle: ef.Handle, endpoint: -1, stream: ef.Stream}
+		if i, ok := c.s.engineByName[ef.Endpoint]; ok {
 			r.endpoint = i
 		}
 		c.runs[vm][ef.Handle] = r
@@ -116,7 +116,7 @@
 		c.attach(vm, ef)
 	case core.Stop:
 		r := c.runs[vm][ef.Handle]
-		c.s.after(2*c.s.sc.netDelay, func() {
+		c.s.schedule(2*c.s.scenario.netDelay, func() {
 			if !r.ended {
 				c.s.cancel(r)
 				c.step(vm, core.Ended{Handle: ef.Handle, End: core.Stopped})
@@ -125,78 +125,78 @@
 	case core.Append:
 		c.append(ef.Record)
 	case core.Finish:
-		a := c.handles[vm][ef.Handle]
-		delete(c.handles[vm], ef.Handle)
+		a := c.arrivals[vm][ef.Handle]
+		delete(c.arrivals[vm], ef.Handle)
 		delete(c.runs[vm], ef.Handle)
-		c.s.finish(a, ef.Outcome)
+		c.s.recordOutcome(a, ef.Outcome)
 	}
 }
 
-func (c *current) send(from, to int, m *schema.Message) {
-	delay := c.s.sc.netDelay
-	if c.s.sc.stale && m.GetDigest() != nil {
-		delay = staleLag
+func (c *corePolicy) send(from, to int, m *schema.Message) {
+	delay := c.s.scenario.netDelay
+	if c.s.scenario.staleDigests && m.GetDigest() != nil {
+		delay = staleDigestLag
 	}
 	c.s.report.Messages++
-	c.s.after(delay, func() {
-		if !c.down[from] && !c.parted(from, to) {
+	c.s.schedule(delay, func() {
+		if !c.down[from] && !c.isPartitioned(from, to) {
 			c.step(to, core.PeerMessage{From: uint32(from + 1), Incarnation: uint64(from+1) << 32, Message: m})
 		}
 	})
 }
 
-func (c *current) parted(a, b int) bool {
-	first := c.s.sc.domains[0]
-	return c.cutOff && (c.s.sc.domains[a] == first) != (c.s.sc.domains[b] == first)
+func (c *corePolicy) isPartitioned(a, b int) bool {
+	first := c.s.scenario.domains[0]
+	return c.partitioned && (c.s.scenario.domains[a] == first) != (c.s.scenario.domains[b] == first)
 }
 
-func (c *current) attach(vm int, ef core.Attach) {
+func (c *corePolicy) attach(vm int, ef core.Attach) {
 	r := c.s.runs[ef.Record.Stream]
 	switch {
 	case r == nil || r.endpoint < 0 && c.down[r.vm]:
-		c.s.after(c.s.sc.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.Missing}) })
+		c.s.schedule(c.s.scenario.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.Missing}) })
 	case r.done:
-		c.s.after(c.s.sc.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.Whole}) })
+		c.s.schedule(c.s.scenario.netDelay, func() { c.step(vm, core.Ended{Handle: ef.Handle, End: core.Whole}) })
 	default:
-		c.waiting[r.stream] = append(c.waiting[r.stream], attachment{vm: vm, handle: ef.Handle})
+		c.attachments[r.stream] = append(c.attachments[r.stream], attachment{vm: vm, handle: ef.Handle})
 	}
 }
 
 // Arrive implements Policy.
-func (c *current) Arrive(now time.Duration, vm int, a *arrival, attempt int) {
-	c.last++
-	c.handles[vm][c.last] = a
-	c.step(vm, core.Arrive{Handle: c.last, Spec: a.spec(now, request.Attempt(attempt))})
+func (c *corePolicy) Arrive(now time.Duration, vm int, a *arrival, attempt int) {
+	c.lastHandle++
+	c.arrivals[vm][c.lastHandle] = a
+	c.step(vm, core.Arrive{Handle: c.lastHandle, Spec: a.spec(now, request.Attempt(attempt))})
 }
 
 // FirstToken implements Policy.
-func (c *current) FirstToken(_ time.Duration, r *run) {
+func (c *corePolicy) FirstToken(_ time.Duration, r *run) {
 	c.step(r.vm, core.FirstToken{Handle: r.handle})
 }
 
 // Progress implements Policy.
-func (c *current) Progress(_ time.Duration, r *run, tokens int) {
+func (c *corePolicy) Progress(_ time.Duration, r *run, tokens int) {
 	c.step(r.vm, core.Progress{Handle: r.handle, Tokens: tokens})
 }
 
 // Done implements Policy.
-func (c *current) Done(_ time.Duration, r *run) {
+func (c *corePolicy) Done(_ time.Duration, r *run) {
 	c.step(r.vm, core.Ended{Handle: r.handle, End: core.Whole, Tokens: r.a.output})
-	for _, w := range c.waiting[r.stream] {
+	for _, w := range c.attachments[r.stream] {
 		c.step(w.vm, core.Ended{Handle: w.handle, End: core.Whole})
 	}
-	delete(c.waiting, r.stream)
+	delete(c.attachments, r.stream)
 }
 
-// Every implements Policy.
-func (c *current) Every(time.Duration) {
+// Tick implements Policy.
+func (c *corePolicy) Tick(time.Duration) {
 	for i := range c.nodes {
 		c.step(i, core.Tick{})
 	}
 }
 
-// Cache implements Policy.
-func (c *current) Cache(_ time.Duration, endpoint string, ev engine.CacheEvent, gap bool) {
+// CacheEvent implements Policy.
+func (c *corePolicy) CacheEvent(_ time.Duration, endpoint string, ev engine.CacheEvent, gap bool) {
 	for i := range c.nodes {
 		if !gap {
 			c.step(i, core.CacheEvents{Endpoint: endpoint, Stored: ev.Stored, Dropped: ev.Dropped})
@@ -204,17 +204,17 @@
 	}
 }
 
-// Kill implements Policy.
-func (c *current) Kill(_ time.Duration, vm int) {
+// KillVM implements Policy.
+func (c *corePolicy) KillVM(_ time.Duration, vm int) {
 	c.down[vm] = true
-	for i, d := range c.s.sc.domains {
-		if i != vm && d == c.s.sc.domains[vm] {
-			c.s.after(c.s.sc.netDelay, func() {
+	for i, d := range c.s.scenario.domains {
+		if i != vm && d == c.s.scenario.domains[vm] {
+			c.s.schedule(c.s.scenario.netDelay, func() {
 				c.step(i, core.PeerClosed{VM: uint32(vm + 1), Incarnation: uint64(vm+1) << 32})
 			})
 		}
 	}
 }
 
-// Cut implements Policy.
-func (c *current) Cut(_ time.Duration, on bool) { c.cutOff = on }
+// SetPartition implements Policy.
+func (c *corePolicy) SetPartition(_ time.Duration, on bool) { c.partitioned = on }
--- a/load/report.go
+++ b/load/report.go
@@ -69,41 +69,41 @@
 	}
 	s := newSim(sc, seed)
 	s.report = &Report{Scenario: name, Policy: policy, Seed: seed, Dispatches: map[string]int{}}
-	for i := range tiers {
+	for i := range tierCount {
 		s.report.Tiers = append(s.report.Tiers, &TierReport{Tier: i, histogram: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)})
 	}
 	switch policy {
 	case Current:
-		s.policy = newCurrent(s)
+		s.policy = newCorePolicy(s)
 	case RoundRobin, LeastReported:
 		s.policy = newBaseline(s, policy == LeastReported)
 	default:
 		return nil, &UnknownPolicyError{Name: policy}
 	}
-	s.play(sc.arrivals(rand.New(rand.NewPCG(seed, 2))))
+	s.run(sc.drawArrivals(rand.New(rand.NewPCG(seed, 2))))
 	s.summarise()
 	return s.report, nil
 }
 
-const tiers = 3
+const tierCount = 3
 
-func (r *Report) firstToken(t request.Tier, d time.Duration) {
+func (r *Report) recordFirstToken(t request.Tier, d time.Duration) {
 	_ = r.Tiers[t].histogram.RecordValue(int64(d / time.Microsecond))
 }
 
 func (s *sim) summarise() {
-	for _, id := range s.order() {
+	for _, id := range s.requestIDs() {
 		r := s.results[id]
 		t := s.report.Tiers[r.a.kind.tier]
 		t.add(r)
 		if !r.inTime {
-			s.report.WastedDiscarded += r.paid
+			s.report.WastedDiscarded += r.prefilledTokens
 		}
 		if s.report.Dispatches[id] > 1 {
 			s.report.Twice++
 		}
 	}
-	s.bounds()
+	s.computeBounds()
 	for _, t := range s.report.Tiers {
 		t.FirstP50 = time.Duration(t.histogram.ValueAtQuantile(50)) * time.Microsecond
 		t.FirstP95 = time.Duration(t.histogram.ValueAtQuantile(95)) * time.Microsecond
@@ -131,20 +131,20 @@
 	}
 }
 
-// bounds works out what no policy can exceed: requests that the fastest engine
+// computeBounds works out what no policy can exceed: requests that the fastest engine
 // alone could do in time, as far as the slots of all engines reach, the
 // smallest first and higher tiers before lower ones.
-func (s *sim) bounds() {
-	best := s.kinds[len(s.kinds)-1].cfg
+func (s *sim) computeBounds() {
+	fastest := s.engineKinds[len(s.engineKinds)-1].cfg
 	var capacity float64
-	for _, k := range s.kinds {
-		capacity += float64(k.cfg.Slots) * k.cfg.OutputSpeed * s.sc.length.Seconds()
+	for _, k := range s.engineKinds {
+		capacity += float64(k.cfg.Slots) * k.cfg.OutputSpeed * s.scenario.duration.Seconds()
 	}
-	for _, id := range s.order() {
+	for _, id := range s.requestIDs() {
 		a := s.results[id].a
 		t := s.report.Tiers[a.kind.tier]
-		alone := time.Duration(float64(a.output) / best.OutputSpeed * float64(time.Second))
-		if a.kind.plain || alone <= a.kind.deadline {
+		minDuration := time.Duration(float64(a.output) / fastest.OutputSpeed * float64(time.Second))
+		if a.kind.plain || minDuration <= a.kind.deadline {
 			t.slotDemands = append(t.slotDemands, float64(a.output))
 		}
 	}
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -22,13 +22,13 @@
 	tier  request.Tier
 	share float64
 	// Lengths in tokens; the prompt is drawn between both, most of them short.
-	promptMin, promptMax, output int
-	deadline, firstToken         time.Duration
+	minPrompt, maxPrompt, output int
+	deadline, firstTokenTarget   time.Duration
 	plain, nonIdempotent         bool
-	// shared is the part of the prompt that other requests begin with too.
-	shared float64
-	// sources is how many different beginnings there are.
-	sources int
+	// sharedPrefix is the part of the prompt that other requests begin with too.
+	sharedPrefix float64
+	// prefixCount is how many different beginnings there are.
+	prefixCount int
 }
 
 // engineKind is a generation of engines.
@@ -41,21 +41,21 @@
 
 // Scenario is a workload with its failures.
 type Scenario struct {
-	Name    string
-	domains []string // of the VMs
-	engines []engineKind
-	kinds   []kind
-	orgs    []float64 // shares of the organisations
+	Name      string
+	domains   []string // of the VMs
+	engines   []engineKind
+	kinds     []kind
+	orgShares []float64 // shares of the organisations
 	// rate is requests a second.
-	rate     float64
-	length   time.Duration
-	netDelay time.Duration
-	burst    bool
-	overload bool
-	slow     bool
-	stale    bool
-	kill     bool
-	cut      bool
+	rate         float64
+	duration     time.Duration
+	netDelay     time.Duration
+	burst        bool
+	overload     bool
+	straggler    bool
+	staleDigests bool
+	killVM       bool
+	partition    bool
 }
 
 // Variants of each workload.
@@ -88,10 +88,10 @@
 	s.Name = name
 	s.burst = variant == "burst"
 	s.overload = variant == "overload"
-	s.slow = variant == "straggler"
-	s.stale = variant == "stale"
-	s.kill = variant == "vm-killed"
-	s.cut = variant == "partition"
+	s.straggler = variant == "straggler"
+	s.staleDigests = variant == "stale"
+	s.killVM = variant == "vm-killed"
+	s.partition = variant == "partition"
 	return s, nil
 }
 
@@ -114,12 +114,12 @@
 		domains: []string{"p1", "p1", "p2", "p2", "p3", "p3", "p4", "p4"},
 		engines: []engineKind{generation(0, 6), generation(1, 6), generation(2, 5), generation(3, 3)},
 		kinds: []kind{
-			{name: "clearance", tier: 0, share: 0.25, promptMin: 1000, promptMax: 24000, output: 250, deadline: 45 * time.Second, shared: 0.6, sources: 60},
-			{name: "question", tier: 1, share: 0.45, promptMin: 300, promptMax: 4000, output: 120, deadline: 15 * time.Second, firstToken: 1800 * time.Millisecond, shared: 0.7, sources: 60},
-			{name: "flag", tier: 2, share: 0.2, promptMin: 500, promptMax: 8000, output: 60, deadline: 60 * time.Second, shared: 0.5, sources: 60},
+			{name: "clearance", tier: 0, share: 0.25, minPrompt: 1000, maxPrompt: 24000, output: 250, deadline: 45 * time.Second, sharedPrefix: 0.6, prefixCount: 60},
+			{name: "question", tier: 1, share: 0.45, minPrompt: 300, maxPrompt: 4000, output: 120, deadline: 15 * time.Second, firstTokenTarget: 1800 * time.Millisecond, sharedPrefix: 0.7, prefixCount: 60},
+			{name: "flag", tier: 2, share: 0.2, minPrompt: 500, maxPrompt: 8000, output: 60, deadline: 60 * time.Second, sharedPrefix: 0.5, prefixCount: 60},
 			{name: "notice", tier: 0, share: 0.1, deadline: 10 * time.Second, plain: true, nonIdempotent: true},
 		},
-		orgs: []float64{0.5, 0.3, 0.1, 0.06, 0.04}, rate: 25, length: time.Minute, netDelay: 500 * time.Microsecond,
+		orgShares: []float64{0.5, 0.3, 0.1, 0.06, 0.04}, rate: 25, duration: time.Minute, netDelay: 500 * time.Microsecond,
 	}
 }
 
@@ -128,13 +128,13 @@
 		domains: []string{"z1", "z1", "z1", "z2", "z2", "z2", "z3", "z3"},
 		engines: []engineKind{generation(0, 3), generation(1, 3), generation(2, 2), generation(3, 2)},
 		kinds: []kind{
-			{name: "tags", tier: 0, share: 0.4, promptMin: 100, promptMax: 500, output: 20, deadline: 5 * time.Second, firstToken: time.Second, shared: 0.5, sources: 20},
-			{name: "draft", tier: 1, share: 0.25, promptMin: 300, promptMax: 2000, output: 200, deadline: 30 * time.Second, firstToken: 1800 * time.Millisecond, shared: 0.4, sources: 40},
-			{name: "review", tier: 2, share: 0.1, promptMin: 8000, promptMax: 40000, output: 400, deadline: 180 * time.Second, shared: 0.8, sources: 25},
+			{name: "tags", tier: 0, share: 0.4, minPrompt: 100, maxPrompt: 500, output: 20, deadline: 5 * time.Second, firstTokenTarget: time.Second, sharedPrefix: 0.5, prefixCount: 20},
+			{name: "draft", tier: 1, share: 0.25, minPrompt: 300, maxPrompt: 2000, output: 200, deadline: 30 * time.Second, firstTokenTarget: 1800 * time.Millisecond, sharedPrefix: 0.4, prefixCount: 40},
+			{name: "review", tier: 2, share: 0.1, minPrompt: 8000, maxPrompt: 40000, output: 400, deadline: 180 * time.Second, sharedPrefix: 0.8, prefixCount: 25},
 			{name: "profile", tier: 0, share: 0.15, deadline: 5 * time.Second, plain: true},
 			{name: "invoice", tier: 0, share: 0.1, deadline: 10 * time.Second, plain: true, nonIdempotent: true},
 		},
-		orgs: []float64{0.45, 0.3, 0.15, 0.06, 0.04}, rate: 18, length: time.Minute, netDelay: time.Millisecond,
+		orgShares: []float64{0.45, 0.3, 0.15, 0.06, 0.04}, rate: 18, duration: time.Minute, netDelay: time.Millisecond,
 	}
 }
 
@@ -147,8 +147,8 @@
 	vm   int
 	// spec without times.
 	prompt, output int
-	prefix         []uint64
-	source         int
+	blockHashes    []uint64
+	prefixID       int
 }
 
 const (
@@ -159,10 +159,10 @@
 	overloadFactor           = 4
 )
 
-// arrivals draws the workload from a seed.
-func (s *Scenario) arrivals(rng *rand.Rand) []*arrival {
+// drawArrivals draws the workload from a seed.
+func (s *Scenario) drawArrivals(rng *rand.Rand) []*arrival {
 	var list []*arrival
-	for at := time.Duration(0); at < s.length; {
+	for at := time.Duration(0); at < s.duration; {
 		rate := s.rate
 		if s.burst && at >= burstFrom && at < burstTo {
 			rate *= burstFactor
@@ -171,24 +171,24 @@
 			rate *= overloadFactor
 		}
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		list = append(list, s.draw(rng, at, len(list)))
+		list = append(list, s.drawArrival(rng, at, len(list)))
 	}
 	return list
 }
 
-func (s *Scenario) draw(rng *rand.Rand, at time.Duration, n int) *arrival {
+func (s *Scenario) drawArrival(rng *rand.Rand, at time.Duration, n int) *arrival {
 	a := &arrival{at: at, id: fmt.Sprintf("r%06d", n), vm: rng.IntN(len(s.domains))}
-	x := rng.Float64()
+	kindDraw := rng.Float64()
 	for i := range s.kinds {
 		a.kind = &s.kinds[i]
-		if x -= a.kind.share; x < 0 {
+		if kindDraw -= a.kind.share; kindDraw < 0 {
 			break
 		}
 	}
-	y := rng.Float64()
-	for i, share := range s.orgs {
+	orgDraw := rng.Float64()
+	for i, share := range s.orgShares {
 		a.org = fmt.Sprintf("org%d", i)
-		if y -= share; y < 0 {
+		if orgDraw -= share; orgDraw < 0 {
 			break
 		}
 	}
@@ -196,22 +196,22 @@
 	if k.plain {
 		return a
 	}
-	z := rng.Float64()
-	a.prompt = k.promptMin + int(z*z*z*float64(k.promptMax-k.promptMin))
+	lengthDraw := rng.Float64()
+	a.prompt = k.minPrompt + int(lengthDraw*lengthDraw*lengthDraw*float64(k.maxPrompt-k.minPrompt))
 	a.output = max(1, int(float64(k.output)*(0.5+rng.Float64())))
-	a.source = int(rng.Float64() * rng.Float64() * float64(k.sources))
-	a.prefix = blocks(k, a, n)
+	a.prefixID = int(rng.Float64() * rng.Float64() * float64(k.prefixCount))
+	a.blockHashes = promptBlockHashes(k, a, n)
 	return a
 }
 
-// blocks are the hashes of a prompt that shares its beginning with its source.
-func blocks(k *kind, a *arrival, n int) []uint64 {
+// promptBlockHashes are the hashes of a prompt that shares its beginning with its source.
+func promptBlockHashes(k *kind, a *arrival, n int) []uint64 {
 	count := a.prompt / prompt.BlockTokens
-	shared := int(k.shared * float64(count))
+	shared := int(k.sharedPrefix * float64(count))
 	list := make([]uint64, 0, count)
 	var sum uint64
 	for i := range count {
-		block := uint64(a.source)<<32 | uint64(i)
+		block := uint64(a.prefixID)<<32 | uint64(i)
 		if i >= shared {
 			block = uint64(n+1)<<40 | uint64(i)
 		}
@@ -227,8 +227,8 @@
 	s := request.Spec{
 		Key: request.Key{Organisation: a.org, ID: a.id}, Kind: k.name, Tier: k.tier, Weight: 1,
 		Idempotent: !k.nonIdempotent, TrustFirstAttempt: !k.nonIdempotent, Attempt: attempt, Digest: 1,
-		PromptTokens: a.prompt, OutputTokens: k.output, PrefixHashes: a.prefix,
-		Deadline: now + k.deadline - (now - a.at), FirstTokenTarget: k.firstToken,
+		PromptTokens: a.prompt, OutputTokens: k.output, PrefixHashes: a.blockHashes,
+		Deadline: now + k.deadline - (now - a.at), FirstTokenTarget: k.firstTokenTarget,
 	}
 	if !k.plain {
 		s.Model = "m"
@@ -236,7 +236,7 @@
 	return s
 }
 
-const services = 4
+const serviceCount = 4
 
 // endpoints are the engines and services as the scheduler knows them.
 func (s *Scenario) endpoints() []sched.Endpoint {
@@ -256,7 +256,7 @@
 			kinds = append(kinds, k.name)
 		}
 	}
-	for i := range services {
+	for i := range serviceCount {
 		list = append(list, sched.Endpoint{Name: fmt.Sprintf("s%d", i), Kinds: kinds, Slots: 32})
 	}
 	return list
--- a/load/sim.go
+++ b/load/sim.go
@@ -13,18 +13,18 @@
 
 // Times of the failures in a scenario.
 const (
-	faultFrom  = 20 * time.Second
-	faultTo    = 40 * time.Second
-	slowFactor = 8
+	faultFrom      = 20 * time.Second
+	faultTo        = 40 * time.Second
+	slowdownFactor = 8
 	// reportLag is the age of load reports, cache events and, if stale, digests.
-	reportLag = time.Second
-	staleLag  = 3 * time.Second
+	reportLag      = time.Second
+	staleDigestLag = 3 * time.Second
 	// serviceTime is what a plain service takes.
 	serviceTime = 20 * time.Millisecond
-	// repeatAfter is when a caller whose connection broke asks another VM.
-	repeatAfter = 50 * time.Millisecond
-	// gapShare is the part of cache events that are lost.
-	gapShare = 0.1
+	// retryDelay is when a caller whose connection broke asks another VM.
+	retryDelay = 50 * time.Millisecond
+	// cacheEventLoss is the part of cache events that are lost.
+	cacheEventLoss = 0.1
 )
 
 // Policy decides where requests go.
@@ -35,12 +35,12 @@
 	FirstToken(now time.Duration, r *run)
 	Progress(now time.Duration, r *run, tokens int)
 	Done(now time.Duration, r *run)
-	// Every is called at a fixed interval, Cache with cache events.
-	Every(now time.Duration)
-	Cache(now time.Duration, endpoint string, ev engine.CacheEvent, gap bool)
-	// Kill ends a VM; Cut parts the VMs of the first domain from the rest.
-	Kill(now time.Duration, vm int)
-	Cut(now time.Duration, on bool)
+	// Tick is called at a fixed interval, Cache with cache events.
+	Tick(now time.Duration)
+	CacheEvent(now time.Duration, endpoint string, ev engine.CacheEvent, gap bool)
+	// KillVM ends a VM; Cut parts the VMs of the first domain from the rest.
+	KillVM(now time.Duration, vm int)
+	SetPartition(now time.Duration, on bool)
 }
 
 // run is one dispatch.
@@ -59,22 +59,22 @@
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements heap.Interface.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements heap.Interface.
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -83,136 +83,136 @@
 
 // sim is one run of a scenario under a policy.
 type sim struct {
-	sc       *Scenario
-	rng      *rand.Rand
-	now      time.Duration
-	queue    events
-	seq      int
-	engines  []*engine.Model
-	wake     []time.Duration
-	names    []string
-	byName   map[string]int
-	kinds    []engineKind
-	runs     map[string]*run
-	active   []string
-	policy   Policy
-	report   *Report
-	results  map[string]*result
-	paidOnce map[uint64]bool
-	killed   map[int]bool
+	scenario        *Scenario
+	rng             *rand.Rand
+	now             time.Duration
+	events          eventHeap
+	lastSeq         int
+	engines         []*engine.Model
+	nextWake        []time.Duration
+	engineNames     []string
+	engineByName    map[string]int
+	engineKinds     []engineKind
+	runs            map[string]*run
+	activeStreams   []string
+	policy          Policy
+	report          *Report
+	results         map[string]*result
+	prefilledBlocks map[uint64]bool
+	killedVMs       map[int]bool
 }
 
 // result is what became of one request.
 type result struct {
-	a       *arrival
-	attempt int
-	outcome request.Outcome
-	ended   bool
-	inTime  bool
-	first   time.Duration
-	paid    int
-	vm      int
+	a               *arrival
+	attempt         int
+	outcome         request.Outcome
+	ended           bool
+	inTime          bool
+	firstTokenAfter time.Duration
+	prefilledTokens int
+	vm              int
 }
 
 func newSim(sc *Scenario, seed uint64) *sim {
 	s := &sim{
-		sc: sc, rng: rand.New(rand.NewPCG(seed, 1)), runs: map[string]*run{}, byName: map[string]int{},
-		results: map[string]*result{}, paidOnce: map[uint64]bool{}, killed: map[int]bool{},
+		scenario: sc, rng: rand.New(rand.NewPCG(seed, 1)), runs: map[string]*run{}, engineByName: map[string]int{},
+		results: map[string]*result{}, prefilledBlocks: map[uint64]bool{}, killedVMs: map[int]bool{},
 	}
 	for g, k := range sc.engines {
 		for i := range k.count {
-			s.byName[fmt.Sprintf("e%d-%d", g, i)] = len(s.engines)
-			s.names = append(s.names, fmt.Sprintf("e%d-%d", g, i))
+			s.engineByName[fmt.Sprintf("e%d-%d", g, i)] = len(s.engines)
+			s.engineNames = append(s.engineNames, fmt.Sprintf("e%d-%d", g, i))
 			s.engines = append(s.engines, engine.New(k.cfg, 0))
-			s.kinds = append(s.kinds, k)
-			s.wake = append(s.wake, -1)
+			s.engineKinds = append(s.engineKinds, k)
+			s.nextWake = append(s.nextWake, -1)
 		}
 	}
 	return s
 }
 
-func (s *sim) after(d time.Duration, do func()) {
-	s.seq++
-	heap.Push(&s.queue, event{at: s.now + d, seq: s.seq, do: do})
+func (s *sim) schedule(d time.Duration, do func()) {
+	s.lastSeq++
+	heap.Push(&s.events, event{at: s.now + d, seq: s.lastSeq, run: do})
 }
 
-const everyInterval = 10 * time.Millisecond
+const tickInterval = 10 * time.Millisecond
 
-// play runs the scenario to its end and some time beyond.
-func (s *sim) play(list []*arrival) {
+// run runs the scenario to its end and some time beyond.
+func (s *sim) run(list []*arrival) {
 	for _, a := range list {
 		s.results[a.id] = &result{a: a, vm: a.vm}
-		s.after(a.at, func() { s.arrive(a, a.vm) })
+		s.schedule(a.at, func() { s.arrive(a, a.vm) })
 	}
-	s.after(0, s.every)
-	s.after(0, s.progress)
-	s.faults()
-	end := s.sc.length + 3*time.Minute
-	for len(s.queue) > 0 {
-		e := heap.Pop(&s.queue).(event)
+	s.schedule(0, s.tick)
+	s.schedule(0, s.reportProgress)
+	s.scheduleFaults()
+	end := s.scenario.duration + 3*time.Minute
+	for len(s.events) > 0 {
+		e := heap.Pop(&s.events).(event)
 		if e.at > end {
 			break
 		}
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-// progress tells how far the streams have come.
-func (s *sim) progress() {
-	for _, stream := range s.active {
+// reportProgress tells how far the streams have come.
+func (s *sim) reportProgress() {
+	for _, stream := range s.activeStreams {
 		r := s.runs[stream]
-		if n := s.engines[r.endpoint].Written(stream); n > 1 && !r.ended {
+		if n := s.engines[r.endpoint].GeneratedTokens(stream); n > 1 && !r.ended {
 			s.policy.Progress(s.now, r, n)
 		}
 	}
-	s.active = slices.DeleteFunc(s.active, func(stream string) bool { return s.runs[stream].ended })
-	s.after(progressEvery, s.progress)
+	s.activeStreams = slices.DeleteFunc(s.activeStreams, func(stream string) bool { return s.runs[stream].ended })
+	s.schedule(progressInterval, s.reportProgress)
 }
 
-// progressEvery is the interval of a stream's progress events.
-const progressEvery = 250 * time.Millisecond
+// progressInterval is the interval of a stream's progress events.
+const progressInterval = 250 * time.Millisecond
 
-func (s *sim) every() {
-	s.policy.Every(s.now)
-	s.after(everyInterval, s.every)
+func (s *sim) tick() {
+	s.policy.Tick(s.now)
+	s.schedule(tickInterval, s.tick)
 }
 
-func (s *sim) faults() {
+func (s *sim) scheduleFaults() {
 	switch {
-	case s.sc.slow:
+	case s.scenario.straggler:
 		// One of the cheapest engines, which get most work, and one of the quickest.
 		for _, name := range []string{"e0-0", "e3-0"} {
-			slow := s.byName[name]
-			s.after(faultFrom, func() { s.setSlow(slow, slowFactor) })
-			s.after(faultTo, func() { s.setSlow(slow, 1) })
+			i := s.engineByName[name]
+			s.schedule(faultFrom, func() { s.setSlowdown(i, slowdownFactor) })
+			s.schedule(faultTo, func() { s.setSlowdown(i, 1) })
 		}
-	case s.sc.kill:
-		s.after(faultFrom, func() { s.kill(0) })
-	case s.sc.cut:
-		s.after(faultFrom, func() { s.policy.Cut(s.now, true) })
-		s.after(faultTo, func() { s.policy.Cut(s.now, false) })
+	case s.scenario.killVM:
+		s.schedule(faultFrom, func() { s.killVM(0) })
+	case s.scenario.partition:
+		s.schedule(faultFrom, func() { s.policy.SetPartition(s.now, true) })
+		s.schedule(faultTo, func() { s.policy.SetPartition(s.now, false) })
 	}
 }
 
-func (s *sim) setSlow(i int, f float64) {
-	s.engines[i].SetSlow(s.now, f)
-	s.pump(i)
+func (s *sim) setSlowdown(i int, f float64) {
+	s.engines[i].SetSlowdown(s.now, f)
+	s.processEngine(i)
 }
 
-// kill ends a VM; the callers it had ask the next one again.
-func (s *sim) kill(vm int) {
-	s.killed[vm] = true
-	s.policy.Kill(s.now, vm)
-	for _, id := range s.order() {
+// killVM ends a VM; the callers it had ask the next one again.
+func (s *sim) killVM(vm int) {
+	s.killedVMs[vm] = true
+	s.policy.KillVM(s.now, vm)
+	for _, id := range s.requestIDs() {
 		if r := s.results[id]; r.attempt > 0 && !r.ended && r.vm == vm {
-			s.after(repeatAfter, func() { s.arrive(r.a, (vm+1)%len(s.sc.domains)) })
+			s.schedule(retryDelay, func() { s.arrive(r.a, (vm+1)%len(s.scenario.domains)) })
 		}
 	}
 }
 
-// order lists the requests that have arrived, by id.
-func (s *sim) order() []string {
+// requestIDs lists the requests that have arrived, by id.
+func (s *sim) requestIDs() []string {
 	var ids []string
 	for id := range s.results {
 		ids = append(ids, id)
@@ -222,8 +222,8 @@
 }
 
 func (s *sim) arrive(a *arrival, vm int) {
-	for s.killed[vm] {
-		vm = (vm + 1) % len(s.sc.domains)
+	for s.killedVMs[vm] {
+		vm = (vm + 1) % len(s.scenario.domains)
 	}
 	r := s.results[a.id]
 	r.attempt++
@@ -235,14 +235,14 @@
 func (s *sim) dispatch(r *run) {
 	s.report.Dispatches[r.a.id]++
 	s.runs[r.stream] = r
-	s.after(s.sc.netDelay, func() {
+	s.schedule(s.scenario.netDelay, func() {
 		if r.endpoint < 0 {
-			s.after(serviceTime, func() { s.finishRun(r) })
+			s.schedule(serviceTime, func() { s.finishRun(r) })
 			return
 		}
-		s.active = append(s.active, r.stream)
-		s.engines[r.endpoint].Submit(s.now, r.stream, r.a.prefix, r.a.prompt, r.a.output)
-		s.pump(r.endpoint)
+		s.activeStreams = append(s.activeStreams, r.stream)
+		s.engines[r.endpoint].Submit(s.now, r.stream, r.a.blockHashes, r.a.prompt, r.a.output)
+		s.processEngine(r.endpoint)
 	})
 }
 
@@ -251,29 +251,29 @@
 	r.ended = true
 	if r.endpoint >= 0 {
 		s.engines[r.endpoint].Cancel(s.now, r.stream)
-		s.pump(r.endpoint)
+		s.processEngine(r.endpoint)
 	}
 }
 
-// pump passes on an engine's events and asks to be woken for its next one.
-func (s *sim) pump(i int) {
+// processEngine passes on an engine's events and asks to be woken for its next one.
+func (s *sim) processEngine(i int) {
 	for _, ev := range s.engines[i].Advance(s.now) {
 		r := s.runs[ev.ID]
-		if ev.Kind == engine.First {
-			s.paid(r, ev.Uncached)
-			s.after(s.sc.netDelay, func() { s.policy.FirstToken(s.now, r) })
-			s.noteFirst(r)
+		if ev.Kind == engine.FirstToken {
+			s.recordPrefill(r, ev.UncachedTokens)
+			s.schedule(s.scenario.netDelay, func() { s.policy.FirstToken(s.now, r) })
+			s.recordFirstToken(r)
 			continue
 		}
-		s.after(s.sc.netDelay, func() { s.finishRun(r) })
+		s.schedule(s.scenario.netDelay, func() { s.finishRun(r) })
 	}
-	s.cacheEvents(i)
-	if next, ok := s.engines[i].Next(); ok && next != s.wake[i] {
-		s.wake[i] = next
-		s.after(max(0, next-s.now), func() {
-			if s.wake[i] == next {
-				s.wake[i] = -1
-				s.pump(i)
+	s.deliverCacheEvents(i)
+	if next, ok := s.engines[i].NextEventTime(); ok && next != s.nextWake[i] {
+		s.nextWake[i] = next
+		s.schedule(max(0, next-s.now), func() {
+			if s.nextWake[i] == next {
+				s.nextWake[i] = -1
+				s.processEngine(i)
 			}
 		})
 	}
@@ -287,39 +287,39 @@
 	s.policy.Done(s.now, r)
 }
 
-func (s *sim) cacheEvents(i int) {
+func (s *sim) deliverCacheEvents(i int) {
 	for _, ev := range s.engines[i].TakeCacheEvents() {
-		gap := s.rng.Float64() < gapShare
-		s.after(reportLag, func() { s.policy.Cache(s.now, s.names[i], ev, gap) })
+		gap := s.rng.Float64() < cacheEventLoss
+		s.schedule(reportLag, func() { s.policy.CacheEvent(s.now, s.engineNames[i], ev, gap) })
 	}
 }
 
-// paid counts prompt tokens that an engine read, and those of them that some
+// recordPrefill counts prompt tokens that an engine read, and those of them that some
 // engine had read before.
-func (s *sim) paid(r *run, uncached int) {
+func (s *sim) recordPrefill(r *run, uncached int) {
 	r.uncached = uncached
-	s.results[r.a.id].paid += uncached
+	s.results[r.a.id].prefilledTokens += uncached
 	s.report.PrefillPaid += uncached
-	s.report.Price += float64(uncached) * s.kinds[r.endpoint].prefillPrice / 1e6
-	skip := len(r.a.prefix) - uncached/64
-	for i, h := range r.a.prefix {
-		if i >= skip && s.paidOnce[h] {
+	s.report.Price += float64(uncached) * s.engineKinds[r.endpoint].prefillPrice / 1e6
+	skip := len(r.a.blockHashes) - uncached/64
+	for i, h := range r.a.blockHashes {
+		if i >= skip && s.prefilledBlocks[h] {
 			s.report.WastedRepeated += 64
 		}
-		s.paidOnce[h] = true
+		s.prefilledBlocks[h] = true
 	}
 }
 
-func (s *sim) noteFirst(r *run) {
+func (s *sim) recordFirstToken(r *run) {
 	res := s.results[r.a.id]
-	if res.first == 0 {
-		res.first = s.now - r.a.at
-		s.report.firstToken(r.a.kind.tier, res.first)
+	if res.firstTokenAfter == 0 {
+		res.firstTokenAfter = s.now - r.a.at
+		s.report.recordFirstToken(r.a.kind.tier, res.firstTokenAfter)
 	}
 }
 
-// finish is the final outcome that a caller sees.
-func (s *sim) finish(a *arrival, o request.Outcome) {
+// recordOutcome is the final outcome that a caller sees.
+func (s *sim) recordOutcome(a *arrival, o request.Outcome) {
 	r := s.results[a.id]
 	if r.ended {
 		return
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -28,8 +28,8 @@
 	Values           []float64
 }
 
-// PerUnit is the least-squares slope and the intercept.
-func (s *Slope) PerUnit() (slope, intercept float64) {
+// Fit is the least-squares slope and the intercept.
+func (s *Slope) Fit() (slope, intercept float64) {
 	n := float64(len(s.Sizes))
 	var sx, sy, sxx, sxy float64
 	for i, x := range s.Sizes {
@@ -46,23 +46,23 @@
 	for i, x := range s.Sizes {
 		cells = append(cells, fmt.Sprintf("%g: %.4g", x, s.Values[i]))
 	}
-	slope, at := s.PerUnit()
-	return fmt.Sprintf("| %s | %s | %s | %.4g %s | %.4g |", s.Name, s.Size, strings.Join(cells, ", "), slope, s.Unit, at)
+	slope, intercept := s.Fit()
+	return fmt.Sprintf("| %s | %s | %s | %.4g %s | %.4g |", s.Name, s.Size, strings.Join(cells, ", "), slope, s.Unit, intercept)
 }
 
-// quietNet joins cores without delay and counts what one of them sends.
-type quietNet struct {
-	now      time.Duration
-	nodes    []*core.Node
-	messages int
-	bytes    int
-	batches  int
-	handle   uint64
+// network joins cores without delay and counts what one of them sends.
+type network struct {
+	now        time.Duration
+	nodes      []*core.Node
+	messages   int
+	bytes      int
+	batches    int
+	lastHandle uint64
 }
 
-// newNet starts VMs of one domain that have joined and serve a configuration.
-func newNet(vms, endpoints, cell int, noBackup bool) *quietNet {
-	q := &quietNet{}
+// newNetwork starts VMs of one domain that have joined and serve a configuration.
+func newNetwork(vms, endpoints, cell int, noBackup bool) *network {
+	q := &network{}
 	var list []claim.VM
 	for i := range vms {
 		list = append(list, claim.VM{ID: uint32(i + 1), Domain: "d"})
@@ -81,25 +81,25 @@
 	for i := range q.nodes {
 		q.step(i, core.LogRead{Next: 1, Records: []core.LogEntry{{Record: rec}}})
 	}
-	q.run(2 * time.Second)
+	q.runFor(2 * time.Second)
 	q.messages, q.bytes, q.batches = 0, 0, 0
 	return q
 }
 
-func (q *quietNet) step(i int, ev core.Event) {
-	type hop struct {
+func (q *network) step(i int, ev core.Event) {
+	type delivery struct {
 		from, to int
 		m        *schema.Message
 	}
-	var queue []hop
+	var queue []delivery
 	collect := func(from int, effects []core.Effect) {
 		for _, ef := range effects {
 			switch ef := ef.(type) {
 			case core.Send:
-				queue = append(queue, hop{from: from, to: int(ef.To) - 1, m: ef.Message})
+				queue = append(queue, delivery{from: from, to: int(ef.To) - 1, m: ef.Message})
 			case core.Dispatch:
-				queue = append(queue, hop{from: from, to: -1})
-				q.handle = ef.Handle
+				queue = append(queue, delivery{from: from, to: -1})
+				q.lastHandle = ef.Handle
 			}
 		}
 	}
@@ -108,34 +108,34 @@
 		h := queue[0]
 		queue = queue[1:]
 		if h.to < 0 {
-			collect(h.from, q.nodes[h.from].Step(q.now, core.Ended{Handle: q.handle, End: core.Whole, Tokens: 100}))
+			collect(h.from, q.nodes[h.from].Step(q.now, core.Ended{Handle: q.lastHandle, End: core.Whole, Tokens: 100}))
 			continue
 		}
 		q.messages++
-		q.bytes += proto.Size(h.m) + envelopeShare
+		q.bytes += proto.Size(h.m) + envelopeOverhead
 		collect(h.to, q.nodes[h.to].Step(q.now, core.PeerMessage{From: uint32(h.from + 1), Incarnation: uint64(h.from+1) << 32, Message: h.m}))
 	}
 }
 
-// envelopeShare is the length prefix of a message in its envelope.
-const envelopeShare = 3
+// envelopeOverhead is the length prefix of a message in its envelope.
+const envelopeOverhead = 3
 
-func (q *quietNet) run(d time.Duration) {
-	for end := q.now + d; q.now < end; q.now += everyInterval {
+func (q *network) runFor(d time.Duration) {
+	for end := q.now + d; q.now < end; q.now += tickInterval {
 		for i := range q.nodes {
 			q.step(i, core.Tick{})
 		}
 	}
 }
 
-// serve sends requests at every VM at a rate for a while.
-func (q *quietNet) serve(perSecond int, d time.Duration) {
+// sendRequests sends requests at every VM at a rate for a while.
+func (q *network) sendRequests(perSecond int, d time.Duration) {
 	next := uint64(1)
 	rules := q.nodes[0].Rules()
 	kind, _ := rules.Kind("k")
 	every := time.Second / time.Duration(perSecond)
 	due := q.now
-	for end := q.now + d; q.now < end; q.now += everyInterval {
+	for end := q.now + d; q.now < end; q.now += tickInterval {
 		for ; due <= q.now; due += every {
 			for i := range q.nodes {
 				next++
@@ -169,8 +169,8 @@
 	return d
 }
 
-// cpu is the processor time of this process.
-func cpu() time.Duration {
+// cpuTime is the processor time of this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -178,15 +178,15 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap0() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// span is the simulated time of one measurement.
-const span = 20 * time.Second
+// measureTime is the simulated time of one measurement.
+const measureTime = 20 * time.Second
 
 // Slopes measures all slopes of docs/CAPACITY.md. kind is empty for all.
 func Slopes() []*Slope {
@@ -195,7 +195,7 @@
 	out = append(out, requestSlopes(false)...)
 	out = append(out, requestSlopes(true)...)
 	out = append(out, endpointSlopes()...)
-	out = append(out, recordSlope(), documentSlopes(0), documentSlopes(1), joinSlope())
+	out = append(out, recordSlope(), documentSlope(0), documentSlope(1), joinSlope())
 	out = append(out, callSlopes()...)
 	return out
 }
@@ -206,11 +206,11 @@
 	bytes := &Slope{Name: "idle VM, message bytes a second", Size: "VMs in the cell", Unit: "B/s a VM"}
 	times := &Slope{Name: "idle VM, core time", Size: "VMs in the cell", Unit: "µs/s a VM"}
 	for _, n := range []int{2, 4, 8, 16} {
-		q := newNet(n, 8, n, false)
-		before := cpu()
-		q.run(span)
-		used := cpu() - before
-		perVM := float64(n) * span.Seconds()
+		q := newNetwork(n, 8, n, false)
+		before := cpuTime()
+		q.runFor(measureTime)
+		used := cpuTime() - before
+		perVM := float64(n) * measureTime.Seconds()
 		msgs.add(n, float64(q.messages)/perVM)
 		bytes.add(n, float64(q.bytes)/perVM)
 		times.add(n, float64(used.Microseconds())/perVM)
@@ -225,20 +225,20 @@
 
 // requestSlopes: claims, backup and updates against the request rate of a VM.
 func requestSlopes(noBackup bool) []*Slope {
-	with := "with backup"
+	backup := "with backup"
 	if noBackup {
-		with = "without backup"
+		backup = "without backup"
 	}
-	msgs := &Slope{Name: "claims " + with + ", messages a second", Size: "requests/s a VM", Unit: "messages a request"}
-	bytes := &Slope{Name: "claims " + with + ", message bytes a second", Size: "requests/s a VM", Unit: "B a request"}
-	times := &Slope{Name: "claims and decision " + with + ", core time", Size: "requests/s a VM", Unit: "µs a request"}
+	msgs := &Slope{Name: "claims " + backup + ", messages a second", Size: "requests/s a VM", Unit: "messages a request"}
+	bytes := &Slope{Name: "claims " + backup + ", message bytes a second", Size: "requests/s a VM", Unit: "B a request"}
+	times := &Slope{Name: "claims and decision " + backup + ", core time", Size: "requests/s a VM", Unit: "µs a request"}
 	const vms = 4
 	for _, r := range []int{5, 10, 20, 40} {
-		q := newNet(vms, 8, vms, noBackup)
-		before := cpu()
-		q.serve(r, span)
-		used := cpu() - before
-		perVM := vms * span.Seconds()
+		q := newNetwork(vms, 8, vms, noBackup)
+		before := cpuTime()
+		q.sendRequests(r, measureTime)
+		used := cpuTime() - before
+		perVM := vms * measureTime.Seconds()
 		msgs.add(r, float64(q.messages)/perVM)
 		bytes.add(r, float64(q.bytes)/perVM)
 		times.add(r, float64(used.Microseconds())/perVM)
@@ -248,14 +248,14 @@
 
 // endpointSlopes: digests, decisions and memory against the endpoints a VM uses.
 func endpointSlopes() []*Slope {
-	decide := &Slope{Name: "one decision", Size: "endpoints a VM uses", Unit: "µs an endpoint"}
+	decision := &Slope{Name: "one decision", Size: "endpoints a VM uses", Unit: "µs an endpoint"}
 	memory := &Slope{Name: "memory of endpoints", Size: "endpoints a VM uses", Unit: "B an endpoint"}
 	digest := &Slope{Name: "one digest, all endpoints in use", Size: "endpoints a VM uses", Unit: "B an endpoint"}
 	for _, n := range []int{50, 100, 200, 400} {
-		before := heap0()
+		before := heapBytes()
 		s := sched.New(sched.Config{MaxQueued: 10000})
 		s.SetEndpoints(0, endpointList(n))
-		memory.add(n, heap0()-before)
+		memory.add(n, heapBytes()-before)
 		const rounds = 2000
 		start := time.Now()
 		for i := range uint64(rounds) {
@@ -263,7 +263,7 @@
 			s.Take()
 			s.Done(0, i)
 		}
-		decide.add(n, float64(time.Since(start).Microseconds())/rounds)
+		decision.add(n, float64(time.Since(start).Microseconds())/rounds)
 		for i := range uint64(2 * n) {
 			s.Submit(0, rounds+i, request.Spec{Model: "m", PromptTokens: 500, OutputTokens: 100, Deadline: time.Minute, Weight: 1})
 			s.Take()
@@ -271,7 +271,7 @@
 		digest.add(n, float64(proto.Size(s.MakeDigest(0))))
 		runtime.KeepAlive(s)
 	}
-	return []*Slope{decide, memory, digest}
+	return []*Slope{decision, memory, digest}
 }
 
 func endpointList(n int) []sched.Endpoint {
@@ -289,7 +289,7 @@
 func recordSlope() *Slope {
 	memory := &Slope{Name: "memory of claim records", Size: "records", Unit: "B a record"}
 	for _, n := range []int{10000, 20000, 40000, 80000} {
-		before := heap0()
+		before := heapBytes()
 		c := claim.New(claim.Config{
 			Self: claim.VM{ID: 1, Domain: "d"}, Incarnation: 1, VMs: []claim.VM{{ID: 1, Domain: "d"}}, CellSize: 8,
 			Lease: time.Second, Retry: time.Second, Timeout: time.Second, TTL: time.Hour, MaxRecords: 1 << 20,
@@ -303,18 +303,18 @@
 			c.Ended(0, i+1, schema.RecordState_ANSWERED)
 			c.Take()
 		}
-		memory.add(n, heap0()-before)
+		memory.add(n, heapBytes()-before)
 		runtime.KeepAlive(c)
 	}
 	return memory
 }
 
-// documentSlopes: bytes of a document against its organisations or endpoints.
-func documentSlopes(what int) *Slope {
-	s := &Slope{Name: "configuration document", Size: []string{"organisations", "endpoints"}[what], Unit: "B each"}
+// documentSlope: bytes of a document against its organisations or endpoints.
+func documentSlope(dimension int) *Slope {
+	s := &Slope{Name: "configuration document", Size: []string{"organisations", "endpoints"}[dimension], Unit: "B each"}
 	for _, n := range []int{500, 1000, 2000, 4000} {
 		d := sizedDocument(n, 10)
-		if what == 1 {
+		if dimension == 1 {
 			d = sizedDocument(10, n)
 		}
 		s.add(n, float64(proto.Size(d)))
@@ -326,8 +326,8 @@
 func joinSlope() *Slope {
 	s := &Slope{Name: "handover to a new incarnation of a pair", Size: "records held by the pair", Unit: "B a record"}
 	for _, n := range []int{500, 1000, 2000, 4000} {
-		q := newNet(2, 8, 2, false)
-		q.serve(n/20, 10*time.Second)
+		q := newNetwork(2, 8, 2, false)
+		q.sendRequests(n/20, 10*time.Second)
 		q.messages, q.bytes = 0, 0
 		q.nodes[0] = core.New(core.Config{
 			Claim: claim.Config{
@@ -336,67 +336,69 @@
 			},
 			DigestEvery: time.Hour, ConfigEvery: time.Hour, CarryEvery: time.Hour,
 		}, q.now)
-		q.runAs(0, 9<<40, time.Second)
+		q.runWithIncarnation(0, 9<<40, time.Second)
 		s.add(n, float64(q.bytes))
 	}
 	return s
 }
 
-// runAs is run with another incarnation of one VM.
-func (q *quietNet) runAs(vm int, inc uint64, d time.Duration) {
+// runWithIncarnation is run with another incarnation of one VM.
+func (q *network) runWithIncarnation(vm int, inc uint64, d time.Duration) {
 	var queue []core.Send
-	from := map[*schema.Message]int{}
+	senders := map[*schema.Message]int{}
 	collect := func(i int, effects []core.Effect) {
 		for _, ef := range effects {
 			if s, ok := ef.(core.Send); ok {
-				from[s.Message] = i
+				senders[s.Message] = i
 				queue = append(queue, s)
 			}
 		}
 	}
-	for end := q.now + d; q.now < end; q.now += everyInterval {
+	for end := q.now + d; q.now < end; q.now += tickInterval {
 		for i := range q.nodes {
 			collect(i, q.nodes[i].Step(q.now, core.Tick{}))
 		}
 		for len(queue) > 0 {
 			s := queue[0]
 			queue = queue[1:]
-			i := from[s.Message]
+			i := senders[s.Message]
 			incarnation := uint64(i+1) << 32
 			if i == vm {
 				incarnation = inc
 			}
-			q.bytes += proto.Size(s.Message) + envelopeShare
+			q.bytes += proto.Size(s.Message) + envelopeOverhead
 			collect(int(s.To)-1, q.nodes[s.To-1].Step(q.now, core.PeerMessage{From: uint32(i + 1), Incarnation: incarnation, Message: s.Message}))
 		}
 	}
 }
 
-// countedConn counts the bytes of a connection both ways.
-type countedConn struct {
+// countingConn counts the bytes of a connection both ways.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// echo answers each envelope with as many messages.
-type echo struct{}
+// echoService answers each envelope with as many messages.
+type echoService struct{}
 
 // Exchange implements schema.PeerService.
-func (echo) Exchange(_ context.Context, e *schema.Envelope) (*schema.Envelope, error) { return e, nil }
+func (echoService) Exchange(_ context.Context, e *schema.Envelope) (*schema.Envelope, error) {
+	return e, nil
+}
 
 // callSlopes: bytes and processor time of one call between VMs, both sides,
 // against the messages it carries each way.
@@ -407,14 +409,14 @@
 	if err != nil {
 		return nil
 	}
-	server := &http.Server{Handler: schema.NewPeerServiceServer(echo{}), ReadHeaderTimeout: time.Minute}
+	server := &http.Server{Handler: schema.NewPeerServiceServer(echoService{}), ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(l) }()
 	defer func() { _ = server.Close() }()
 	var count atomic.Int64
 	client := schema.NewPeerServiceProtobufClient("http://"+l.Addr().String(), &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-			return countedConn{Conn: c, bytes: &count}, err
+			return countingConn{Conn: c, bytes: &count}, err
 		},
 	}})
 	claimMsg := &schema.Message{Body: &schema.Message_Claim{Claim: &schema.Claim{
@@ -428,21 +430,21 @@
 		}
 		const calls = 2000
 		count.Store(0)
-		before := cpu()
+		before := cpuTime()
 		for range calls {
 			if _, err := client.Exchange(context.Background(), env); err != nil {
 				return nil
 			}
 		}
-		times.add(n, float64((cpu()-before).Microseconds())/calls)
+		times.add(n, float64((cpuTime()-before).Microseconds())/calls)
 		bytes.add(n, float64(count.Load())/calls)
 	}
 	return []*Slope{bytes, times}
 }
 
-// CheckTime is how long a document of the target size takes to be judged and
+// MeasureCheck is how long a document of the target size takes to be judged and
 // compiled.
-func CheckTime(orgs, endpoints int) (time.Duration, int) {
+func MeasureCheck(orgs, endpoints int) (time.Duration, int) {
 	d := sizedDocument(orgs, endpoints)
 	start := time.Now()
 	config.Check(d)
--- a/logservice/logservice.go
+++ b/logservice/logservice.go
@@ -75,8 +75,8 @@
 
 // Client calls the platform over HTTP.
 type Client struct {
-	Base string
-	HTTP *http.Client
+	BaseURL string
+	HTTP    *http.Client
 }
 
 var (
@@ -84,8 +84,8 @@
 	_ VMList = (*Client)(nil)
 )
 
-// maxReply bounds what is read of one reply.
-const maxReply = 64 << 20
+// maxResponseBytes bounds what is read of one reply.
+const maxResponseBytes = 64 << 20
 
 // Append appends one record.
 func (c *Client) Append(ctx context.Context, data []byte) (uint64, error) {
@@ -113,7 +113,7 @@
 
 func (c *Client) call(ctx context.Context, method, path string, body io.Reader, out any) error {
 	name := method + " " + path
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, body)
 	if err != nil {
 		return &CallError{Call: name, Err: err}
 	}
@@ -125,7 +125,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return &CallError{Call: name, Status: resp.StatusCode}
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
 		return &CallError{Call: name, Err: err}
 	}
 	return nil
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -37,29 +37,29 @@
 	// IgnoresFencing is how engines are that run whatever they are sent.
 	IgnoresFencing bool
 
-	mu      sync.Mutex
-	fenced  map[string]bool
-	start   time.Time
-	model   *engine.Model
-	faults  EngineFaults
-	streams map[string]*stream
-	ran     map[string]int
-	events  []engine.CacheEvent
-	// firstEvent is the number of the oldest event kept.
-	firstEvent int
-	report     LoadReport
-	reportedAt time.Time
+	mu              sync.Mutex
+	fencedStreams   map[string]bool
+	start           time.Time
+	engineModel     *engine.Model
+	faults          EngineFaults
+	streams         map[string]*stream
+	runCounts       map[string]int
+	keptCacheEvents []engine.CacheEvent
+	// firstCacheEvent is the number of the oldest event kept.
+	firstCacheEvent int
+	report          LoadReport
+	reportedAt      time.Time
 }
 
 // stream is one request in the engine.
 type stream struct {
-	id        string
-	key       string
-	chat      bool
-	output    int
-	done      bool
-	cancelled bool
-	changed   chan struct{}
+	id           string
+	key          string
+	chat         bool
+	outputTokens int
+	done         bool
+	cancelled    bool
+	changed      chan struct{}
 }
 
 // LoadReport is what an engine says of itself, with a lag.
@@ -77,15 +77,15 @@
 }
 
 const (
-	// maxEvents bounds the cache events kept; readers that are later see a gap.
-	maxEvents  = 256
-	engineTick = 2 * time.Millisecond
+	// maxCacheEvents bounds the cache events kept; readers that are later see a gap.
+	maxCacheEvents = 256
+	engineTick     = 2 * time.Millisecond
 )
 
 // NewEngine returns an engine that runs until the process ends.
 func NewEngine(name string, cfg engine.Config) *Engine {
-	e := &Engine{Name: name, start: time.Now(), streams: map[string]*stream{}, fenced: map[string]bool{}, ran: map[string]int{}}
-	e.model = engine.New(cfg, 0)
+	e := &Engine{Name: name, start: time.Now(), streams: map[string]*stream{}, fencedStreams: map[string]bool{}, runCounts: map[string]int{}}
+	e.engineModel = engine.New(cfg, 0)
 	go e.run()
 	return e
 }
@@ -100,42 +100,42 @@
 
 // advance wakes the readers of all streams that got on.
 func (e *Engine) advance() {
-	for _, ev := range e.model.Advance(time.Since(e.start)) {
+	for _, ev := range e.engineModel.Advance(time.Since(e.start)) {
 		if s := e.streams[ev.ID]; s != nil && ev.Kind == engine.Done {
 			s.done = true
 		}
 	}
-	e.events = append(e.events, e.model.TakeCacheEvents()...)
-	if over := len(e.events) - maxEvents; over > 0 {
-		e.events = e.events[over:]
-		e.firstEvent += over
+	e.keptCacheEvents = append(e.keptCacheEvents, e.engineModel.TakeCacheEvents()...)
+	if excess := len(e.keptCacheEvents) - maxCacheEvents; excess > 0 {
+		e.keptCacheEvents = e.keptCacheEvents[excess:]
+		e.firstCacheEvent += excess
 	}
 	for _, s := range e.streams {
-		s.wake()
+		s.notifyReaders()
 	}
 }
 
-func (s *stream) wake() {
+func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Ran returns how often each request key was run.
-func (e *Engine) Ran() map[string]int {
+// RunCounts returns how often each request key was run.
+func (e *Engine) RunCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make(map[string]int, len(e.ran))
-	for k, v := range e.ran {
+	out := make(map[string]int, len(e.runCounts))
+	for k, v := range e.runCounts {
 		out[k] = v
 	}
 	return out
 }
 
-// PrefillPaid returns the prompt tokens read and not found in the cache.
-func (e *Engine) PrefillPaid() int {
+// PrefilledTokens returns the prompt tokens read and not found in the cache.
+func (e *Engine) PrefilledTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.model.PrefillPaid
+	return e.engineModel.PrefilledTokens
 }
 
 // SetFaults changes the faults.
@@ -143,7 +143,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
-	e.model.SetSlow(time.Since(e.start), max(f.Slow, 1))
+	e.engineModel.SetSlowdown(time.Since(e.start), max(f.Slow, 1))
 }
 
 // Handler serves the engine's protocol and the control of faults.
@@ -153,10 +153,10 @@
 	mux.HandleFunc("POST /v1/chat/completions", e.complete)
 	mux.HandleFunc("GET /v1/streams/{id}", e.resume)
 	mux.HandleFunc("DELETE /v1/streams/{id}", e.cancel)
-	mux.HandleFunc("GET /v1/load", e.load)
-	mux.HandleFunc("GET /v1/cache-events", e.cacheEvents)
-	mux.HandleFunc("GET /control/ran", func(w http.ResponseWriter, _ *http.Request) { encode(w, e.Ran()) })
-	mux.HandleFunc("GET /control/prefill", func(w http.ResponseWriter, _ *http.Request) { encode(w, e.PrefillPaid()) })
+	mux.HandleFunc("GET /v1/load", e.serveLoad)
+	mux.HandleFunc("GET /v1/cache-events", e.serveCacheEvents)
+	mux.HandleFunc("GET /control/ran", func(w http.ResponseWriter, _ *http.Request) { encode(w, e.RunCounts()) })
+	mux.HandleFunc("GET /control/prefill", func(w http.ResponseWriter, _ *http.Request) { encode(w, e.PrefilledTokens()) })
 	mux.HandleFunc("POST /control", func(w http.ResponseWriter, r *http.Request) {
 		var f EngineFaults
 		if decode(w, r, &f) {
@@ -166,8 +166,8 @@
 	return mux
 }
 
-// completion is what the stand-in reads of a request.
-type completion struct {
+// completionRequest is what the stand-in reads of a request.
+type completionRequest struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Messages  []struct {
@@ -175,7 +175,7 @@
 	} `json:"messages"`
 }
 
-func (c *completion) text() string {
+func (c *completionRequest) promptText() string {
 	t := c.Prompt
 	for _, m := range c.Messages {
 		t += m.Content
@@ -183,16 +183,16 @@
 	return t
 }
 
-const defaultOutput = 16
+const defaultOutputTokens = 16
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	var c completion
+	var c completionRequest
 	if !decode(w, r, &c) {
 		return
 	}
 	id := r.Header.Get("X-Stream-Id")
 	if c.MaxTokens == 0 {
-		c.MaxTokens = defaultOutput
+		c.MaxTokens = defaultOutputTokens
 	}
 	e.mu.Lock()
 	if e.faults.Refuse || e.faults.Leaving {
@@ -200,18 +200,18 @@
 		http.Error(w, "not admitted", http.StatusServiceUnavailable)
 		return
 	}
-	if e.fenced[id] {
+	if e.fencedStreams[id] {
 		e.mu.Unlock()
 		http.Error(w, "fenced", http.StatusGone)
 		return
 	}
-	s := &stream{id: id, key: r.Header.Get("X-Request-Key"), chat: strings.Contains(r.URL.Path, "chat"), output: c.MaxTokens, changed: make(chan struct{})}
+	s := &stream{id: id, key: r.Header.Get("X-Request-Key"), chat: strings.Contains(r.URL.Path, "chat"), outputTokens: c.MaxTokens, changed: make(chan struct{})}
 	e.streams[id] = s
-	e.ran[s.key]++
-	text := c.text()
-	e.model.Submit(time.Since(e.start), id, prompt.BlockHashes(text), prompt.EstimateTokens(text), c.MaxTokens)
+	e.runCounts[s.key]++
+	text := c.promptText()
+	e.engineModel.Submit(time.Since(e.start), id, prompt.BlockHashes(text), prompt.EstimateTokens(text), c.MaxTokens)
 	e.mu.Unlock()
-	e.write(w, r, s, 0)
+	e.writeStream(w, r, s, 0)
 }
 
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
@@ -223,7 +223,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	e.write(w, r, s, offset)
+	e.writeStream(w, r, s, offset)
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
@@ -232,7 +232,7 @@
 	id := r.PathValue("id")
 	s := e.streams[id]
 	if s == nil && r.URL.Query().Has("fence") && !e.IgnoresFencing {
-		e.fenced[id] = true
+		e.fencedStreams[id] = true
 		encode(w, map[string]string{"state": "never_started"})
 		return
 	}
@@ -242,56 +242,56 @@
 	}
 	if !s.done {
 		s.cancelled = true
-		e.model.Cancel(time.Since(e.start), s.id)
-		s.wake()
+		e.engineModel.Cancel(time.Since(e.start), s.id)
+		s.notifyReaders()
 	}
 	encode(w, struct{}{})
 }
 
-// chunk is the data of one token in the form of the path that was called.
-func (s *stream) chunk(i int) string {
-	text, _ := json.Marshal(Token(s.key, i))
+// tokenData is the data of one token in the form of the path that was called.
+func (s *stream) tokenData(i int) string {
+	text, _ := json.Marshal(TokenText(s.key, i))
 	if s.chat {
 		return fmt.Sprintf(`{"choices":[{"index":0,"delta":{"content":%s}}]}`, text)
 	}
 	return fmt.Sprintf(`{"choices":[{"index":0,"text":%s}]}`, text)
 }
 
-// Token is the text of token i of the answer to a request key. It tells whose
+// TokenText is the text of token i of the answer to a request key. It tells whose
 // answer it is, so that an answer to the wrong caller shows.
-func Token(key string, i int) string {
+func TokenText(key string, i int) string {
 	return fmt.Sprintf("%x.%d ", uint16(xxhash.Sum64String(key)), i)
 }
 
-// Answer is the whole answer to a request key.
-func Answer(key string, tokens int) string {
+// ResponseText is the whole answer to a request key.
+func ResponseText(key string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
-		b.WriteString(Token(key, i))
+		b.WriteString(TokenText(key, i))
 	}
 	return b.String()
 }
 
-// write streams tokens from an offset until the end.
-func (e *Engine) write(w http.ResponseWriter, r *http.Request, s *stream, offset int) {
+// writeStream streams tokens from an offset until the end.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	_ = flusher.Flush()
 	for {
 		e.mu.Lock()
-		written := e.model.Written(s.id)
-		done, cancelled, changed, cut := s.done, s.cancelled, s.changed, e.faults.CutAfter
+		available := e.engineModel.GeneratedTokens(s.id)
+		done, cancelled, changed, cutAfter := s.done, s.cancelled, s.changed, e.faults.CutAfter
 		e.mu.Unlock()
 		if done {
-			written = s.output
+			available = s.outputTokens
 		}
-		for ; offset < written; offset++ {
-			if cut > 0 && offset >= cut {
+		for ; offset < available; offset++ {
+			if cutAfter > 0 && offset >= cutAfter {
 				// What was written before the cut has left: else nothing tells it from a refusal.
 				_ = flusher.Flush()
 				panic(http.ErrAbortHandler)
 			}
-			_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", offset, s.chunk(offset))
+			_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", offset, s.tokenData(offset))
 		}
 		if cancelled {
 			_, _ = fmt.Fprint(w, "event: cancelled\ndata: {}\n\n")
@@ -310,22 +310,22 @@
 	}
 }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if time.Since(e.reportedAt) >= e.ReportLag {
-		running, waiting := e.model.Load()
+		running, waiting := e.engineModel.Load()
 		e.report = LoadReport{Running: running, Waiting: waiting, Leaving: e.faults.Leaving}
 		e.reportedAt = time.Now()
 	}
 	encode(w, e.report)
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	next := e.firstEvent + len(e.events)
-	start := min(max(after, e.firstEvent), next)
-	encode(w, CacheReport{First: start, Next: next, Events: e.events[start-e.firstEvent:]})
+	next := e.firstCacheEvent + len(e.keptCacheEvents)
+	start := min(max(after, e.firstCacheEvent), next)
+	encode(w, CacheReport{First: start, Next: next, Events: e.keptCacheEvents[start-e.firstCacheEvent:]})
 }
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against a cut that takes along what was written before it, where that is all there already.
-func TestCutStreamHasWhatCameBefore(t *testing.T) {
+func TestTokensBeforeCutAreFlushed(t *testing.T) {
 	is := is.New(t)
 	e := NewEngine("e", engine.Config{Slots: 1, PrefillSpeed: 8000, OutputSpeed: 8000, CacheBlocks: 10})
 	server := httptest.NewServer(e.Handler())
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -18,8 +18,8 @@
 type PlatformFaults struct {
 	// Down refuses everything.
 	Down bool `json:"down"`
-	// LoseAnswers appends and then fails.
-	LoseAnswers bool `json:"lose_answers"`
+	// LoseResponses appends and then fails.
+	LoseResponses bool `json:"lose_answers"`
 	// KeepLast drops all but the newest records; 0 keeps all.
 	KeepLast int `json:"keep_last"`
 }
@@ -29,14 +29,14 @@
 	// AppendsPerSecond limits appends; 0 means no limit.
 	AppendsPerSecond int
 
-	mu      sync.Mutex
-	faults  PlatformFaults
-	first   uint64
-	records []logservice.Record
-	vms     []logservice.VMStatus
-	window  time.Time
-	used    int
-	appends int
+	mu            sync.Mutex
+	faults        PlatformFaults
+	firstOffset   uint64
+	records       []logservice.Record
+	vms           []logservice.VMStatus
+	windowStart   time.Time
+	windowAppends int
+	appendCount   int
 }
 
 // SetFaults changes the faults.
@@ -44,7 +44,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.trim()
+	p.trimRecords()
 }
 
 // SetVMs changes the list of VMs.
@@ -61,19 +61,19 @@
 	return append([]logservice.Record(nil), p.records...)
 }
 
-// Appends counts the appends that took effect.
-func (p *Platform) Appends() int {
+// AppendCount counts the appends that took effect.
+func (p *Platform) AppendCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.appends
+	return p.appendCount
 }
 
 // Handler serves the log, the list and the control of faults.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /log", p.append)
-	mux.HandleFunc("GET /log", p.read)
-	mux.HandleFunc("GET /vms", p.list)
+	mux.HandleFunc("GET /log", p.readLog)
+	mux.HandleFunc("GET /vms", p.listVMs)
 	mux.HandleFunc("POST /control", func(w http.ResponseWriter, r *http.Request) {
 		var f PlatformFaults
 		if decode(w, r, &f) {
@@ -102,10 +102,10 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-const maxRecord = 16 << 20
+const maxRecordBytes = 16 << 20
 
 func (p *Platform) append(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxRecord))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxRecordBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -116,41 +116,41 @@
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	if !p.withinRate() {
+	if !p.allowAppend() {
 		http.Error(w, "rate", http.StatusTooManyRequests)
 		return
 	}
-	offset := p.first + uint64(len(p.records))
+	offset := p.firstOffset + uint64(len(p.records))
 	p.records = append(p.records, logservice.Record{Offset: offset, Data: data})
-	p.appends++
-	p.trim()
-	if p.faults.LoseAnswers {
+	p.appendCount++
+	p.trimRecords()
+	if p.faults.LoseResponses {
 		http.Error(w, "lost", http.StatusBadGateway)
 		return
 	}
 	encode(w, map[string]uint64{"offset": offset})
 }
 
-func (p *Platform) withinRate() bool {
+func (p *Platform) allowAppend() bool {
 	if p.AppendsPerSecond == 0 {
 		return true
 	}
-	if now := time.Now(); now.Sub(p.window) >= time.Second {
-		p.window, p.used = now, 0
+	if now := time.Now(); now.Sub(p.windowStart) >= time.Second {
+		p.windowStart, p.windowAppends = now, 0
 	}
-	p.used++
-	return p.used <= p.AppendsPerSecond
+	p.windowAppends++
+	return p.windowAppends <= p.AppendsPerSecond
 }
 
-func (p *Platform) trim() {
+func (p *Platform) trimRecords() {
 	if keep := p.faults.KeepLast; keep > 0 && len(p.records) > keep {
 		drop := len(p.records) - keep
-		p.first += uint64(drop)
+		p.firstOffset += uint64(drop)
 		p.records = append([]logservice.Record(nil), p.records[drop:]...)
 	}
 }
 
-func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) readLog(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	limit, _ := strconv.Atoi(r.URL.Query().Get("limit"))
 	p.mu.Lock()
@@ -159,14 +159,14 @@
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	b := logservice.Batch{First: p.first, Next: p.first + uint64(len(p.records))}
-	start := min(max(from, p.first)-p.first, uint64(len(p.records)))
+	b := logservice.Batch{First: p.firstOffset, Next: p.firstOffset + uint64(len(p.records))}
+	start := min(max(from, p.firstOffset)-p.firstOffset, uint64(len(p.records)))
 	end := min(start+uint64(max(limit, 1)), uint64(len(p.records)))
 	b.Records = p.records[start:end]
 	encode(w, b)
 }
 
-func (p *Platform) list(w http.ResponseWriter, _ *http.Request) {
+func (p *Platform) listVMs(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.Down {
--- a/standin/service.go
+++ b/standin/service.go
@@ -9,8 +9,8 @@
 
 // ServiceFaults can be changed while the stand-in runs.
 type ServiceFaults struct {
-	// LoseAnswers runs the call and then closes the connection.
-	LoseAnswers bool `json:"lose_answers"`
+	// LoseResponses runs the call and then closes the connection.
+	LoseResponses bool `json:"lose_answers"`
 	// DelayMS holds each call.
 	DelayMS int `json:"delay_ms"`
 }
@@ -19,17 +19,17 @@
 type Service struct {
 	Name string
 
-	mu     sync.Mutex
-	faults ServiceFaults
-	ran    map[string]int
+	mu        sync.Mutex
+	faults    ServiceFaults
+	runCounts map[string]int
 }
 
-// Ran returns how often each request key was run.
-func (s *Service) Ran() map[string]int {
+// RunCounts returns how often each request key was run.
+func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]int, len(s.ran))
-	for k, v := range s.ran {
+	out := make(map[string]int, len(s.runCounts))
+	for k, v := range s.runCounts {
 		out[k] = v
 	}
 	return out
@@ -45,7 +45,7 @@
 // Handler serves every path.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /control/ran", func(w http.ResponseWriter, _ *http.Request) { encode(w, s.Ran()) })
+	mux.HandleFunc("GET /control/ran", func(w http.ResponseWriter, _ *http.Request) { encode(w, s.RunCounts()) })
 	mux.HandleFunc("POST /control", func(w http.ResponseWriter, r *http.Request) {
 		var f ServiceFaults
 		if decode(w, r, &f) {
@@ -63,14 +63,14 @@
 		return
 	}
 	s.mu.Lock()
-	if s.ran == nil {
-		s.ran = make(map[string]int)
+	if s.runCounts == nil {
+		s.runCounts = make(map[string]int)
 	}
-	s.ran[r.Header.Get("X-Request-Key")]++
+	s.runCounts[r.Header.Get("X-Request-Key")]++
 	f := s.faults
 	s.mu.Unlock()
 	time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
-	if f.LoseAnswers {
+	if f.LoseResponses {
 		panic(http.ErrAbortHandler)
 	}
 	encode(w, map[string]string{"service": s.Name, "path": r.URL.Path, "body": string(body)})
