--- a/engine/model.go
+++ b/engine/model.go
@@ -1,7 +1,7 @@
-// Package engine is a model of a model engine: continuous batching in arrival
-// order, a limited cache of prompt prefixes, and speeds that fall as the batch
-// grows. It is pure, so that the load tool runs it in virtual time and the
-// stand-in server runs it on the clock.
+// Package engine simulates an LLM inference engine: continuous batching in
+// arrival order, a bounded cache of prompt prefixes, and generation speed that
+// falls as the batch grows. It does no I/O and reads no clock, so that the load
+// tool runs it in virtual time and the stand-in server in real time.
 package engine
 
 import (
@@ -13,62 +13,66 @@
 	"github.com/chivefield/chivefield/prompt"
 )
 
-// Config describes one engine.
+// Config holds the parameters of one engine.
 type Config struct {
-	// Slots is the largest batch.
+	// Slots is the maximum batch size.
 	Slots int
-	// PrefillSpeed is in prompt tokens a second; prompts are read one by one.
+	// PrefillSpeed is in prompt tokens per second. Prompts are prefilled one at a time.
 	PrefillSpeed float64
-	// OutputSpeed is in tokens a second for a batch of one.
+	// OutputSpeed is in tokens per second for a batch of one.
 	OutputSpeed float64
-	// BatchCost is the share by which each further request of a batch slows
-	// every other one.
+	// BatchCost is the fraction of the step of a single request by which each
+	// additional request of a batch lengthens the step of all of them.
 	BatchCost float64
-	// ChunkTokens are the prompt tokens read between two steps of the running
-	// requests, which wait meanwhile; 0 reads prompts beside them.
+	// ChunkTokens is the number of prompt tokens prefilled between two generation
+	// steps; generation pauses meanwhile. With 0, prefill runs in parallel with
+	// generation and does not slow it down.
 	ChunkTokens int
-	// CacheBlocks is how many prompt blocks the cache keeps.
+	// CacheBlocks is the capacity of the prefix cache in prompt blocks.
 	CacheBlocks int
 }
 
-// EventKind is what happened to a request in the engine.
+// EventKind is the type of an Event.
 type EventKind int
 
-// Events of requests.
+// Kinds of events.
 const (
-	// FirstToken: the prompt was read and the first token is there.
+	// FirstToken means that the prefill finished and the first token was generated.
 	FirstToken EventKind = iota
-	// Done: the last token is there.
+	// Done means that the last token was generated.
 	Done
 )
 
-// Event is one event of a request.
+// Event reports progress of a request.
 type Event struct {
 	ID   string
 	Kind EventKind
 	At   time.Duration
-	// UncachedTokens are the prompt tokens that were paid for, with First.
+	// UncachedTokens is the number of prompt tokens that were not in the cache
+	// and had to be prefilled. Set for FirstToken.
 	UncachedTokens int
 }
 
-// CacheEvent tells of blocks that came into the cache or left it.
+// CacheEvent lists the block hashes that were added to the cache and evicted from it.
 type CacheEvent struct {
 	Stored, Dropped []uint64
 }
 
+// sequence is a request in the queue or in the batch.
 type sequence struct {
 	id             string
 	blocks         []uint64
 	promptTokens   int
 	outputTokens   int
 	uncachedTokens int
-	// prefilled is the prompt tokens prefilled, written the output tokens.
+	// prefilled is the number of uncached prompt tokens prefilled so far, generated
+	// the number of output tokens.
 	prefilled  float64
 	generated  float64
 	prefilling bool
 }
 
-// Model is one engine. It is not safe for concurrent use.
+// Model simulates one engine. It is not safe for concurrent use.
 type Model struct {
 	cfg           Config
 	now           time.Duration
@@ -78,9 +82,10 @@
 	cache         *lru.Cache[uint64, struct{}]
 	droppedBlocks []uint64
 	cacheEvents   []CacheEvent
-	// pendingEvents are the events not returned yet.
+	// pendingEvents holds the events that Advance has not returned yet.
 	pendingEvents []Event
-	// PrefilledTokens counts the prompt tokens read and not found in the cache.
+	// PrefilledTokens counts the prompt tokens that were not found in the cache
+	// and had to be prefilled.
 	PrefilledTokens int
 }
 
@@ -91,7 +96,7 @@
 	return m
 }
 
-// SetSlowdown makes everything take the given factor of time from now on.
+// SetSlowdown multiplies the duration of prefill and generation by factor from now on.
 func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.advanceTo(now)
 	m.slowdown = factor
@@ -104,7 +109,8 @@
 	m.admit()
 }
 
-// Cancel takes a request out, wherever it is. What was read stays in the cache.
+// Cancel removes a request from the queue or the batch. The blocks of a finished
+// prefill stay in the cache.
 func (m *Model) Cancel(now time.Duration, id string) {
 	m.advanceTo(now)
 	m.queue = remove(m.queue, id)
@@ -121,7 +127,8 @@
 	return list
 }
 
-// admit fills the batch in arrival order and starts the next prompt.
+// admit fills the batch from the queue in arrival order and starts the next
+// prefill if none is running.
 func (m *Model) admit() {
 	for len(m.batch) < m.cfg.Slots && len(m.queue) > 0 {
 		m.batch = append(m.batch, m.queue[0])
@@ -140,7 +147,8 @@
 	}
 }
 
-// startPrefill finds what the cache has of a prompt.
+// startPrefill looks up the longest cached prefix of the prompt and adds the
+// remaining tokens to PrefilledTokens.
 func (m *Model) startPrefill(s *sequence) {
 	s.prefilling = true
 	cached := 0
@@ -154,7 +162,7 @@
 	m.PrefilledTokens += s.uncachedTokens
 }
 
-// finishPrefill puts the prompt into the cache and writes the first token.
+// finishPrefill adds the prompt to the cache and generates the first token.
 func (m *Model) finishPrefill(s *sequence) {
 	s.prefilling = false
 	s.generated = 1
@@ -178,17 +186,17 @@
 	return events
 }
 
-// stepSeconds is the seconds of one step of the running requests by itself.
+// stepSeconds returns the duration in seconds of one generation step without prefill.
 func (m *Model) stepSeconds() float64 {
 	return (1 + m.cfg.BatchCost*float64(len(m.batch)-1)) * m.slowdown / m.cfg.OutputSpeed
 }
 
-// chunkSeconds is the seconds that a chunk of a prompt takes.
+// chunkSeconds returns the duration in seconds of the prefill of one chunk.
 func (m *Model) chunkSeconds() float64 {
 	return float64(m.cfg.ChunkTokens) * m.slowdown / m.cfg.PrefillSpeed
 }
 
-// outputRate is the tokens a second of each writing request.
+// outputRate returns the tokens per second of each generating request.
 func (m *Model) outputRate() float64 {
 	step := m.stepSeconds()
 	if m.cfg.ChunkTokens > 0 && m.any(func(s *sequence) bool { return s.prefilling }) {
@@ -197,7 +205,7 @@
 	return 1 / step
 }
 
-// prefillRate is the prompt tokens a second of the request that is read.
+// prefillRate returns the prompt tokens per second of the running prefill.
 func (m *Model) prefillRate() float64 {
 	rate := m.cfg.PrefillSpeed / m.slowdown
 	if m.cfg.ChunkTokens > 0 && m.any(func(s *sequence) bool { return s.generated > 0 }) {
@@ -208,7 +216,8 @@
 
 func (m *Model) any(match func(*sequence) bool) bool { return slices.ContainsFunc(m.batch, match) }
 
-// secondsToEvent returns how long a sequence takes to its next event.
+// secondsToEvent returns the seconds until the next event of a sequence. It
+// returns false if the sequence is neither prefilling nor generating.
 func (m *Model) secondsToEvent(s *sequence) (float64, bool) {
 	switch {
 	case s.prefilling:
@@ -219,7 +228,7 @@
 	return 0, false
 }
 
-// nextEvent returns the sequence with the earliest event and the seconds to it.
+// nextEvent returns the sequence with the earliest event and the seconds until it.
 func (m *Model) nextEvent() (*sequence, float64) {
 	var first *sequence
 	var wait float64
@@ -231,7 +240,7 @@
 	return first, max(0, wait)
 }
 
-// NextEventTime returns when the next event is due, if any is.
+// NextEventTime returns the time of the next event, or false if none is due.
 func (m *Model) NextEventTime() (time.Duration, bool) {
 	s, wait := m.nextEvent()
 	if s == nil {
@@ -240,7 +249,7 @@
 	return m.now + time.Duration(wait*float64(time.Second)) + 1, true
 }
 
-// Advance lets time pass and returns what happened since the last call, in order.
+// Advance moves the simulation to now and returns the events since the last call, in order.
 func (m *Model) Advance(now time.Duration) []Event {
 	m.advanceTo(now)
 	out := m.pendingEvents
@@ -289,7 +298,8 @@
 	return Event{ID: s.id, Kind: Done, At: m.now}
 }
 
-// GeneratedTokens returns how many tokens of a request are there.
+// GeneratedTokens returns the number of tokens generated for a request, or 0 if it
+// is not in the batch.
 func (m *Model) GeneratedTokens(id string) int {
 	for _, s := range m.batch {
 		if s.id == id {
@@ -299,5 +309,5 @@
 	return 0
 }
 
-// Load returns how many requests run and wait.
+// Load returns the number of requests in the batch and in the queue.
 func (m *Model) Load() (running, waiting int) { return len(m.batch), len(m.queue) }
--- a/engine/model_test.go
+++ b/engine/model_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestSubmitKeepsDueEvents: a request hung until its deadline. Sequence: its
-// last token came due in the moment in which another request was submitted.
-// Cause: the events that Submit met were returned to a caller that dropped them.
+// TestSubmitKeepsDueEvents guards against a request that hangs until its deadline
+// because its last token was due at the moment another request was submitted:
+// Submit returned the due events to a caller that dropped them.
 func TestSubmitKeepsDueEvents(t *testing.T) {
 	is := is.New(t)
 	m := New(Config{Slots: 4, PrefillSpeed: 1000, OutputSpeed: 100, CacheBlocks: 10}, 0)
@@ -21,8 +21,8 @@
 	is.Equal(ev[1], Event{ID: "a", Kind: Done, At: ev[1].At})
 }
 
-// TestPrefillOrderAndPrefixCache: prompts are read in arrival order, and a cached prefix is
-// not paid for again.
+// TestPrefillOrderAndPrefixCache checks that prompts are prefilled in arrival order
+// and that a cached prefix is not prefilled again.
 func TestPrefillOrderAndPrefixCache(t *testing.T) {
 	is := is.New(t)
 	m := New(Config{Slots: 4, PrefillSpeed: 1000, OutputSpeed: 100, CacheBlocks: 10}, 0)
@@ -35,7 +35,7 @@
 		}
 	}
 	is.Equal(ids, []string{"a", "b"})
-	is.Equal(m.PrefilledTokens, 128+64) // b pays only its last block
+	is.Equal(m.PrefilledTokens, 128+64) // only the last block of b is not cached
 	m.Submit(10*time.Second, "c", nil, 1000, 5)
 	m.Cancel(10*time.Second+time.Millisecond, "c")
 	running, waiting := m.Load()
