--- a/history/deployment.go
+++ b/history/deployment.go
@@ -7,110 +7,118 @@
 	"time"
 )
 
-// Promises of a deployment of entry VMs.
+// Invariants of a deployment of entry VMs.
 const (
-	// Unsolicited: an endpoint ran what no caller sent, or not as it was sent.
+	// Unsolicited is violated by an endpoint that runs a request that no caller
+	// sent, or one that differs from what was sent.
 	Unsolicited Invariant = "unasked"
-	// Drained: an endpoint that leaves gets no new work after a stated time.
+	// Drained requires that an endpoint that is leaving gets no new requests after DrainWithin.
 	Drained Invariant = "leaving"
-	// ConfigApplied: a configuration is in force on time, and never goes back.
+	// ConfigApplied requires that a configuration is applied in time and that no
+	// VM reverts to an older one.
 	ConfigApplied Invariant = "in-force"
-	// WithinAllowance: an organisation's requests stay within its allowance.
+	// WithinAllowance requires that an organisation's requests stay within its allowance.
 	WithinAllowance Invariant = "allowance"
-	// BoundedRetries: requests are sent once more within the budget and the route's bound.
+	// BoundedRetries requires that retries stay within the retry budget and the
+	// route's maximum.
 	BoundedRetries Invariant = "repeats"
-	// StopsAfterDisconnect: work ends soon after its caller has left.
+	// StopsAfterDisconnect requires that a run stops soon after its caller disconnected.
 	StopsAfterDisconnect Invariant = "stopped"
-	// RespondsInTime: the final answer comes by the route's timeout.
+	// RespondsInTime requires that the final response arrives within the route's timeout.
 	RespondsInTime Invariant = "prompt"
-	// Recovers: requests are served once the faults are over.
+	// Recovers requires that requests are served once the faults are over.
 	Recovers Invariant = "recovers"
-	// BoundedTerminations: a request under which endpoints end is not sent on without bound.
+	// BoundedTerminations requires that a request under which endpoints terminate
+	// unexpectedly is sent to further endpoints only a bounded number of times.
 	BoundedTerminations Invariant = "bounds-ends"
-	// BoundedExposure: a bad version of a service gets a bounded share of its requests.
+	// BoundedExposure bounds the share of requests that a bad version of a service gets.
 	BoundedExposure Invariant = "bounds-exposure"
 )
 
-// Span is a stretch of time since the start of the session.
+// Span is an interval of time, measured from the start of the session.
 type Span struct{ From, To time.Duration }
 
-// overlaps says whether two spans share a moment.
+// overlaps reports whether two spans have a point in time in common.
 func (s Span) overlaps(o Span) bool { return s.From <= o.To && o.From <= s.To }
 
-// CallerRequest is one sending of a request, as its caller saw it.
+// CallerRequest is one request as its caller saw it.
 type CallerRequest struct {
 	ID, VM string
-	// Incarnation tells the processes of one VM apart.
+	// Incarnation distinguishes the processes of one VM.
 	Incarnation int
 	Service     string
 	// Retryable requests may run more than once; Forbidden ones must never run.
 	Retryable, Forbidden bool
-	// Timeout is the longest time that the caller may be kept waiting.
+	// Timeout is the maximum time that the caller may have to wait.
 	Timeout time.Duration
 	Span
-	// Status is 0 if no answer came; Whole says that the answer came to its end.
+	// Status is 0 if there was no response. Complete reports whether the response
+	// was received to its end.
 	Status   int
 	Complete bool
-	// Fault says what was wrong with a successful answer.
+	// Fault describes an error in a successful response.
 	Fault string
-	// Disconnected says that the caller left before the end.
+	// Disconnected reports whether the caller disconnected before the end.
 	Disconnected bool
-	// ProbedVersion is the version whose own route was asked for; 0 for none.
+	// ProbedVersion is the configuration version whose own route was requested; 0 for none.
 	ProbedVersion int
 }
 
-// Run is one run of a request at an endpoint, as the endpoint saw it.
+// Run is the arrival or the run of a request at an endpoint, as the endpoint saw it.
 type Run struct {
 	ID, Endpoint, Service string
 	Span
 	Organisation string
 	Units        float64
-	// Fault says how the request differed from what was sent.
+	// Fault describes how the request differed from what was sent.
 	Fault string
 }
 
-// Allowance is what an organisation may spend over any window.
+// Allowance is the number of units that an organisation may spend in any window.
 type Allowance struct {
 	Organisation string
 	Window       time.Duration
 	Units        float64
 }
 
-// Deployment is a session of several VMs under faults.
+// Deployment records a test session of several VMs under faults, and the bounds to check.
 type Deployment struct {
 	Requests []CallerRequest
 	// Arrivals are all requests that reached an endpoint, Runs those that it ran.
 	Arrivals, Runs []Run
-	// Disturbed are faults of a VM or an endpoint, or on its path; those under the
-	// empty name are everybody's. Planned work is not among Unplanned.
+	// Disturbed holds the faults of a VM or an endpoint, or on its network path, by
+	// its name; those under the empty name affect all. UnplannedFaults excludes
+	// planned operations.
 	Disturbed       map[string][]Span
 	UnplannedFaults []Span
-	// Frozen is when VMs stood still, as Disturbed. Words are what endpoints said of themselves in their answers,
-	// Needs the times for which they named limits.
+	// Frozen holds when VMs were frozen, with the keys of Disturbed. Notices are the
+	// notices that endpoints put into their responses, EndpointLimits the periods in
+	// which they named limits.
 	Frozen         map[string][]Span
 	Notices        []Notice
 	EndpointLimits []EndpointLimit
-	// LeftAt is when the store accepted that an endpoint leaves.
+	// LeftAt is when the store accepted that an endpoint is leaving, by endpoint.
 	LeftAt map[string]time.Duration
-	// Published is when each version was, by number.
+	// Published is when each configuration version was published, by number.
 	Published  map[int]time.Duration
 	Allowances []Allowance
 
-	// SettleTime is how long a VM must be undisturbed for bounds in time to hold.
+	// SettleTime is how long a VM must be undisturbed for time bounds to apply.
 	SettleTime time.Duration
-	// DrainWithin, ConfigWithin, StopWithin and ResponseSlack are those bounds.
+	// DrainWithin, ConfigWithin, StopWithin and ResponseSlack are those time bounds.
 	DrainWithin, ConfigWithin, StopWithin, ResponseSlack time.Duration
-	// CloseRaceWithin is how long a request may cross the close of its connection.
+	// CloseRaceWithin is the maximum duration of a request that failed because it
+	// crossed the close of its idle connection.
 	CloseRaceWithin time.Duration
-	// RetryWindow, RepeatRatio and RepeatSlack bound repeats of a service.
+	// RetryWindow, RetryRatio and RetrySlack bound the retries of a service.
 	RetryWindow time.Duration
 	RetryRatio  float64
 	RetrySlack  float64
-	// MaxEndpoints bounds the endpoints that one request is sent to.
+	// MaxEndpoints is the maximum number of endpoints that one request is sent to.
 	MaxEndpoints int
 }
 
-// Check returns every breach, in the order of their text.
+// Check returns all violations, sorted by their text.
 func (d *Deployment) Check() []Violation {
 	byID := make(map[string]*CallerRequest, len(d.Requests))
 	for i := range d.Requests {
@@ -153,7 +161,8 @@
 	c.violations = append(c.violations, Violation{p, key, fmt.Sprintf(format, args...)})
 }
 
-// undisturbed says whether nothing disturbed the VM from Calm before the span to its end.
+// undisturbed reports whether no fault affected a VM or endpoint from SettleTime
+// before the span until its end.
 func (c *deploymentCheck) undisturbed(vm string, s Span) bool {
 	s.From -= c.SettleTime
 	for _, list := range [][]Span{c.Disturbed[vm], c.Disturbed[""]} {
@@ -164,13 +173,14 @@
 	return true
 }
 
-// noUnplannedFaults says whether at most noUnplannedFaults work happened around the span.
+// noUnplannedFaults reports whether there was no unplanned fault from SettleTime
+// before the span until its end.
 func (c *deploymentCheck) noUnplannedFaults(s Span) bool {
 	s.From -= c.SettleTime
 	return !slices.ContainsFunc(c.UnplannedFaults, s.overlaps)
 }
 
-// meansNotExecuted are the statuses that say so.
+// meansNotExecuted reports whether a status guarantees that the request did not run.
 func meansNotExecuted(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
@@ -187,7 +197,7 @@
 		c.addViolation(NotExecuted, s.ID, "refused with %d and ran at %s", s.Status, runs[0].Endpoint)
 	}
 	if s.Status >= 200 && s.Status < 300 && s.Complete && len(runs) == 0 {
-		c.addViolation(CompleteResponse, s.ID, "answered without a run")
+		c.addViolation(CompleteResponse, s.ID, "answered without having run")
 	}
 	if s.Forbidden && len(runs) > 0 {
 		c.addViolation(Unsolicited, s.ID, "ran though its key was never valid")
@@ -195,24 +205,24 @@
 	if len(c.arrivals[s.ID]) > c.MaxEndpoints {
 		c.addViolation(BoundedRetries, s.ID, "sent to %d endpoints", len(c.arrivals[s.ID]))
 	}
-	// A request that crosses the close of an idle connection was never accepted.
+	// A request that crosses the close of an idle connection is never read by the VM.
 	accepted := len(c.arrivals[s.ID]) > 0 || s.To-s.From > c.CloseRaceWithin
 	if !s.Complete && !s.Disconnected && accepted && c.noUnplannedFaults(s.Span) {
-		c.addViolation(GracefulShutdown, s.ID, "cut off at %s with status %d after %v", s.VM, s.Status, s.To-s.From)
+		c.addViolation(GracefulShutdown, s.ID, "connection to %s lost with status %d after %v", s.VM, s.Status, s.To-s.From)
 	}
 	if duration := s.To - s.From; duration > s.Timeout+c.ResponseSlack && c.undisturbed(s.VM, s.Span) {
-		c.addViolation(RespondsInTime, s.ID, "held by %s for %v", s.VM, duration)
+		c.addViolation(RespondsInTime, s.ID, "%s took %v to respond", s.VM, duration)
 	}
 }
 
 func (c *deploymentCheck) checkArrival(r *Run) {
 	s := c.byID[r.ID]
 	if s == nil {
-		c.addViolation(Unsolicited, r.ID, "reached %s and was never sent", r.Endpoint)
+		c.addViolation(Unsolicited, r.ID, "reached %s but was never sent by a caller", r.Endpoint)
 		return
 	}
 	if at, ok := c.LeftAt[r.Endpoint]; ok && r.From > at+c.DrainWithin && c.undisturbed(s.VM, Span{at, r.From}) {
-		c.addViolation(Drained, r.ID, "reached %s by %s %v after it said that it leaves", r.Endpoint, s.VM, r.From-at)
+		c.addViolation(Drained, r.ID, "reached %s from %s %v after the store recorded that it is leaving", r.Endpoint, s.VM, r.From-at)
 	}
 }
 
@@ -228,11 +238,11 @@
 		c.addViolation(Unsolicited, r.ID, "ran at %s of another service", r.Endpoint)
 	}
 	if s.Disconnected && r.To > s.To+c.StopWithin && c.undisturbed(s.VM, Span{s.From, r.To}) && c.undisturbed(r.Endpoint, Span{s.From, r.To}) {
-		c.addViolation(StopsAfterDisconnect, r.ID, "%s worked on for %v", r.Endpoint, r.To-s.To)
+		c.addViolation(StopsAfterDisconnect, r.ID, "%s continued for %v after the caller disconnected", r.Endpoint, r.To-s.To)
 	}
 }
 
-// checkAllowances slides each organisation's window over its runs.
+// checkAllowances moves each organisation's window over its runs.
 func (c *deploymentCheck) checkAllowances() {
 	for _, l := range c.Allowances {
 		var runs []Run
@@ -257,7 +267,7 @@
 	}
 }
 
-// checkRetries slides the window over arrivals beyond the first of each request.
+// checkRetries moves the window over the arrivals after the first of each request.
 func (c *deploymentCheck) checkRetries() {
 	seen := make(map[string]bool)
 	retryTimes := make(map[string][]time.Duration)
@@ -272,12 +282,13 @@
 	for service, times := range retryTimes {
 		w := c.worstRetryWindow(service, times)
 		if w.excess() > 0 {
-			c.addViolation(BoundedRetries, service, "%d repeats in %v before %v, %.0f allowed", w.retries, c.RetryWindow, w.end, w.allowed)
+			c.addViolation(BoundedRetries, service, "%d retries in %v before %v, %.0f allowed", w.retries, c.RetryWindow, w.end, w.allowed)
 		}
 	}
 }
 
-// retryWindow is the repeats that reached a service's endpoints in a window, and how many may.
+// retryWindow is the number of retries that reached a service's endpoints in the
+// RetryWindow before end, and the number allowed.
 type retryWindow struct {
 	end     time.Duration
 	retries int
@@ -286,8 +297,8 @@
 
 func (w retryWindow) excess() float64 { return float64(w.retries) - w.allowed }
 
-// worstRetryWindow is the window that passes the bound furthest, or comes nearest to it. times are in
-// order.
+// worstRetryWindow returns the window that exceeds the bound the most or, if none
+// does, comes closest to it. times must be sorted.
 func (c *deploymentCheck) worstRetryWindow(service string, times []time.Duration) retryWindow {
 	var worst retryWindow
 	first := 0
@@ -303,8 +314,8 @@
 	return worst
 }
 
-// requestCount counts the requests for a service in the window before a moment or the one
-// before it, whichever has more.
+// requestCount returns the number of requests for a service in the RetryWindow before
+// end or in the one preceding that, whichever is larger.
 func (c *deploymentCheck) requestCount(service string, end time.Duration) float64 {
 	var current, previous int
 	for i := range c.Requests {
@@ -320,9 +331,10 @@
 	return float64(max(current, previous))
 }
 
-// checkVersions checks that configurations come into force on time and never go back.
-// Each version has a route of its own, so an answer other than 404 shows it in force;
-// but for 503, which a VM also says that has just started and knows no version.
+// checkVersions checks that configurations are applied in time and never reverted.
+// Each version has a route of its own, so a status other than 404 shows that it is
+// applied. Status 503 is ignored: a VM that has just started and has no
+// configuration yet returns it too.
 func (c *deploymentCheck) checkVersions() {
 	type vmProcess struct {
 		vm          string
@@ -343,14 +355,14 @@
 	for _, s := range probes {
 		served := s.Status != 404
 		if at, ok := c.Published[s.ProbedVersion+1]; ok && served && s.From > at+c.ConfigWithin && c.undisturbed(s.VM, Span{at, s.To}) {
-			c.addViolation(ConfigApplied, s.ID, "%s served by version %d, %v after the next", s.VM, s.ProbedVersion, s.From-at)
+			c.addViolation(ConfigApplied, s.ID, "%s served version %d %v after the next was published", s.VM, s.ProbedVersion, s.From-at)
 		}
 		if c.mustServeProbed(s) && !served {
-			c.addViolation(ConfigApplied, s.ID, "%s had no version %d, %v after it came", s.VM, s.ProbedVersion, s.From-c.Published[s.ProbedVersion])
+			c.addViolation(ConfigApplied, s.ID, "%s did not serve version %d %v after its publication", s.VM, s.ProbedVersion, s.From-c.Published[s.ProbedVersion])
 		}
 		last := newest[vmProcess{s.VM, s.Incarnation}]
 		if served && s.ProbedVersion < last.version && s.From > last.at {
-			c.addViolation(ConfigApplied, s.ID, "%s went back from version %d to %d", s.VM, last.version, s.ProbedVersion)
+			c.addViolation(ConfigApplied, s.ID, "%s reverted from version %d to %d", s.VM, last.version, s.ProbedVersion)
 		}
 		if served && s.ProbedVersion > last.version {
 			newest[vmProcess{s.VM, s.Incarnation}] = servedVersion{s.ProbedVersion, s.To}
@@ -358,7 +370,8 @@
 	}
 }
 
-// mustServeProbed says whether only the probed version can have been in force.
+// mustServeProbed reports whether the probed version is the only one that may have
+// been applied while the request ran.
 func (c *deploymentCheck) mustServeProbed(s *CallerRequest) bool {
 	at, ok := c.Published[s.ProbedVersion]
 	if !ok || s.From <= at+c.ConfigWithin || !c.undisturbed(s.VM, Span{at, s.To}) {
--- a/history/deployment_test.go
+++ b/history/deployment_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestDeploymentCheckFindsViolations: a checker that sees nothing would make every soak
-// pass. Each session breaks one promise, the last ones break none.
+// TestDeploymentCheckFindsViolations guards against a checker that finds nothing, with
+// which every soak test would pass. Each session violates at most one invariant;
+// those that expect nil must not be reported.
 func TestDeploymentCheckFindsViolations(t *testing.T) {
 	requests := func(change func(*CallerRequest)) []CallerRequest {
 		v := CallerRequest{ID: "a", VM: "v", Service: "plain", Timeout: time.Second, Span: Span{10 * time.Second, 10100 * time.Millisecond}, Status: 200, Complete: true}
@@ -32,7 +33,8 @@
 		return CallerRequest{ID: "p", VM: "v", Service: "plain", Timeout: time.Second, Span: Span{from, from}, Status: status, Complete: true, ProbedVersion: version, Disconnected: false}
 	}
 	disturbed := map[string][]Span{"v": {{9 * time.Second, 9 * time.Second}}}
-	// notified is a request whose answer says something of the endpoint, after is one sent later.
+	// notified is a request whose response contains a notice of the endpoint,
+	// sentAfter returns a request sent later.
 	notified := requests(func(v *CallerRequest) { v.Status = 503 })[0]
 	sentAfter := func(later time.Duration) CallerRequest {
 		v := requests(nil)[0]
@@ -47,31 +49,31 @@
 		d    Deployment
 		want []Invariant
 	}{
-		{"torn answer", Deployment{Requests: requests(func(v *CallerRequest) { v.Fault = "torn" }), Runs: []Run{normal}}, []Invariant{CompleteResponse}},
+		{"truncated response", Deployment{Requests: requests(func(v *CallerRequest) { v.Fault = "truncated" }), Runs: []Run{normal}}, []Invariant{CompleteResponse}},
 		{"ran twice", Deployment{Requests: requests(nil), Runs: []Run{normal, normal}}, []Invariant{AtMostOnce}},
 		{"ran though refused", Deployment{Requests: requests(func(v *CallerRequest) { v.Status = 503 }), Runs: []Run{normal}}, []Invariant{NotExecuted}},
-		{"answered without a run", Deployment{Requests: requests(nil)}, []Invariant{CompleteResponse}},
+		{"answered without having run", Deployment{Requests: requests(nil)}, []Invariant{CompleteResponse}},
 		{"never valid key", Deployment{Requests: requests(func(v *CallerRequest) { v.Forbidden = true }), Runs: []Run{normal}}, []Invariant{Unsolicited}},
-		{"changed on its way", Deployment{Requests: requests(nil), Runs: []Run{changedBody}}, []Invariant{Unsolicited}},
+		{"changed in transit", Deployment{Requests: requests(nil), Runs: []Run{changedBody}}, []Invariant{Unsolicited}},
 		{"another service", Deployment{Requests: requests(nil), Runs: []Run{otherService}}, []Invariant{Unsolicited}},
 		{"never sent", Deployment{Arrivals: []Run{neverSent}}, []Invariant{Unsolicited}},
 		{"too many endpoints", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal, normal, normal}, RetrySlack: 9}, []Invariant{BoundedRetries}},
-		{"too many repeats", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal, normal}}, []Invariant{BoundedRetries}},
-		{"cut off", Deployment{Requests: requests(func(v *CallerRequest) { v.Complete, v.Status = false, 0 })}, []Invariant{GracefulShutdown}},
-		{"held too long", Deployment{Requests: requests(func(v *CallerRequest) { v.To = 13 * time.Second }), Runs: []Run{normal}}, []Invariant{RespondsInTime}},
-		{"sent to one that left", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal}, LeftAt: map[string]time.Duration{"e": 7 * time.Second}}, []Invariant{Drained}},
-		{"work for nobody", Deployment{Requests: requests(func(v *CallerRequest) { v.Disconnected, v.Complete, v.Status = true, false, 0 }), Runs: []Run{longRun}}, []Invariant{StopsAfterDisconnect}},
-		{"beyond its allowance", Deployment{Requests: requests(nil), Runs: []Run{costly}, Allowances: []Allowance{{"org", time.Second, 10}}}, []Invariant{WithinAllowance}},
-		{"not in force", Deployment{Requests: []CallerRequest{probe(2, 9*time.Second, 404)}, Published: map[int]time.Duration{2: 5 * time.Second}}, []Invariant{ConfigApplied}},
-		{"still in force", Deployment{Requests: []CallerRequest{probe(1, 9*time.Second, 500)}, Published: map[int]time.Duration{2: 5 * time.Second}}, []Invariant{ConfigApplied}},
-		{"went back", Deployment{Requests: []CallerRequest{probe(2, time.Second, 500), probe(1, 2*time.Second, 500)}}, []Invariant{ConfigApplied}},
-		{"no version known yet", Deployment{Requests: []CallerRequest{probe(2, time.Second, 503), probe(1, 2*time.Second, 503)}}, nil},
-		{"sent to one that said that it leaves", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: runsAfter(7 * time.Second), Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, Leaving: true}}, DrainWithin: 2 * time.Second}, []Invariant{Drained}},
-		{"sent by a VM that stood still since", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: runsAfter(7 * time.Second), Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, Leaving: true}}, DrainWithin: 2 * time.Second, Frozen: map[string][]Span{"v": {{12 * time.Second, 12 * time.Second}}}}, nil},
-		{"no rest", Deployment{Requests: []CallerRequest{notified, sentAfter(2 * time.Second)}, Runs: runsAfter(2 * time.Second), Arrivals: slices.Repeat(runsAfter(2*time.Second), 3), RetrySlack: 9, MaxEndpoints: 9, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, Backoff: 3 * time.Second}}}, []Invariant{RespectsBackoff}},
-		{"beyond a limit", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: slices.Repeat(runsAfter(7*time.Second), 12), RetrySlack: 99, MaxEndpoints: 99, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, NamesLimit: true}}, EndpointLimits: []EndpointLimit{{Endpoint: "e", PerSecond: 1, Span: Span{10 * time.Second, 20 * time.Second}}}}, []Invariant{WithinEndpointLimit}},
-		{"within a limit", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: slices.Repeat(runsAfter(7*time.Second), 11), RetrySlack: 99, MaxEndpoints: 99, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, NamesLimit: true}}, EndpointLimits: []EndpointLimit{{Endpoint: "e", PerSecond: 1, Span: Span{10 * time.Second, 20 * time.Second}}}}, nil},
-		{"all well", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal}}, nil},
+		{"too many retries", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal, normal}}, []Invariant{BoundedRetries}},
+		{"connection lost", Deployment{Requests: requests(func(v *CallerRequest) { v.Complete, v.Status = false, 0 })}, []Invariant{GracefulShutdown}},
+		{"response too late", Deployment{Requests: requests(func(v *CallerRequest) { v.To = 13 * time.Second }), Runs: []Run{normal}}, []Invariant{RespondsInTime}},
+		{"sent to an endpoint that is leaving", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal}, LeftAt: map[string]time.Duration{"e": 7 * time.Second}}, []Invariant{Drained}},
+		{"continued after the disconnect", Deployment{Requests: requests(func(v *CallerRequest) { v.Disconnected, v.Complete, v.Status = true, false, 0 }), Runs: []Run{longRun}}, []Invariant{StopsAfterDisconnect}},
+		{"allowance exceeded", Deployment{Requests: requests(nil), Runs: []Run{costly}, Allowances: []Allowance{{"org", time.Second, 10}}}, []Invariant{WithinAllowance}},
+		{"configuration not applied", Deployment{Requests: []CallerRequest{probe(2, 9*time.Second, 404)}, Published: map[int]time.Duration{2: 5 * time.Second}}, []Invariant{ConfigApplied}},
+		{"previous configuration still applied", Deployment{Requests: []CallerRequest{probe(1, 9*time.Second, 500)}, Published: map[int]time.Duration{2: 5 * time.Second}}, []Invariant{ConfigApplied}},
+		{"configuration reverted", Deployment{Requests: []CallerRequest{probe(2, time.Second, 500), probe(1, 2*time.Second, 500)}}, []Invariant{ConfigApplied}},
+		{"no configuration yet", Deployment{Requests: []CallerRequest{probe(2, time.Second, 503), probe(1, 2*time.Second, 503)}}, nil},
+		{"sent after a leaving notice", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: runsAfter(7 * time.Second), Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, Leaving: true}}, DrainWithin: 2 * time.Second}, []Invariant{Drained}},
+		{"sent by a VM frozen since the notice", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: runsAfter(7 * time.Second), Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, Leaving: true}}, DrainWithin: 2 * time.Second, Frozen: map[string][]Span{"v": {{12 * time.Second, 12 * time.Second}}}}, nil},
+		{"backoff ignored", Deployment{Requests: []CallerRequest{notified, sentAfter(2 * time.Second)}, Runs: runsAfter(2 * time.Second), Arrivals: slices.Repeat(runsAfter(2*time.Second), 3), RetrySlack: 9, MaxEndpoints: 9, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, Backoff: 3 * time.Second}}}, []Invariant{RespectsBackoff}},
+		{"endpoint limit exceeded", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: slices.Repeat(runsAfter(7*time.Second), 12), RetrySlack: 99, MaxEndpoints: 99, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, NamesLimit: true}}, EndpointLimits: []EndpointLimit{{Endpoint: "e", PerSecond: 1, Span: Span{10 * time.Second, 20 * time.Second}}}}, []Invariant{WithinEndpointLimit}},
+		{"within an endpoint limit", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: slices.Repeat(runsAfter(7*time.Second), 11), RetrySlack: 99, MaxEndpoints: 99, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, NamesLimit: true}}, EndpointLimits: []EndpointLimit{{Endpoint: "e", PerSecond: 1, Span: Span{10 * time.Second, 20 * time.Second}}}}, nil},
+		{"no violation", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal}}, nil},
 		{"excused by faults", Deployment{Requests: requests(func(v *CallerRequest) { v.Complete, v.Status, v.To = false, 0, 13*time.Second }), UnplannedFaults: []Span{{9 * time.Second, 9 * time.Second}}, Disturbed: disturbed}, nil},
 	}
 	for _, c := range cases {
--- a/history/history.go
+++ b/history/history.go
@@ -1,5 +1,6 @@
-// Package history judges what callers saw against what endpoints truly ran. One
-// checker serves every proof and every load run, and checks all promises at once.
+// Package history checks what callers observed against what endpoints ran. The
+// tests of whole deployments and the soak tests share its checkers, which check
+// all invariants at once.
 package history
 
 import (
@@ -9,21 +10,22 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Observation is what a caller saw of one sending of a request.
+// Observation is the result of one attempt of a request as its caller saw it.
 type Observation struct {
 	Key     string
 	Attempt int
 	Outcome request.Outcome
-	// Text is the answer; Want what a whole answer to this key is.
+	// Text is the response received; Want is the complete response to this key.
 	Text, Want string
-	// ConnectionLost: the connection broke before any outcome.
+	// ConnectionLost reports whether the connection broke before any outcome.
 	ConnectionLost bool
 }
 
-// Invariant names what must always hold.
+// Invariant is the name of a property that must always hold.
 type Invariant string
 
-// The promises that a history can break.
+// Invariants of a History; CompleteResponse, AtMostOnce, NotExecuted and
+// GracefulShutdown also apply to a Deployment.
 const (
 	AtMostOnce       Invariant = "at-most-once"
 	NonIdempotent    Invariant = "non-idempotent"
@@ -32,28 +34,28 @@
 	GracefulShutdown Invariant = "graceful"
 )
 
-// Violation is one broken promise.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Invariant Invariant
 	Key       string
 	Detail    string
 }
 
-// String tells the breach on one line.
+// String formats the violation on one line.
 func (b Violation) String() string { return fmt.Sprintf("%s: %s: %s", b.Invariant, b.Key, b.Detail) }
 
-// History is what happened in one session.
+// History records the requests and runs of one test session.
 type History struct {
 	Observations []Observation
-	// RunCounts is how often each key was run, over all endpoints.
+	// RunCounts is the number of runs of each key over all endpoints.
 	RunCounts map[string]int
-	// NonIdempotent are the keys that must not run twice by their kind.
+	// NonIdempotent is the set of keys whose request kind must not run twice.
 	NonIdempotent map[string]bool
-	// RequireGraceful: no caller may be cut off (graceful shutdown).
+	// RequireGraceful makes every lost connection a violation (graceful shutdown).
 	RequireGraceful bool
 }
 
-// Check returns every breach, in the order of keys.
+// Check returns all violations, sorted by their text.
 func (h *History) Check() []Violation {
 	var out []Violation
 	for key, n := range h.RunCounts {
@@ -90,10 +92,10 @@
 			out = append(out, Violation{CompleteResponse, key, fmt.Sprintf("attempt %d got %d bytes of %d", s.Attempt, len(s.Text), len(s.Want))})
 		}
 		if s.Outcome == request.Answered && h.RunCounts[key] == 0 {
-			out = append(out, Violation{CompleteResponse, key, "answered without a run"})
+			out = append(out, Violation{CompleteResponse, key, "answered without having run"})
 		}
 		if h.RequireGraceful && s.ConnectionLost {
-			out = append(out, Violation{GracefulShutdown, key, "cut off"})
+			out = append(out, Violation{GracefulShutdown, key, "connection lost"})
 		}
 	}
 	if allNotRun && h.RunCounts[key] > 0 {
--- a/history/notices.go
+++ b/history/notices.go
@@ -5,52 +5,57 @@
 	"time"
 )
 
-// Promises about what endpoints say of themselves in their answers.
+// Invariants about the notices that endpoints put into their responses.
 const (
-	// WithinEndpointLimit: an endpoint that names a limit gets no more from the VMs that it told.
+	// WithinEndpointLimit requires that the VMs to which an endpoint named a limit
+	// together send it no more than that, within limitFactor and limitSlack.
 	WithinEndpointLimit Invariant = "limited"
-	// RespectsBackoff: an endpoint that asked a VM for rest gets next to nothing from it.
+	// RespectsBackoff requires that a VM sends at most maxDuringBackoff requests to
+	// an endpoint that asked it for backoff.
 	RespectsBackoff Invariant = "rests"
 )
 
-// Bounds of these promises.
+// Bounds of these invariants.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitSettleTime is how long after it first named a limit the bound holds, wordHeard how long after an answer
-	// what its VM sends counts.
+	// limitSettleTime is the time from when an endpoint first names a limit until the
+	// bound applies. noticeDelay is the time from a response until requests of its VM count.
 	limitSettleTime  = 3 * time.Second
 	noticeDelay      = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// Notice is an answer in which an endpoint said something of itself.
+// Notice is a response in which an endpoint reported its own state.
 type Notice struct {
-	// ID is the request that it answered.
+	// ID is the request that was answered.
 	ID, Endpoint string
 	At           time.Duration
 	Leaving      bool
-	Backoff      time.Duration
-	// NamesLimit says that it named the limit of the need of that number.
+	// Backoff is the time for which the endpoint asked for no requests.
+	Backoff time.Duration
+	// NamesLimit reports whether the response named the limit at LimitIndex in
+	// Deployment.EndpointLimits.
 	NamesLimit bool
 	LimitIndex int
 }
 
-// EndpointLimit is a time for which an endpoint names a limit in all its answers.
+// EndpointLimit is a period in which an endpoint names a limit in all its responses.
 type EndpointLimit struct {
 	Endpoint  string
 	PerSecond float64
 	Span
 }
 
-// process is one process of a VM.
+// process identifies one process of a VM.
 type process struct {
 	vm          string
 	incarnation int
 }
 
-// sender is the process that a request was sent to.
+// sender returns the VM process that a caller sent the request to, and which
+// forwarded it to the endpoint.
 func (c *deploymentCheck) sender(id string) (process, bool) {
 	s := c.byID[id]
 	if s == nil {
@@ -59,7 +64,7 @@
 	return process{s.VM, s.Incarnation}, true
 }
 
-// isFrozen says whether a VM, or the whole machine, stood still in a span.
+// isFrozen reports whether a VM or the whole machine was frozen during a span.
 func (c *deploymentCheck) isFrozen(vm string, s Span) bool {
 	for _, name := range []string{vm, ""} {
 		if slices.ContainsFunc(c.Frozen[name], s.overlaps) {
@@ -69,13 +74,14 @@
 	return false
 }
 
-// pathDisturbed says whether the way to an endpoint was, so that it may have read late what was sent before.
+// pathDisturbed reports whether the path to an endpoint was disturbed, so that it may
+// have read late what was sent earlier.
 func (c *deploymentCheck) pathDisturbed(endpoint string, s Span) bool {
 	s.From -= c.SettleTime
 	return slices.ContainsFunc(c.Disturbed[endpoint], s.overlaps)
 }
 
-// checkNotices checks what reached endpoints after they had said something of themselves.
+// checkNotices checks the requests that reached endpoints after their notices.
 func (c *deploymentCheck) checkNotices() {
 	arrivals := make(map[string][]Run)
 	for _, r := range c.Arrivals {
@@ -104,7 +110,7 @@
 		if !ok || from != p || c.byID[r.ID].From <= notice.At+c.DrainWithin || c.isFrozen(p.vm, Span{notice.At, r.From}) {
 			continue
 		}
-		c.addViolation(Drained, r.ID, "reached %s by %s %v after an answer that it leaves", r.Endpoint, p.vm, r.From-notice.At)
+		c.addViolation(Drained, r.ID, "reached %s from %s %v after a response that it is leaving", r.Endpoint, p.vm, r.From-notice.At)
 		return
 	}
 }
@@ -121,7 +127,7 @@
 		}
 	}
 	if n > maxDuringBackoff {
-		c.addViolation(RespectsBackoff, notice.ID, "%d requests of %s reached %s in a rest of %v", n, p.vm, notice.Endpoint, notice.Backoff)
+		c.addViolation(RespectsBackoff, notice.ID, "%d requests from %s reached %s during a backoff of %v", n, p.vm, notice.Endpoint, notice.Backoff)
 	}
 }
 
@@ -150,7 +156,7 @@
 		}
 		count, allowed := i-first+1, limitFactor*limit.PerSecond*limitWindow.Seconds()+limitSlack
 		if end >= limit.From+limitSettleTime && float64(count) > allowed {
-			c.addViolation(WithinEndpointLimit, limit.Endpoint, "%d requests in %v before %v, %.0f allowed by a limit of %v a second", count, limitWindow, end, allowed, limit.PerSecond)
+			c.addViolation(WithinEndpointLimit, limit.Endpoint, "%d requests in %v before %v, %.0f allowed by a limit of %v per second", count, limitWindow, end, allowed, limit.PerSecond)
 			return
 		}
 	}
