--- a/standin/engine.go
+++ b/standin/engine.go
@@ -15,26 +15,27 @@
 	"github.com/chivefield/chivefield/prompt"
 )
 
-// EngineFaults can be changed while the stand-in runs.
+// EngineFaults are the injected faults of an Engine. They can be changed while it runs.
 type EngineFaults struct {
-	// Slow multiplies all times; 0 means 1.
+	// Slow is the factor by which prefill and generation take longer. Values
+	// below 1 mean 1.
 	Slow float64 `json:"slow"`
 	// CutAfter closes the caller's connection after that many tokens; the
-	// request runs on. 0 means never.
+	// request keeps running. 0 means never.
 	CutAfter int `json:"cut_after"`
-	// Leaving is said in the load report.
+	// Leaving is set in the load report and rejects new requests with 503.
 	Leaving bool `json:"leaving"`
-	// Refuse answers 503 to new requests, which then do not run.
+	// Refuse rejects new requests with 503, without running them.
 	Refuse bool `json:"refuse"`
 }
 
-// Engine is a stand-in of a model engine.
+// Engine is a stand-in for an inference engine.
 type Engine struct {
 	Name string
-	// ReportLag is how old the load report is.
+	// ReportLag is the maximum age of the load report, which is refreshed on request.
 	ReportLag time.Duration
 
-	// IgnoresFencing is how engines are that run whatever they are sent.
+	// IgnoresFencing simulates an engine without fencing, which runs every request it is sent.
 	IgnoresFencing bool
 
 	mu              sync.Mutex
@@ -45,13 +46,13 @@
 	streams         map[string]*stream
 	runCounts       map[string]int
 	keptCacheEvents []engine.CacheEvent
-	// firstCacheEvent is the number of the oldest event kept.
+	// firstCacheEvent is the number of the oldest cache event that is kept.
 	firstCacheEvent int
 	report          LoadReport
 	reportedAt      time.Time
 }
 
-// stream is one request in the engine.
+// stream is a request in the engine. changed is closed when there may be progress.
 type stream struct {
 	id           string
 	key          string
@@ -62,14 +63,14 @@
 	changed      chan struct{}
 }
 
-// LoadReport is what an engine says of itself, with a lag.
+// LoadReport is the load that an engine reports, with a lag.
 type LoadReport struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Leaving bool `json:"leaving"`
 }
 
-// CacheReport is a part of an engine's cache events.
+// CacheReport holds the cache events with the numbers First to Next-1.
 type CacheReport struct {
 	First  int                 `json:"first"`
 	Next   int                 `json:"next"`
@@ -77,12 +78,12 @@
 }
 
 const (
-	// maxCacheEvents bounds the cache events kept; readers that are later see a gap.
+	// maxCacheEvents is the number of cache events kept; slower readers see a gap.
 	maxCacheEvents = 256
 	engineTick     = 2 * time.Millisecond
 )
 
-// NewEngine returns an engine that runs until the process ends.
+// NewEngine starts an engine that runs until the process exits.
 func NewEngine(name string, cfg engine.Config) *Engine {
 	e := &Engine{Name: name, start: time.Now(), streams: map[string]*stream{}, fencedStreams: map[string]bool{}, runCounts: map[string]int{}}
 	e.engineModel = engine.New(cfg, 0)
@@ -98,7 +99,8 @@
 	}
 }
 
-// advance wakes the readers of all streams that got on.
+// advance moves the engine model to the current time, marks finished streams,
+// collects cache events and notifies the readers of all streams.
 func (e *Engine) advance() {
 	for _, ev := range e.engineModel.Advance(time.Since(e.start)) {
 		if s := e.streams[ev.ID]; s != nil && ev.Kind == engine.Done {
@@ -120,7 +122,7 @@
 	s.changed = make(chan struct{})
 }
 
-// RunCounts returns how often each request key was run.
+// RunCounts returns the number of runs of each request key.
 func (e *Engine) RunCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,14 +133,15 @@
 	return out
 }
 
-// PrefilledTokens returns the prompt tokens read and not found in the cache.
+// PrefilledTokens returns the number of prompt tokens that were not found in the
+// cache and had to be prefilled.
 func (e *Engine) PrefilledTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.engineModel.PrefilledTokens
 }
 
-// SetFaults changes the faults.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,7 +149,8 @@
 	e.engineModel.SetSlowdown(time.Since(e.start), max(f.Slow, 1))
 }
 
-// Handler serves the engine's protocol and the control of faults.
+// Handler serves the engine's protocol and the endpoints under /control, which
+// change faults and return counts.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.complete)
@@ -166,7 +170,7 @@
 	return mux
 }
 
-// completionRequest is what the stand-in reads of a request.
+// completionRequest holds the fields of a request that the stand-in uses.
 type completionRequest struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
@@ -248,7 +252,8 @@
 	encode(w, struct{}{})
 }
 
-// tokenData is the data of one token in the form of the path that was called.
+// tokenData returns the event data of token i, in the format of the chat or the
+// completions API, depending on the path of the request.
 func (s *stream) tokenData(i int) string {
 	text, _ := json.Marshal(TokenText(s.key, i))
 	if s.chat {
@@ -257,13 +262,13 @@
 	return fmt.Sprintf(`{"choices":[{"index":0,"text":%s}]}`, text)
 }
 
-// TokenText is the text of token i of the answer to a request key. It tells whose
-// answer it is, so that an answer to the wrong caller shows.
+// TokenText returns the text of token i of the response to a request key. It
+// contains a hash of the key, so that tests detect a response to the wrong caller.
 func TokenText(key string, i int) string {
 	return fmt.Sprintf("%x.%d ", uint16(xxhash.Sum64String(key)), i)
 }
 
-// ResponseText is the whole answer to a request key.
+// ResponseText returns the complete response to a request key.
 func ResponseText(key string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -272,7 +277,7 @@
 	return b.String()
 }
 
-// writeStream streams tokens from an offset until the end.
+// writeStream streams tokens from an offset until the stream ends or the caller disconnects.
 func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
@@ -287,7 +292,8 @@
 		}
 		for ; offset < available; offset++ {
 			if cutAfter > 0 && offset >= cutAfter {
-				// What was written before the cut has left: else nothing tells it from a refusal.
+				// Flush the tokens before the cut; without them the caller could not
+				// distinguish it from a refusal.
 				_ = flusher.Flush()
 				panic(http.ErrAbortHandler)
 			}
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -12,7 +12,8 @@
 	"github.com/chivefield/chivefield/engine"
 )
 
-// Guards against a cut that takes along what was written before it, where that is all there already.
+// TestTokensBeforeCutAreFlushed guards against a lost connection that discards the
+// tokens before CutAfter, when all of them were available at once.
 func TestTokensBeforeCutAreFlushed(t *testing.T) {
 	is := is.New(t)
 	e := NewEngine("e", engine.Config{Slots: 1, PrefillSpeed: 8000, OutputSpeed: 8000, CacheBlocks: 10})
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins of the outside systems: the platform's
-// log and VM list, a model engine and a plain service. Tests, the demo and the
-// load tool run them; they keep everything in memory.
+// Package standin implements small in-memory stand-ins for the external systems:
+// the platform's log and VM list, an inference engine and a plain service. They
+// are run by tests, the demo and the load tool.
 package standin
 
 import (
@@ -14,19 +14,19 @@
 	"github.com/chivefield/chivefield/logservice"
 )
 
-// PlatformFaults can be changed while the stand-in runs.
+// PlatformFaults are the injected faults of a Platform. They can be changed while it runs.
 type PlatformFaults struct {
-	// Down refuses everything.
+	// Down rejects all requests.
 	Down bool `json:"down"`
-	// LoseResponses appends and then fails.
+	// LoseResponses makes an append take effect and then return an error.
 	LoseResponses bool `json:"lose_answers"`
-	// KeepLast drops all but the newest records; 0 keeps all.
+	// KeepLast is the number of newest records that are kept; 0 keeps all.
 	KeepLast int `json:"keep_last"`
 }
 
-// Platform is a stand-in of the platform. The zero value is ready.
+// Platform is a stand-in for the platform. The zero value is ready to use.
 type Platform struct {
-	// AppendsPerSecond limits appends; 0 means no limit.
+	// AppendsPerSecond is the rate limit of appends; 0 means no limit.
 	AppendsPerSecond int
 
 	mu            sync.Mutex
@@ -39,7 +39,7 @@
 	appendCount   int
 }
 
-// SetFaults changes the faults.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,28 +47,28 @@
 	p.trimRecords()
 }
 
-// SetVMs changes the list of VMs.
+// SetVMs replaces the list of VMs.
 func (p *Platform) SetVMs(list []logservice.VMStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = list
 }
 
-// Records returns what the log keeps.
+// Records returns the records that the log still holds.
 func (p *Platform) Records() []logservice.Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]logservice.Record(nil), p.records...)
 }
 
-// AppendCount counts the appends that took effect.
+// AppendCount returns the number of appends that took effect.
 func (p *Platform) AppendCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.appendCount
 }
 
-// Handler serves the log, the list and the control of faults.
+// Handler serves the log, the list of VMs and the endpoints that change faults and VMs.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /log", p.append)
--- a/standin/service.go
+++ b/standin/service.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// ServiceFaults can be changed while the stand-in runs.
+// ServiceFaults are the injected faults of a Service. They can be changed while it runs.
 type ServiceFaults struct {
-	// LoseResponses runs the call and then closes the connection.
+	// LoseResponses runs the request and then closes the connection.
 	LoseResponses bool `json:"lose_answers"`
-	// DelayMS holds each call.
+	// DelayMS delays each response by that many milliseconds.
 	DelayMS int `json:"delay_ms"`
 }
 
-// Service is a stand-in of a plain service. It answers with its name and the body.
+// Service is a stand-in for a plain service. It responds with its name and the
+// path and body of the request.
 type Service struct {
 	Name string
 
@@ -24,7 +25,7 @@
 	runCounts map[string]int
 }
 
-// RunCounts returns how often each request key was run.
+// RunCounts returns the number of runs of each request key.
 func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,14 +36,14 @@
 	return out
 }
 
-// SetFaults changes the faults.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Handler serves every path.
+// Handler serves all paths and the endpoints under /control.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ran", func(w http.ResponseWriter, _ *http.Request) { encode(w, s.RunCounts()) })
