--- a/logservice/logservice.go
+++ b/logservice/logservice.go
@@ -1,5 +1,5 @@
-// Package logservice is the client of the log service that the product's own
-// interface runs on: an append-only log and the list of VMs. Client speaks HTTP.
+// Package logservice is the HTTP client of the log service behind the product's
+// own interface: an append-only log and the list of VMs.
 package logservice
 
 import (
@@ -12,50 +12,50 @@
 	"net/url"
 )
 
-// Record is one record of the log.
+// Record is a record of the log.
 type Record struct {
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// Batch is what one read returned.
+// Batch is the result of one read.
 type Batch struct {
-	// First is the lowest offset that retention has kept.
+	// First is the lowest offset that retention has not removed.
 	First uint64 `json:"first"`
 	// Next is the offset that the next append will get.
 	Next    uint64   `json:"next"`
 	Records []Record `json:"records"`
 }
 
-// Log is the append-only log. An error of Append leaves open whether the record
-// was appended.
+// Log is an append-only log. After an error of Append the record may or may not
+// have been appended.
 type Log interface {
 	Append(ctx context.Context, data []byte) (offset uint64, err error)
 	Read(ctx context.Context, from uint64, limit int) (Batch, error)
 }
 
-// VMState is the platform's word on a VM. It lags.
+// VMState is the state of a VM as reported by the platform, with a delay.
 type VMState string
 
-// States of the list.
+// States of VMs.
 const (
 	Live    VMState = "live"
 	Leaving VMState = "leaving"
 	Gone    VMState = "gone"
 )
 
-// VMStatus is one line of the list.
+// VMStatus is one entry of the list of VMs.
 type VMStatus struct {
 	ID    uint32  `json:"id"`
 	State VMState `json:"state"`
 }
 
-// VMList is the lagging list of VMs.
+// VMList returns the platform's list of VMs, which lags behind their real state.
 type VMList interface {
 	VMs(ctx context.Context) ([]VMStatus, error)
 }
 
-// CallError reports a call that failed.
+// CallError is a failed call to the platform. Status is the HTTP status if it was not 200.
 type CallError struct {
 	Call   string
 	Status int
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("platform %s: status %d", e.Call, e.Status)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error, if any.
 func (e *CallError) Unwrap() error { return e.Err }
 
 // Client calls the platform over HTTP.
@@ -84,10 +84,10 @@
 	_ VMList = (*Client)(nil)
 )
 
-// maxResponseBytes bounds what is read of one reply.
+// maxResponseBytes is the number of bytes read of a response; the rest is ignored.
 const maxResponseBytes = 64 << 20
 
-// Append appends one record.
+// Append appends a record and returns its offset.
 func (c *Client) Append(ctx context.Context, data []byte) (uint64, error) {
 	var out struct {
 		Offset uint64 `json:"offset"`
@@ -96,7 +96,7 @@
 	return out.Offset, err
 }
 
-// Read reads up to limit records.
+// Read reads up to limit records from an offset.
 func (c *Client) Read(ctx context.Context, from uint64, limit int) (Batch, error) {
 	q := url.Values{"from": {fmt.Sprint(from)}, "limit": {fmt.Sprint(limit)}}
 	var b Batch
@@ -104,7 +104,7 @@
 	return b, err
 }
 
-// VMs reads the list.
+// VMs returns the list of VMs.
 func (c *Client) VMs(ctx context.Context) ([]VMStatus, error) {
 	var list []VMStatus
 	err := c.call(ctx, http.MethodGet, "/vms", nil, &list)
