--- a/load/baseline.go
+++ b/load/baseline.go
@@ -8,8 +8,8 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// baseline sends each request at once, without tiers, claims or a queue. It
-// takes the endpoints in turn, or the one whose last report shows least load.
+// baseline dispatches each request immediately, without tiers, claims or a queue.
+// It picks endpoints round-robin or by the lowest load in their last reports.
 type baseline struct {
 	s            *sim
 	leastLoaded  bool
--- a/load/current.go
+++ b/load/current.go
@@ -12,16 +12,17 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// corePolicy is the product's policy: a core for each VM, with a network between.
+// corePolicy is the product's policy: one core.Node per VM, connected by a
+// simulated network.
 type corePolicy struct {
 	s           *sim
 	nodes       []*core.Node
 	down        []bool
 	partitioned bool
-	// arrivals maps a VM's arrivals to requests.
+	// arrivals and runs map handles to requests and runs, by VM.
 	arrivals []map[uint64]*arrival
 	runs     []map[uint64]*run
-	// attachments are attachments to a run that has not ended.
+	// attachments holds the attachments to runs that have not ended, by stream.
 	attachments map[string][]attachment
 	lastHandle  uint64
 	logRecords  []*schema.LogRecord
@@ -57,7 +58,7 @@
 	return c
 }
 
-// append puts a record on the log, which every VM reads soon after.
+// append adds a record to the log. All VMs read it after the network delay.
 func (c *corePolicy) append(rec *schema.LogRecord) {
 	offset := uint64(len(c.logRecords))
 	c.logRecords = append(c.logRecords, rec)
@@ -68,7 +69,7 @@
 	})
 }
 
-// scenarioDocument is the scenario's endpoints as a configuration.
+// scenarioDocument returns a configuration with the scenario's request kinds and endpoints.
 func scenarioDocument(sc *Scenario) *schema.Document {
 	d := &schema.Document{SchemaVersion: 1, Author: "load", RecordTtl: "15m"}
 	for i := range 4 {
--- a/load/report.go
+++ b/load/report.go
@@ -18,7 +18,9 @@
 	LeastReported = "least-reported"
 )
 
-// TierReport is what became of one tier's requests.
+// TierReport counts the outcomes of one tier's requests. Bound is an upper bound
+// on the requests that any policy could answer in time, Goodput the share of it
+// that was reached.
 type TierReport struct {
 	Tier        int
 	Offered     int
@@ -36,32 +38,33 @@
 	slotDemands []float64
 }
 
-// Report is one run of a scenario under a policy.
+// Report is the result of one run of a scenario under a policy.
 type Report struct {
 	Scenario string
 	Policy   string
 	Seed     uint64
 	Tiers    []*TierReport
-	// Prompt tokens paid for; discarded with an answer that was of no use; read
-	// again though an engine had read them before.
+	// PrefillPaid counts the prompt tokens that were prefilled, WastedDiscarded
+	// those of requests that were not answered in time, and WastedRepeated those in
+	// blocks that an engine had prefilled before.
 	PrefillPaid     int
 	WastedDiscarded int
 	WastedRepeated  int
 	Price           float64
-	// Messages between VMs.
+	// Messages counts the messages between VMs.
 	Messages int
-	// Twice counts requests that were dispatched more than once.
+	// Twice counts the requests that were dispatched more than once.
 	Twice      int
 	Dispatches map[string]int `json:"-"`
 }
 
-// UnknownPolicyError names a policy that does not exist.
+// UnknownPolicyError is returned for a policy that does not exist.
 type UnknownPolicyError struct{ Name string }
 
 // Error describes the failure.
-func (e *UnknownPolicyError) Error() string { return "no policy " + e.Name }
+func (e *UnknownPolicyError) Error() string { return "unknown policy " + e.Name }
 
-// Run plays a scenario under a policy.
+// Run simulates a scenario under a policy.
 func Run(name, policy string, seed uint64) (*Report, error) {
 	sc, err := Find(name)
 	if err != nil {
@@ -131,9 +134,10 @@
 	}
 }
 
-// computeBounds works out what no policy can exceed: requests that the fastest engine
-// alone could do in time, as far as the slots of all engines reach, the
-// smallest first and higher tiers before lower ones.
+// computeBounds computes an upper bound for every policy: the number of requests
+// that the fastest engine could finish in time if it ran nothing else, until the
+// output capacity of the slots of all engines is used up. Higher tiers are counted
+// before lower ones and, within a tier, small requests first.
 func (s *sim) computeBounds() {
 	fastest := s.engineKinds[len(s.engineKinds)-1].cfg
 	var capacity float64
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -1,6 +1,6 @@
-// Package load measures policies: it runs the pure core, or a baseline, against
-// the engine model in virtual time and reports goodput by tier and wasted
-// prefill. The same seed gives the same bytes.
+// Package load compares scheduling policies: it runs the core or a baseline
+// against the engine model in virtual time and reports goodput by tier and wasted
+// prefill. Runs with the same seed produce identical output.
 package load
 
 import (
@@ -21,13 +21,14 @@
 	name  string
 	tier  request.Tier
 	share float64
-	// Lengths in tokens; the prompt is drawn between both, most of them short.
+	// Lengths in tokens. Prompt lengths are drawn between minPrompt and maxPrompt,
+	// most of them short.
 	minPrompt, maxPrompt, output int
 	deadline, firstTokenTarget   time.Duration
 	plain, nonIdempotent         bool
-	// sharedPrefix is the part of the prompt that other requests begin with too.
+	// sharedPrefix is the fraction of the prompt that is a prefix shared with other requests.
 	sharedPrefix float64
-	// prefixCount is how many different beginnings there are.
+	// prefixCount is the number of different prefixes.
 	prefixCount int
 }
 
@@ -35,18 +36,18 @@
 type engineKind struct {
 	count int
 	cfg   engine.Config
-	// Prices per million tokens.
+	// Prices are per million tokens.
 	prefillPrice, outputPrice float64
 }
 
-// Scenario is a workload with its failures.
+// Scenario is a workload with injected faults.
 type Scenario struct {
 	Name      string
-	domains   []string // of the VMs
+	domains   []string // failure domains of the VMs
 	engines   []engineKind
 	kinds     []kind
-	orgShares []float64 // shares of the organisations
-	// rate is requests a second.
+	orgShares []float64 // shares of the organisations in the requests
+	// rate is in requests per second.
 	rate         float64
 	duration     time.Duration
 	netDelay     time.Duration
@@ -58,17 +59,17 @@
 	partition    bool
 }
 
-// Variants of each workload.
+// Variants are the variants of each workload. The empty one is the workload without changes.
 var Variants = []string{"", "burst", "overload", "straggler", "stale", "vm-killed", "partition"}
 
-// Workloads are the users'.
+// Workloads are the names of the workloads, modelled on those of users.
 var Workloads = []string{"karrawong", "atelier"}
 
-// UnknownScenarioError names a scenario that does not exist.
+// UnknownScenarioError is returned for a scenario that does not exist.
 type UnknownScenarioError struct{ Name string }
 
 // Error describes the failure.
-func (e *UnknownScenarioError) Error() string { return "no scenario " + e.Name }
+func (e *UnknownScenarioError) Error() string { return "unknown scenario " + e.Name }
 
 // Find returns a scenario by name, such as "atelier" or "karrawong-burst".
 func Find(name string) (*Scenario, error) {
@@ -95,8 +96,8 @@
 	return s, nil
 }
 
-// Engines of four generations: speeds and prices differ, and the older ones are
-// cheaper by the token.
+// generation returns count engines of generation n, 0 to 3. Newer generations are
+// faster; older ones are cheaper per token.
 func generation(n, count int) engineKind {
 	speed := []float64{1, 1.6, 2.5, 4}[n]
 	price := []float64{0.5, 0.7, 1, 1.5}[n]
@@ -145,7 +146,7 @@
 	kind *kind
 	org  string
 	vm   int
-	// spec without times.
+	// prompt and output are lengths in tokens.
 	prompt, output int
 	blockHashes    []uint64
 	prefixID       int
@@ -154,12 +155,12 @@
 const (
 	burstFrom, burstTo = 20 * time.Second, 28 * time.Second
 	burstFactor        = 3
-	// An overload lasts longer than any deadline but the most patient.
+	// The overload lasts longer than all but the longest deadlines.
 	overloadFrom, overloadTo = 10 * time.Second, 50 * time.Second
 	overloadFactor           = 4
 )
 
-// drawArrivals draws the workload from a seed.
+// drawArrivals generates the requests of the workload.
 func (s *Scenario) drawArrivals(rng *rand.Rand) []*arrival {
 	var list []*arrival
 	for at := time.Duration(0); at < s.duration; {
@@ -204,7 +205,8 @@
 	return a
 }
 
-// promptBlockHashes are the hashes of a prompt that shares its beginning with its source.
+// promptBlockHashes returns the block hashes of a prompt whose first blocks are those
+// of the shared prefix a.prefixID. The other blocks are unique to request n.
 func promptBlockHashes(k *kind, a *arrival, n int) []uint64 {
 	count := a.prompt / prompt.BlockTokens
 	shared := int(k.sharedPrefix * float64(count))
@@ -221,7 +223,7 @@
 	return list
 }
 
-// spec is the request as a VM admits it.
+// spec returns the request as a VM admits it.
 func (a *arrival) spec(now time.Duration, attempt request.Attempt) request.Spec {
 	k := a.kind
 	s := request.Spec{
@@ -238,7 +240,7 @@
 
 const serviceCount = 4
 
-// endpoints are the engines and services as the scheduler knows them.
+// endpoints returns the engines and services in the form used by the scheduler.
 func (s *Scenario) endpoints() []sched.Endpoint {
 	var list []sched.Endpoint
 	for g, e := range s.engines {
--- a/load/sim.go
+++ b/load/sim.go
@@ -11,39 +11,43 @@
 	"github.com/chivefield/chivefield/request"
 )
 
-// Times of the failures in a scenario.
+// Times and parameters of the faults in a scenario.
 const (
 	faultFrom      = 20 * time.Second
 	faultTo        = 40 * time.Second
 	slowdownFactor = 8
-	// reportLag is the age of load reports, cache events and, if stale, digests.
+	// reportLag is the age of load reports and cache events, staleDigestLag that of
+	// digests in scenarios with stale digests.
 	reportLag      = time.Second
 	staleDigestLag = 3 * time.Second
-	// serviceTime is what a plain service takes.
+	// serviceTime is the time that a plain service takes for a request.
 	serviceTime = 20 * time.Millisecond
-	// retryDelay is when a caller whose connection broke asks another VM.
+	// retryDelay is the time after which a caller whose connection broke retries at another VM.
 	retryDelay = 50 * time.Millisecond
-	// cacheEventLoss is the part of cache events that are lost.
+	// cacheEventLoss is the fraction of cache events that are lost.
 	cacheEventLoss = 0.1
 )
 
-// Policy decides where requests go.
+// Policy decides to which endpoint each request is sent.
 type Policy interface {
-	// Arrive is a request of a caller at a VM, its attempt counted from 1.
+	// Arrive handles a caller's request at a VM. Attempts are counted from 1.
 	Arrive(now time.Duration, vm int, a *arrival, attempt int)
-	// FirstToken and Done are events of a run that the policy dispatched.
+	// FirstToken, Progress and Done handle events of a run that the policy dispatched.
 	FirstToken(now time.Duration, r *run)
 	Progress(now time.Duration, r *run, tokens int)
 	Done(now time.Duration, r *run)
-	// Tick is called at a fixed interval, Cache with cache events.
+	// Tick is called every tickInterval. CacheEvent handles a cache event; gap
+	// means that it was lost.
 	Tick(now time.Duration)
 	CacheEvent(now time.Duration, endpoint string, ev engine.CacheEvent, gap bool)
-	// KillVM ends a VM; Cut parts the VMs of the first domain from the rest.
+	// KillVM stops a VM. SetPartition starts or ends a partition between the VMs of
+	// the first domain and all others.
 	KillVM(now time.Duration, vm int)
 	SetPartition(now time.Duration, on bool)
 }
 
-// run is one dispatch.
+// run is one dispatch of a request. endpoint is the index of its engine, or -1 for
+// a plain service.
 type run struct {
 	a        *arrival
 	vm       int
@@ -55,7 +59,7 @@
 	done     bool
 }
 
-// event is something due at a time; seq keeps the order of equals.
+// event is an action scheduled for a time; seq orders those with the same time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -81,7 +85,7 @@
 	return x
 }
 
-// sim is one run of a scenario under a policy.
+// sim is a discrete-event simulation of a scenario under a policy.
 type sim struct {
 	scenario        *Scenario
 	rng             *rand.Rand
@@ -102,7 +106,7 @@
 	killedVMs       map[int]bool
 }
 
-// result is what became of one request.
+// result is the state and outcome of one request.
 type result struct {
 	a               *arrival
 	attempt         int
@@ -138,7 +142,7 @@
 
 const tickInterval = 10 * time.Millisecond
 
-// run runs the scenario to its end and some time beyond.
+// run runs the scenario and three more minutes for requests that are still in progress.
 func (s *sim) run(list []*arrival) {
 	for _, a := range list {
 		s.results[a.id] = &result{a: a, vm: a.vm}
@@ -158,7 +162,7 @@
 	}
 }
 
-// reportProgress tells how far the streams have come.
+// reportProgress passes the token counts of the active streams to the policy.
 func (s *sim) reportProgress() {
 	for _, stream := range s.activeStreams {
 		r := s.runs[stream]
@@ -170,7 +174,7 @@
 	s.schedule(progressInterval, s.reportProgress)
 }
 
-// progressInterval is the interval of a stream's progress events.
+// progressInterval is the interval between the progress events of a stream.
 const progressInterval = 250 * time.Millisecond
 
 func (s *sim) tick() {
@@ -181,7 +185,7 @@
 func (s *sim) scheduleFaults() {
 	switch {
 	case s.scenario.straggler:
-		// One of the cheapest engines, which get most work, and one of the quickest.
+		// One of the cheapest engines, which get the most requests, and one of the fastest.
 		for _, name := range []string{"e0-0", "e3-0"} {
 			i := s.engineByName[name]
 			s.schedule(faultFrom, func() { s.setSlowdown(i, slowdownFactor) })
@@ -200,7 +204,7 @@
 	s.processEngine(i)
 }
 
-// killVM ends a VM; the callers it had ask the next one again.
+// killVM stops a VM. Its callers retry at the next one.
 func (s *sim) killVM(vm int) {
 	s.killedVMs[vm] = true
 	s.policy.KillVM(s.now, vm)
@@ -211,7 +215,7 @@
 	}
 }
 
-// requestIDs lists the requests that have arrived, by id.
+// requestIDs returns the IDs of all requests of the workload, sorted.
 func (s *sim) requestIDs() []string {
 	var ids []string
 	for id := range s.results {
@@ -231,7 +235,7 @@
 	s.policy.Arrive(s.now, vm, a, r.attempt)
 }
 
-// dispatch sends a run to its endpoint.
+// dispatch sends a run to its endpoint after the network delay.
 func (s *sim) dispatch(r *run) {
 	s.report.Dispatches[r.a.id]++
 	s.runs[r.stream] = r
@@ -246,7 +250,7 @@
 	})
 }
 
-// cancel stops a run at its engine.
+// cancel ends a run and removes it from its engine.
 func (s *sim) cancel(r *run) {
 	r.ended = true
 	if r.endpoint >= 0 {
@@ -255,7 +259,7 @@
 	}
 }
 
-// processEngine passes on an engine's events and asks to be woken for its next one.
+// processEngine handles the due events of an engine and schedules itself for the next one.
 func (s *sim) processEngine(i int) {
 	for _, ev := range s.engines[i].Advance(s.now) {
 		r := s.runs[ev.ID]
@@ -294,8 +298,8 @@
 	}
 }
 
-// recordPrefill counts prompt tokens that an engine read, and those of them that some
-// engine had read before.
+// recordPrefill counts and prices the prompt tokens that an engine prefilled, and counts
+// those in blocks that some engine had prefilled before.
 func (s *sim) recordPrefill(r *run, uncached int) {
 	r.uncached = uncached
 	s.results[r.a.id].prefilledTokens += uncached
@@ -318,7 +322,7 @@
 	}
 }
 
-// recordOutcome is the final outcome that a caller sees.
+// recordOutcome records the final outcome for the caller; later ones are ignored.
 func (s *sim) recordOutcome(a *arrival, o request.Outcome) {
 	r := s.results[a.id]
 	if r.ended {
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -21,14 +21,14 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// Slope is one quantity measured at several sizes.
+// Slope is a quantity measured at several sizes.
 type Slope struct {
 	Name, Size, Unit string
 	Sizes            []float64
 	Values           []float64
 }
 
-// Fit is the least-squares slope and the intercept.
+// Fit returns the slope and the intercept of the least-squares line.
 func (s *Slope) Fit() (slope, intercept float64) {
 	n := float64(len(s.Sizes))
 	var sx, sy, sxx, sxy float64
@@ -40,7 +40,7 @@
 	return slope, (sy - slope*sx) / n
 }
 
-// String gives a row of a table.
+// String returns a row of a Markdown table.
 func (s *Slope) String() string {
 	var cells []string
 	for i, x := range s.Sizes {
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("| %s | %s | %s | %.4g %s | %.4g |", s.Name, s.Size, strings.Join(cells, ", "), slope, s.Unit, intercept)
 }
 
-// network joins cores without delay and counts what one of them sends.
+// network connects cores without delay and counts the messages and bytes they send.
 type network struct {
 	now        time.Duration
 	nodes      []*core.Node
@@ -60,7 +60,8 @@
 	lastHandle uint64
 }
 
-// newNetwork starts VMs of one domain that have joined and serve a configuration.
+// newNetwork starts VMs of one failure domain with a configuration, runs them for two
+// seconds so that they have joined, and resets the counts.
 func newNetwork(vms, endpoints, cell int, noBackup bool) *network {
 	q := &network{}
 	var list []claim.VM
@@ -117,7 +118,7 @@
 	}
 }
 
-// envelopeOverhead is the length prefix of a message in its envelope.
+// envelopeOverhead is the size in bytes of a message's length prefix in its envelope.
 const envelopeOverhead = 3
 
 func (q *network) runFor(d time.Duration) {
@@ -128,7 +129,7 @@
 	}
 }
 
-// sendRequests sends requests at every VM at a rate for a while.
+// sendRequests sends perSecond requests per second to each VM for d.
 func (q *network) sendRequests(perSecond int, d time.Duration) {
 	next := uint64(1)
 	rules := q.nodes[0].Rules()
@@ -150,7 +151,7 @@
 	}
 }
 
-// sizedDocument is a configuration with that many organisations and endpoints.
+// sizedDocument returns a configuration with the given numbers of organisations and endpoints.
 func sizedDocument(orgs, endpoints int) *schema.Document {
 	d := &schema.Document{
 		SchemaVersion: 1, Author: "slopes", RecordTtl: "15m", Tiers: []*schema.Tier{{Name: "t", FirstTokenTarget: "1.8s"}},
@@ -169,7 +170,7 @@
 	return d
 }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the CPU time used by this process, or 0 if it cannot be read.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -200,7 +201,7 @@
 	return out
 }
 
-// cellSlopes: heartbeats and digests of an idle VM against the size of its cell.
+// cellSlopes measures heartbeats and digests of an idle VM by the size of its cell.
 func cellSlopes() []*Slope {
 	msgs := &Slope{Name: "idle VM, messages a second", Size: "VMs in the cell", Unit: "messages/s a VM"}
 	bytes := &Slope{Name: "idle VM, message bytes a second", Size: "VMs in the cell", Unit: "B/s a VM"}
@@ -223,7 +224,7 @@
 	s.Values = append(s.Values, v)
 }
 
-// requestSlopes: claims, backup and updates against the request rate of a VM.
+// requestSlopes measures claims, backups and updates by the request rate of a VM.
 func requestSlopes(noBackup bool) []*Slope {
 	backup := "with backup"
 	if noBackup {
@@ -246,7 +247,8 @@
 	return []*Slope{msgs, bytes, times}
 }
 
-// endpointSlopes: digests, decisions and memory against the endpoints a VM uses.
+// endpointSlopes measures decisions, memory and digests by the number of endpoints
+// that a VM uses.
 func endpointSlopes() []*Slope {
 	decision := &Slope{Name: "one decision", Size: "endpoints a VM uses", Unit: "µs an endpoint"}
 	memory := &Slope{Name: "memory of endpoints", Size: "endpoints a VM uses", Unit: "B an endpoint"}
@@ -285,7 +287,7 @@
 	return list
 }
 
-// recordSlope: memory of a holder against the claims it has on record.
+// recordSlope measures the memory of a claim holder by the number of its records.
 func recordSlope() *Slope {
 	memory := &Slope{Name: "memory of claim records", Size: "records", Unit: "B a record"}
 	for _, n := range []int{10000, 20000, 40000, 80000} {
@@ -309,7 +311,8 @@
 	return memory
 }
 
-// documentSlope: bytes of a document against its organisations or endpoints.
+// documentSlope measures the size of a configuration by the number of its
+// organisations (dimension 0) or endpoints (dimension 1).
 func documentSlope(dimension int) *Slope {
 	s := &Slope{Name: "configuration document", Size: []string{"organisations", "endpoints"}[dimension], Unit: "B each"}
 	for _, n := range []int{500, 1000, 2000, 4000} {
@@ -322,7 +325,8 @@
 	return s
 }
 
-// joinSlope: bytes that one member hands to a new incarnation.
+// joinSlope measures the bytes exchanged when a new incarnation joins a pair of VMs, by
+// the number of records that the pair holds.
 func joinSlope() *Slope {
 	s := &Slope{Name: "handover to a new incarnation of a pair", Size: "records held by the pair", Unit: "B a record"}
 	for _, n := range []int{500, 1000, 2000, 4000} {
@@ -342,7 +346,8 @@
 	return s
 }
 
-// runWithIncarnation is run with another incarnation of one VM.
+// runWithIncarnation runs the network like runFor, with another incarnation of one VM,
+// and counts bytes only.
 func (q *network) runWithIncarnation(vm int, inc uint64, d time.Duration) {
 	var queue []core.Send
 	senders := map[*schema.Message]int{}
@@ -372,7 +377,7 @@
 	}
 }
 
-// countingConn counts the bytes of a connection both ways.
+// countingConn counts the bytes of a connection in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -392,7 +397,7 @@
 	return n, err
 }
 
-// echoService answers each envelope with as many messages.
+// echoService returns each envelope unchanged.
 type echoService struct{}
 
 // Exchange implements schema.PeerService.
@@ -400,8 +405,8 @@
 	return e, nil
 }
 
-// callSlopes: bytes and processor time of one call between VMs, both sides,
-// against the messages it carries each way.
+// callSlopes measures bytes and CPU time of one call between VMs, for both sides
+// together, by the number of messages it carries each way.
 func callSlopes() []*Slope {
 	bytes := &Slope{Name: "one call over loopback, bytes both ways", Size: "messages each way", Unit: "B a message"}
 	times := &Slope{Name: "one call over loopback, processor time of both sides", Size: "messages each way", Unit: "µs a message"}
@@ -442,8 +447,8 @@
 	return []*Slope{bytes, times}
 }
 
-// MeasureCheck is how long a document of the target size takes to be judged and
-// compiled.
+// MeasureCheck measures how long it takes to check and compile a document of the
+// given size. It also returns the encoded size in bytes.
 func MeasureCheck(orgs, endpoints int) (time.Duration, int) {
 	d := sizedDocument(orgs, endpoints)
 	start := time.Now()
