--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,6 +1,6 @@
 // Package standin implements small in-memory stand-ins for the external systems:
 // the platform's log and VM list, an inference engine and a plain service. They
-// are run by tests, the demo and the load tool.
+// are run by tests, the demo and the standin command.
 package standin
 
 import (
