--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -106,7 +106,7 @@
 		requests: make(map[uint64]*callerRequest), verdicts: newVerdictWaiters(), drained: make(chan struct{}), declaredDead: make(chan struct{}),
 	}
 	d.endpoints = &endpoint.Client{HTTP: d.newHTTPClient(maxIdlePerEndpoint), ResumeInterval: resumeInterval, MaxResumes: maxResumeAttempts}
-	d.platform = &logservice.Client{Base: "http://" + d.settings.Platform.Address, HTTP: d.newHTTPClient(maxIdlePerPeer)}
+	d.platform = &logservice.Client{BaseURL: "http://" + d.settings.Platform.Address, HTTP: d.newHTTPClient(maxIdlePerPeer)}
 	d.watchHTTP = d.newCountingHTTPClient()
 	d.exchangeHTTP = d.newCountingHTTPClient()
 	var h2 http.Protocols
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -220,7 +220,7 @@
 		_ = json.Unmarshal([]byte(body), &e)
 		is.Equal(c.name+fmt.Sprint(status)+e.Error.Code, c.name+fmt.Sprint(c.status)+c.code)
 	}
-	is.Equal(len(v.engine.Ran()), 0) // no request reached the engine
+	is.Equal(len(v.engine.RunCounts()), 0) // no request reached the engine
 }
 
 // TestOrganisationsIsolated checks that an organisation that guesses another's
@@ -235,14 +235,14 @@
 	again := map[string]string{HeaderID: "same", HeaderAttempt: "2"}
 	status, theirs := v.do(v.callers, "POST", completions, otherAPIKey, again, goodBody)
 	is.Equal(status, 200)
-	is.True(mine != theirs)          // each organisation has its own response
-	is.Equal(len(v.engine.Ran()), 2) // one run for each organisation
+	is.True(mine != theirs)                // each organisation has its own response
+	is.Equal(len(v.engine.RunCounts()), 2) // one run for each organisation
 	status, repeated := v.do(v.callers, "POST", completions, testAPIKey, again, goodBody)
 	is.Equal(status, 200)
 	is.Equal(repeated, mine)
 	status, _ = v.do(v.callers, "POST", completions, testAPIKey, again, `{"model":"m","prompt":"changed","max_tokens":3}`)
 	is.Equal(status, 422) // the same id with another body
-	is.Equal(len(v.engine.Ran()), 2)
+	is.Equal(len(v.engine.RunCounts()), 2)
 }
 
 // TestDrainEndsProcess guards against a process that serves nothing and never
--- a/e2e/deployment_test.go
+++ b/e2e/deployment_test.go
@@ -80,7 +80,7 @@
 	relays   map[[2]int]*relay
 
 	mu            sync.Mutex
-	seen          []history.Seen
+	seen          []history.Observation
 	nonIdempotent map[string]bool // keys of requests that are not idempotent
 }
 
@@ -313,9 +313,9 @@
 }
 
 // send sends a request to a VM and records what the caller received.
-func (d *deployment) send(v *vm, s callerRequest) history.Seen {
+func (d *deployment) send(v *vm, s callerRequest) history.Observation {
 	key := "karrawong/" + s.id
-	seen := history.Seen{Key: key, Attempt: s.attempt, Want: standin.Answer(key, s.tokens)}
+	seen := history.Observation{Key: key, Attempt: s.attempt, Want: standin.ResponseText(key, s.tokens)}
 	path := "/v1/completions"
 	body := fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":%d,"stream":%t}`, s.prompt+s.id, s.tokens, s.stream)
 	if s.kind == "invoice" {
@@ -333,7 +333,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		seen.Broken = true
+		seen.ConnectionLost = true
 	} else {
 		readResponse(resp, &seen, s)
 	}
@@ -344,18 +344,18 @@
 	return seen
 }
 
-func readResponse(resp *http.Response, seen *history.Seen, s callerRequest) {
+func readResponse(resp *http.Response, seen *history.Observation, s callerRequest) {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		var out struct{ Outcome request.Outcome }
 		_ = json.Unmarshal(body, &out)
 		seen.Outcome = out.Outcome
-		seen.Broken = err != nil || out.Outcome == ""
+		seen.ConnectionLost = err != nil || out.Outcome == ""
 		return
 	}
 	if err != nil {
-		seen.Broken = true
+		seen.ConnectionLost = true
 		return
 	}
 	seen.Outcome = request.Answered
@@ -390,7 +390,7 @@
 // verify checks everything that the callers received against the guarantees.
 func (d *deployment) verify(mustFinish bool) {
 	d.t.Helper()
-	h := history.History{Seen: d.seen, Ran: d.runCounts(), NonIdempotent: d.nonIdempotent, MustFinish: mustFinish}
+	h := history.History{Observations: d.seen, RunCounts: d.runCounts(), NonIdempotent: d.nonIdempotent, RequireGraceful: mustFinish}
 	for _, b := range h.Check() {
 		d.t.Error(b)
 	}
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -21,8 +21,8 @@
 
 // sendUntilAnswered sends a request and retries it, each time at the next VM,
 // until it is answered or cancelled, as a careful caller would.
-func (d *deployment) sendUntilAnswered(vms []*vm, first int, s callerRequest) history.Seen {
-	var seen history.Seen
+func (d *deployment) sendUntilAnswered(vms []*vm, first int, s callerRequest) history.Observation {
+	var seen history.Observation
 	firstAttempt := s.attempt
 	for i := range maxAttempts {
 		if firstAttempt > 0 {
@@ -39,9 +39,9 @@
 
 // sendConcurrently sends count requests at once and waits for all of them. It
 // calls fault while they are in progress.
-func (d *deployment) sendConcurrently(vms []*vm, count int, request func(i int) callerRequest, fault func()) []history.Seen {
+func (d *deployment) sendConcurrently(vms []*vm, count int, request func(i int) callerRequest, fault func()) []history.Observation {
 	var wg sync.WaitGroup
-	last := make([]history.Seen, count)
+	last := make([]history.Observation, count)
 	for i := range count {
 		wg.Go(func() { last[i] = d.sendUntilAnswered(vms, i, request(i)) })
 	}
@@ -131,7 +131,7 @@
 	d.waitForRuns(10)
 	v.signal(syscall.SIGKILL)
 	wg.Wait()
-	h := history.History{Seen: d.seen, Ran: d.runCounts(), MustFinish: true}
+	h := history.History{Observations: d.seen, RunCounts: d.runCounts(), RequireGraceful: true}
 	if len(h.Check()) == 0 {
 		t.Fatal("the checker passed callers that were cut off")
 	}
@@ -146,7 +146,7 @@
 	for _, e := range d.engines {
 		d.setFaults(e, standin.EngineFaults{CutAfter: 20})
 	}
-	d.setFaults(d.service, standin.ServiceFaults{LoseAnswers: true})
+	d.setFaults(d.service, standin.ServiceFaults{LoseResponses: true})
 	go func() {
 		d.waitForRuns(1)
 		for _, e := range d.engines {
@@ -246,7 +246,7 @@
 func TestConfigurationRace(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, "a", "a", "b", "b")
-	d.setFaults(d.platform, standin.PlatformFaults{LoseAnswers: true})
+	d.setFaults(d.platform, standin.PlatformFaults{LoseResponses: true})
 	_, before := d.callOperator(d.vms[0], http.MethodGet, "/status", "")
 	base := versionOf(before)
 	var wg sync.WaitGroup
--- a/load/report.go
+++ b/load/report.go
@@ -18,7 +18,9 @@
 	LeastReported = "least-reported"
 )
 
-// TierReport is what became of one tier's requests.
+// TierReport counts the outcomes of one tier's requests. Bound is an upper bound
+// on the requests that any policy could answer in time, Goodput the share of it
+// that was reached.
 type TierReport struct {
 	Tier        int
 	Offered     int
@@ -36,32 +38,33 @@
 	slotDemands []float64
 }
 
-// Report is one run of a scenario under a policy.
+// Report is the result of one run of a scenario under a policy.
 type Report struct {
 	Scenario string
 	Policy   string
 	Seed     uint64
 	Tiers    []*TierReport
-	// Prompt tokens paid for; discarded with an answer that was of no use; read
-	// again though an engine had read them before.
+	// PrefillPaid counts the prompt tokens that were prefilled, WastedDiscarded
+	// those of requests that were not answered in time, and WastedRepeated those in
+	// blocks that an engine had prefilled before.
 	PrefillPaid     int
 	WastedDiscarded int
 	WastedRepeated  int
 	Price           float64
-	// Messages between VMs.
+	// Messages counts the messages between VMs.
 	Messages int
-	// Twice counts requests that were dispatched more than once.
+	// Twice counts the requests that were dispatched more than once.
 	Twice      int
 	Dispatches map[string]int `json:"-"`
 }
 
-// UnknownPolicyError names a policy that does not exist.
+// UnknownPolicyError is returned for a policy that does not exist.
 type UnknownPolicyError struct{ Name string }
 
 // Error describes the failure.
-func (e *UnknownPolicyError) Error() string { return "no policy " + e.Name }
+func (e *UnknownPolicyError) Error() string { return "unknown policy " + e.Name }
 
-// Run plays a scenario under a policy.
+// Run simulates a scenario under a policy.
 func Run(name, policy string, seed uint64) (*Report, error) {
 	sc, err := Find(name)
 	if err != nil {
@@ -69,41 +72,41 @@
 	}
 	s := newSim(sc, seed)
 	s.report = &Report{Scenario: name, Policy: policy, Seed: seed, Dispatches: map[string]int{}}
-	for i := range tiers {
+	for i := range tierCount {
 		s.report.Tiers = append(s.report.Tiers, &TierReport{Tier: i, histogram: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)})
 	}
 	switch policy {
 	case Current:
-		s.policy = newCurrent(s)
+		s.policy = newCorePolicy(s)
 	case RoundRobin, LeastReported:
 		s.policy = newBaseline(s, policy == LeastReported)
 	default:
 		return nil, &UnknownPolicyError{Name: policy}
 	}
-	s.play(sc.arrivals(rand.New(rand.NewPCG(seed, 2))))
+	s.run(sc.drawArrivals(rand.New(rand.NewPCG(seed, 2))))
 	s.summarise()
 	return s.report, nil
 }
 
-const tiers = 3
+const tierCount = 3
 
-func (r *Report) firstToken(t request.Tier, d time.Duration) {
+func (r *Report) recordFirstToken(t request.Tier, d time.Duration) {
 	_ = r.Tiers[t].histogram.RecordValue(int64(d / time.Microsecond))
 }
 
 func (s *sim) summarise() {
-	for _, id := range s.order() {
+	for _, id := range s.requestIDs() {
 		r := s.results[id]
 		t := s.report.Tiers[r.a.kind.tier]
 		t.add(r)
 		if !r.inTime {
-			s.report.WastedDiscarded += r.paid
+			s.report.WastedDiscarded += r.prefilledTokens
 		}
 		if s.report.Dispatches[id] > 1 {
 			s.report.Twice++
 		}
 	}
-	s.bounds()
+	s.computeBounds()
 	for _, t := range s.report.Tiers {
 		t.FirstP50 = time.Duration(t.histogram.ValueAtQuantile(50)) * time.Microsecond
 		t.FirstP95 = time.Duration(t.histogram.ValueAtQuantile(95)) * time.Microsecond
@@ -131,20 +134,21 @@
 	}
 }
 
-// bounds works out what no policy can exceed: requests that the fastest engine
-// alone could do in time, as far as the slots of all engines reach, the
-// smallest first and higher tiers before lower ones.
-func (s *sim) bounds() {
-	best := s.kinds[len(s.kinds)-1].cfg
+// computeBounds computes an upper bound for every policy: the number of requests
+// that the fastest engine could finish in time if it ran nothing else, until the
+// output capacity of the slots of all engines is used up. Higher tiers are counted
+// before lower ones and, within a tier, small requests first.
+func (s *sim) computeBounds() {
+	fastest := s.engineKinds[len(s.engineKinds)-1].cfg
 	var capacity float64
-	for _, k := range s.kinds {
-		capacity += float64(k.cfg.Slots) * k.cfg.OutputSpeed * s.sc.length.Seconds()
+	for _, k := range s.engineKinds {
+		capacity += float64(k.cfg.Slots) * k.cfg.OutputSpeed * s.scenario.duration.Seconds()
 	}
-	for _, id := range s.order() {
+	for _, id := range s.requestIDs() {
 		a := s.results[id].a
 		t := s.report.Tiers[a.kind.tier]
-		alone := time.Duration(float64(a.output) / best.OutputSpeed * float64(time.Second))
-		if a.kind.plain || alone <= a.kind.deadline {
+		minDuration := time.Duration(float64(a.output) / fastest.OutputSpeed * float64(time.Second))
+		if a.kind.plain || minDuration <= a.kind.deadline {
 			t.slotDemands = append(t.slotDemands, float64(a.output))
 		}
 	}
