--- a/claim/duplicates.go
+++ b/claim/duplicates.go
@@ -93,39 +93,39 @@
 		}
 		if len(p.dirty) == 0 && len(p.inFlight) == 0 && !p.syncSent {
 			p.syncSent = true
-			f := &copyBatch{syncDone: true}
-			p.inFlight = append(p.inFlight, f)
-			n.transmitBatch(p, f)
+			batch := &copyBatch{syncDone: true}
+			p.inFlight = append(p.inFlight, batch)
+			n.transmitBatch(p, batch)
 		}
 	}
 }
 
 func (n *Node) sendCopies(p *peer, keys []request.Key) {
-	f := &copyBatch{}
+	batch := &copyBatch{}
 	for _, key := range keys {
 		if r := n.records[key]; r != nil {
-			f.copies = append(f.copies, recordVersion{key: key, version: r.version})
+			batch.copies = append(batch.copies, recordVersion{key: key, version: r.version})
 		}
 	}
-	p.inFlight = append(p.inFlight, f)
-	n.transmitBatch(p, f)
+	p.inFlight = append(p.inFlight, batch)
+	n.transmitBatch(p, batch)
 }
 
 // transmitBatch sends the newest versions under a new sequence number, so that
 // a late ack of an earlier transmission cannot confirm a version it did not
 // carry.
-func (n *Node) transmitBatch(p *peer, f *copyBatch) {
+func (n *Node) transmitBatch(p *peer, batch *copyBatch) {
 	p.dupSeq++
-	f.seq = p.dupSeq
-	f.sentAt = n.now
-	d := &schema.Duplicate{Seq: f.seq, Epoch: p.epoch, SyncDone: f.syncDone}
-	for i := range f.copies {
-		if r := n.records[f.copies[i].key]; r != nil {
-			f.copies[i].version = r.version
+	batch.seq = p.dupSeq
+	batch.sentAt = n.now
+	d := &schema.Duplicate{Seq: batch.seq, Epoch: p.epoch, SyncDone: batch.syncDone}
+	for i := range batch.copies {
+		if r := n.records[batch.copies[i].key]; r != nil {
+			batch.copies[i].version = r.version
 			d.Records = append(d.Records, n.recordToWire(r))
 		}
 	}
-	if f.syncDone {
+	if batch.syncDone {
 		d.Roster = n.rosterHash()
 		d.Lost = n.lostList()
 	}
@@ -137,9 +137,9 @@
 		return
 	}
 	for _, p := range n.peers {
-		for _, f := range p.inFlight {
-			if n.now >= f.sentAt+n.cfg.Retry {
-				n.transmitBatch(p, f)
+		for _, batch := range p.inFlight {
+			if n.now >= batch.sentAt+n.cfg.Retry {
+				n.transmitBatch(p, batch)
 			}
 		}
 	}
@@ -196,20 +196,20 @@
 		p.orphans = nil
 		return
 	}
-	for i, f := range p.inFlight {
-		if f.seq == m.Seq {
+	for i, batch := range p.inFlight {
+		if batch.seq == m.Seq {
 			p.inFlight = append(p.inFlight[:i:i], p.inFlight[i+1:]...)
 			if len(p.dirty) > 0 || !p.syncSent {
 				p.flushAt = min(p.flushAt, n.now)
 			}
-			n.markCopied(p, f)
+			n.markCopied(p, batch)
 			return
 		}
 	}
 }
 
-func (n *Node) markCopied(p *peer, f *copyBatch) {
-	for _, c := range f.copies {
+func (n *Node) markCopied(p *peer, batch *copyBatch) {
+	for _, c := range batch.copies {
 		r := n.records[c.key]
 		if r == nil {
 			continue
--- a/claim/updates.go
+++ b/claim/updates.go
@@ -24,8 +24,8 @@
 // not dispatched and will not be.
 func (n *Node) Abandon(now time.Duration, id uint64) {
 	n.now = now
-	if f := n.acquisitions[id]; f != nil {
-		n.discard(f)
+	if acq := n.acquisitions[id]; acq != nil {
+		n.discard(acq)
 	}
 	n.handleLoopback()
 }
@@ -36,8 +36,8 @@
 // RecordEnd records how a dispatched request ended.
 func (n *Node) RecordEnd(now time.Duration, id uint64, state schema.RecordState) {
 	n.now = now
-	if f := n.acquisitions[id]; f != nil {
-		n.sendUpdate(f, &schema.Update{State: state})
+	if acq := n.acquisitions[id]; acq != nil {
+		n.sendUpdate(acq, &schema.Update{State: state})
 		delete(n.acquisitions, id)
 	}
 	n.handleLoopback()
