--- a/cmd/chivefield/main.go
+++ b/cmd/chivefield/main.go
@@ -17,7 +17,7 @@
 	Check   checkCommand   `command:"check" description:"Check settings or a configuration document" long-description:"Reports every fault with its location. Exits with status 1 if there is one."`
 	Status  statusCommand  `command:"status" description:"Show a daemon's state"`
 	Drain   drainCommand   `command:"drain" description:"Start the graceful shutdown of a daemon"`
-	Config  configCommand  `command:"config" description:"Submit or show the configuration in force"`
+	Config  configCommand  `command:"config" description:"Submit a configuration or show the current one"`
 	Audit   auditCommand   `command:"audit" description:"List every configuration change on the log, with its verdict"`
 	Explain explainCommand `command:"explain" description:"Show the events of one request from the logs of all VMs"`
 	Report  reportCommand  `command:"report" description:"Summarise an incident from the logs of all VMs" long-description:"Prints the outcomes of requests by route, the worst time steps with their likely cause, and the endpoints that failed."`
--- a/cmd/chivefield/operate.go
+++ b/cmd/chivefield/operate.go
@@ -29,7 +29,7 @@
 	Body   string
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
 const callTimeout = 15 * time.Second
@@ -83,7 +83,7 @@
 
 type configCommand struct {
 	Submit submitCommand `command:"submit" description:"Submit a document (TOML); prints accepted, refused or unknown"`
-	Show   showCommand   `command:"show" description:"Print the configuration in force at a VM"`
+	Show   showCommand   `command:"show" description:"Print the current configuration of a VM"`
 }
 
 type submitCommand struct {
@@ -130,7 +130,7 @@
 // UnknownCheckError reports that the first argument of check is neither settings nor config.
 type UnknownCheckError struct{ Name string }
 
-// Error describes the failure.
+// Error implements error.
 func (e *UnknownCheckError) Error() string { return "expected settings or config, got " + e.Name }
 
 func check(what string, data []byte) error {
--- a/config/statemachine.go
+++ b/config/statemachine.go
@@ -182,7 +182,7 @@
 // the current version.
 func (m *StateMachine) judgeDocument(d *schema.Document) (Judgement, []Fault) {
 	if d.BaseVersion != m.replayed.Version {
-		return StaleBase, []Fault{{Path: "base_version", Problem: fmt.Sprintf("is %d, in force is %d", d.BaseVersion, m.replayed.Version)}}
+		return StaleBase, []Fault{{Path: "base_version", Problem: fmt.Sprintf("is %d, but the current version is %d", d.BaseVersion, m.replayed.Version)}}
 	}
 	if faults := append(Check(d), changedClaimModes(m.replayed.Document, d)...); len(faults) > 0 {
 		return Invalid, faults
