--- a/claim/search_test.go
+++ b/claim/search_test.go
@@ -282,11 +282,11 @@
 func (w *world) send(t *rapid.T, id uint32, key int, undeclared bool, intent Intent) {
 	k := w.keys[key]
 	k.attempts++
-	attempt, repeat := k.attempts, k.attempts > 1
+	attempt, mayBeRetry := k.attempts, k.attempts > 1
 	if undeclared && k.attempts > 1 {
 		attempt = 0
 	}
-	if !repeat {
+	if !mayBeRetry {
 		intent = Run
 	}
 	w.nextID++
@@ -294,7 +294,7 @@
 	w.acquisitions[w.nextID] = acquisitionRef{key: key, attempt: k.attempts, vm: id, inc: w.state[id].inc}
 	w.state[id].node.Acquire(w.now, w.nextID, Request{
 		Intent: intent, Key: request.Key{Organisation: "org", ID: fmt.Sprint("k", key)}, Digest: 1,
-		Attempt: request.Attempt(attempt), MayBeRetry: repeat, Arrived: w.now, Endpoint: "e", Stream: fmt.Sprint("s", w.nextID),
+		Attempt: request.Attempt(attempt), MayBeRetry: mayBeRetry, Arrived: w.now, Endpoint: "e", Stream: fmt.Sprint("s", w.nextID),
 	})
 	w.collect(t, id)
 }
@@ -349,16 +349,16 @@
 			}
 		},
 		"gone": func(t *rapid.T) {
-			gone, at := pickVM(t), pickVM(t)
-			if s := w.state[at]; gone != at && s.up && !s.frozen && !w.state[gone].up {
-				s.node.PeerRemoved(w.now, gone)
+			peer, at := pickVM(t), pickVM(t)
+			if s := w.state[at]; peer != at && s.up && !s.frozen && !w.state[peer].up {
+				s.node.PeerRemoved(w.now, peer)
 				w.collect(t, at)
 			}
 		},
 		"refused": func(t *rapid.T) {
-			away, at := pickVM(t), pickVM(t)
-			if s := w.state[at]; s.up && !s.frozen && !w.state[away].up && !w.isPartitioned(away, at) {
-				s.node.PeerNotListening(w.now, away, s.node.Incarnation(away))
+			peer, at := pickVM(t), pickVM(t)
+			if s := w.state[at]; s.up && !s.frozen && !w.state[peer].up && !w.isPartitioned(peer, at) {
+				s.node.PeerNotListening(w.now, peer, s.node.Incarnation(peer))
 				w.collect(t, at)
 			}
 		},
