--- a/explain/explain.go
+++ b/explain/explain.go
@@ -39,7 +39,7 @@
 // ReadError reports a log that could not be read.
 type ReadError struct{ Err error }
 
-// Error describes the failure.
+// Error implements error.
 func (e *ReadError) Error() string { return "cannot read the log: " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/load/report.go
+++ b/load/report.go
@@ -61,7 +61,7 @@
 // UnknownPolicyError is returned for a policy that does not exist.
 type UnknownPolicyError struct{ Name string }
 
-// Error describes the failure.
+// Error implements error.
 func (e *UnknownPolicyError) Error() string { return "unknown policy " + e.Name }
 
 // Run simulates a scenario under a policy.
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -68,7 +68,7 @@
 // UnknownScenarioError is returned for a scenario that does not exist.
 type UnknownScenarioError struct{ Name string }
 
-// Error describes the failure.
+// Error implements error.
 func (e *UnknownScenarioError) Error() string { return "unknown scenario " + e.Name }
 
 // Find returns a scenario by name, such as "atelier" or "karrawong-burst".
--- a/logservice/logservice.go
+++ b/logservice/logservice.go
@@ -62,7 +62,7 @@
 	Err    error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *CallError) Error() string {
 	if e.Err != nil {
 		return "platform " + e.Call + ": " + e.Err.Error()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -77,7 +77,7 @@
 // EarlyResponseError reports a response that arrived before its request was written.
 type EarlyResponseError struct{}
 
-// Error describes the failure.
+// Error implements error.
 func (e *EarlyResponseError) Error() string { return "response arrived before the request was written" }
 
 // Request is a request that is sent unchanged.
