--- a/history/deployment.go
+++ b/history/deployment.go
@@ -157,8 +157,8 @@
 	return m
 }
 
-func (c *deploymentCheck) addViolation(p Invariant, key, format string, args ...any) {
-	c.violations = append(c.violations, Violation{p, key, fmt.Sprintf(format, args...)})
+func (c *deploymentCheck) addViolation(invariant Invariant, key, format string, args ...any) {
+	c.violations = append(c.violations, Violation{invariant, key, fmt.Sprintf(format, args...)})
 }
 
 // undisturbed reports whether no fault affected a VM or endpoint from SettleTime
@@ -185,44 +185,44 @@
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-func (c *deploymentCheck) checkRequest(s *CallerRequest) {
-	runs := c.runs[s.ID]
-	if s.Fault != "" {
-		c.addViolation(CompleteResponse, s.ID, "%s", s.Fault)
+func (c *deploymentCheck) checkRequest(req *CallerRequest) {
+	runs := c.runs[req.ID]
+	if req.Fault != "" {
+		c.addViolation(CompleteResponse, req.ID, "%s", req.Fault)
 	}
-	if !s.Retryable && len(runs) > 1 {
-		c.addViolation(AtMostOnce, s.ID, "ran at %s and %s", runs[0].Endpoint, runs[1].Endpoint)
+	if !req.Retryable && len(runs) > 1 {
+		c.addViolation(AtMostOnce, req.ID, "ran at %s and %s", runs[0].Endpoint, runs[1].Endpoint)
 	}
-	if !s.Retryable && meansNotExecuted(s.Status) && len(runs) > 0 {
-		c.addViolation(NotExecuted, s.ID, "refused with %d and ran at %s", s.Status, runs[0].Endpoint)
+	if !req.Retryable && meansNotExecuted(req.Status) && len(runs) > 0 {
+		c.addViolation(NotExecuted, req.ID, "refused with %d and ran at %s", req.Status, runs[0].Endpoint)
 	}
-	if s.Status >= 200 && s.Status < 300 && s.Complete && len(runs) == 0 {
-		c.addViolation(CompleteResponse, s.ID, "answered without having run")
+	if req.Status >= 200 && req.Status < 300 && req.Complete && len(runs) == 0 {
+		c.addViolation(CompleteResponse, req.ID, "answered without having run")
 	}
-	if s.Forbidden && len(runs) > 0 {
-		c.addViolation(Unsolicited, s.ID, "ran though its key was never valid")
+	if req.Forbidden && len(runs) > 0 {
+		c.addViolation(Unsolicited, req.ID, "ran though its key was never valid")
 	}
-	if len(c.arrivals[s.ID]) > c.MaxEndpoints {
-		c.addViolation(BoundedRetries, s.ID, "sent to %d endpoints", len(c.arrivals[s.ID]))
+	if len(c.arrivals[req.ID]) > c.MaxEndpoints {
+		c.addViolation(BoundedRetries, req.ID, "sent to %d endpoints", len(c.arrivals[req.ID]))
 	}
 	// A request that crosses the close of an idle connection is never read by the VM.
-	accepted := len(c.arrivals[s.ID]) > 0 || s.To-s.From > c.CloseRaceWithin
-	if !s.Complete && !s.Disconnected && accepted && c.noUnplannedFaults(s.Span) {
-		c.addViolation(GracefulShutdown, s.ID, "connection to %s lost with status %d after %v", s.VM, s.Status, s.To-s.From)
+	accepted := len(c.arrivals[req.ID]) > 0 || req.To-req.From > c.CloseRaceWithin
+	if !req.Complete && !req.Disconnected && accepted && c.noUnplannedFaults(req.Span) {
+		c.addViolation(GracefulShutdown, req.ID, "connection to %s lost with status %d after %v", req.VM, req.Status, req.To-req.From)
 	}
-	if duration := s.To - s.From; duration > s.Timeout+c.ResponseSlack && c.undisturbed(s.VM, s.Span) {
-		c.addViolation(RespondsInTime, s.ID, "%s took %v to respond", s.VM, duration)
+	if duration := req.To - req.From; duration > req.Timeout+c.ResponseSlack && c.undisturbed(req.VM, req.Span) {
+		c.addViolation(RespondsInTime, req.ID, "%s took %v to respond", req.VM, duration)
 	}
 }
 
 func (c *deploymentCheck) checkArrival(r *Run) {
-	s := c.byID[r.ID]
-	if s == nil {
+	req := c.byID[r.ID]
+	if req == nil {
 		c.addViolation(Unsolicited, r.ID, "reached %s but was never sent by a caller", r.Endpoint)
 		return
 	}
-	if at, ok := c.LeftAt[r.Endpoint]; ok && r.From > at+c.DrainWithin && c.undisturbed(s.VM, Span{at, r.From}) {
-		c.addViolation(Drained, r.ID, "reached %s from %s %v after the store recorded that it is leaving", r.Endpoint, s.VM, r.From-at)
+	if at, ok := c.LeftAt[r.Endpoint]; ok && r.From > at+c.DrainWithin && c.undisturbed(req.VM, Span{at, r.From}) {
+		c.addViolation(Drained, r.ID, "reached %s from %s %v after the store recorded that it is leaving", r.Endpoint, req.VM, r.From-at)
 	}
 }
 
@@ -230,15 +230,15 @@
 	if r.Fault != "" {
 		c.addViolation(Unsolicited, r.ID, "at %s: %s", r.Endpoint, r.Fault)
 	}
-	s := c.byID[r.ID]
-	if s == nil {
+	req := c.byID[r.ID]
+	if req == nil {
 		return
 	}
-	if r.Service != s.Service {
+	if r.Service != req.Service {
 		c.addViolation(Unsolicited, r.ID, "ran at %s of another service", r.Endpoint)
 	}
-	if s.Disconnected && r.To > s.To+c.StopWithin && c.undisturbed(s.VM, Span{s.From, r.To}) && c.undisturbed(r.Endpoint, Span{s.From, r.To}) {
-		c.addViolation(StopsAfterDisconnect, r.ID, "%s continued for %v after the caller disconnected", r.Endpoint, r.To-s.To)
+	if req.Disconnected && r.To > req.To+c.StopWithin && c.undisturbed(req.VM, Span{req.From, r.To}) && c.undisturbed(r.Endpoint, Span{req.From, r.To}) {
+		c.addViolation(StopsAfterDisconnect, r.ID, "%s continued for %v after the caller disconnected", r.Endpoint, r.To-req.To)
 	}
 }
 
@@ -319,9 +319,9 @@
 func (c *deploymentCheck) requestCount(service string, end time.Duration) float64 {
 	var current, previous int
 	for i := range c.Requests {
-		s := &c.Requests[i]
-		switch age := end - s.From; {
-		case s.Service != service || age < 0:
+		req := &c.Requests[i]
+		switch age := end - req.From; {
+		case req.Service != service || age < 0:
 		case age <= c.RetryWindow:
 			current++
 		case age <= 2*c.RetryWindow:
@@ -347,36 +347,36 @@
 	newest := make(map[vmProcess]servedVersion)
 	probes := make([]*CallerRequest, 0, len(c.Requests))
 	for i := range c.Requests {
-		if s := &c.Requests[i]; s.ProbedVersion > 0 && s.Status != 0 && s.Status != 503 && !s.Disconnected {
-			probes = append(probes, s)
+		if req := &c.Requests[i]; req.ProbedVersion > 0 && req.Status != 0 && req.Status != 503 && !req.Disconnected {
+			probes = append(probes, req)
 		}
 	}
 	slices.SortFunc(probes, func(a, b *CallerRequest) int { return int(a.To - b.To) })
-	for _, s := range probes {
-		served := s.Status != 404
-		if at, ok := c.Published[s.ProbedVersion+1]; ok && served && s.From > at+c.ConfigWithin && c.undisturbed(s.VM, Span{at, s.To}) {
-			c.addViolation(ConfigApplied, s.ID, "%s served version %d %v after the next was published", s.VM, s.ProbedVersion, s.From-at)
+	for _, req := range probes {
+		served := req.Status != 404
+		if at, ok := c.Published[req.ProbedVersion+1]; ok && served && req.From > at+c.ConfigWithin && c.undisturbed(req.VM, Span{at, req.To}) {
+			c.addViolation(ConfigApplied, req.ID, "%s served version %d %v after the next was published", req.VM, req.ProbedVersion, req.From-at)
 		}
-		if c.mustServeProbed(s) && !served {
-			c.addViolation(ConfigApplied, s.ID, "%s did not serve version %d %v after its publication", s.VM, s.ProbedVersion, s.From-c.Published[s.ProbedVersion])
+		if c.mustServeProbed(req) && !served {
+			c.addViolation(ConfigApplied, req.ID, "%s did not serve version %d %v after its publication", req.VM, req.ProbedVersion, req.From-c.Published[req.ProbedVersion])
 		}
-		last := newest[vmProcess{s.VM, s.Incarnation}]
-		if served && s.ProbedVersion < last.version && s.From > last.at {
-			c.addViolation(ConfigApplied, s.ID, "%s reverted from version %d to %d", s.VM, last.version, s.ProbedVersion)
+		last := newest[vmProcess{req.VM, req.Incarnation}]
+		if served && req.ProbedVersion < last.version && req.From > last.at {
+			c.addViolation(ConfigApplied, req.ID, "%s reverted from version %d to %d", req.VM, last.version, req.ProbedVersion)
 		}
-		if served && s.ProbedVersion > last.version {
-			newest[vmProcess{s.VM, s.Incarnation}] = servedVersion{s.ProbedVersion, s.To}
+		if served && req.ProbedVersion > last.version {
+			newest[vmProcess{req.VM, req.Incarnation}] = servedVersion{req.ProbedVersion, req.To}
 		}
 	}
 }
 
 // mustServeProbed reports whether the probed version is the only one that may have
 // been applied while the request ran.
-func (c *deploymentCheck) mustServeProbed(s *CallerRequest) bool {
-	at, ok := c.Published[s.ProbedVersion]
-	if !ok || s.From <= at+c.ConfigWithin || !c.undisturbed(s.VM, Span{at, s.To}) {
+func (c *deploymentCheck) mustServeProbed(req *CallerRequest) bool {
+	at, ok := c.Published[req.ProbedVersion]
+	if !ok || req.From <= at+c.ConfigWithin || !c.undisturbed(req.VM, Span{at, req.To}) {
 		return false
 	}
-	next, ok := c.Published[s.ProbedVersion+1]
-	return !ok || s.To < next
+	next, ok := c.Published[req.ProbedVersion+1]
+	return !ok || req.To < next
 }
--- a/history/history.go
+++ b/history/history.go
@@ -42,7 +42,7 @@
 }
 
 // String formats the violation on one line.
-func (b Violation) String() string { return fmt.Sprintf("%s: %s: %s", b.Invariant, b.Key, b.Detail) }
+func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Invariant, v.Key, v.Detail) }
 
 // History records the requests and runs of one test session.
 type History struct {
@@ -68,8 +68,8 @@
 		}
 	}
 	byKey := make(map[string][]Observation)
-	for _, s := range h.Observations {
-		byKey[s.Key] = append(byKey[s.Key], s)
+	for _, o := range h.Observations {
+		byKey[o.Key] = append(byKey[o.Key], o)
 	}
 	for key, list := range byKey {
 		out = append(out, h.checkKey(key, list)...)
@@ -86,15 +86,15 @@
 func (h *History) checkKey(key string, list []Observation) []Violation {
 	var out []Violation
 	allNotRun := true
-	for _, s := range list {
-		allNotRun = allNotRun && s.Outcome == request.NotRun
-		if s.Outcome == request.Answered && s.Text != s.Want {
-			out = append(out, Violation{CompleteResponse, key, fmt.Sprintf("attempt %d got %d bytes of %d", s.Attempt, len(s.Text), len(s.Want))})
+	for _, o := range list {
+		allNotRun = allNotRun && o.Outcome == request.NotRun
+		if o.Outcome == request.Answered && o.Text != o.Want {
+			out = append(out, Violation{CompleteResponse, key, fmt.Sprintf("attempt %d got %d bytes of %d", o.Attempt, len(o.Text), len(o.Want))})
 		}
-		if s.Outcome == request.Answered && h.RunCounts[key] == 0 {
+		if o.Outcome == request.Answered && h.RunCounts[key] == 0 {
 			out = append(out, Violation{CompleteResponse, key, "answered without having run"})
 		}
-		if h.RequireGraceful && s.ConnectionLost {
+		if h.RequireGraceful && o.ConnectionLost {
 			out = append(out, Violation{GracefulShutdown, key, "connection lost"})
 		}
 	}
--- a/history/notices.go
+++ b/history/notices.go
@@ -57,11 +57,11 @@
 // sender returns the VM process that a caller sent the request to, and which
 // forwarded it to the endpoint.
 func (c *deploymentCheck) sender(id string) (process, bool) {
-	s := c.byID[id]
-	if s == nil {
+	req := c.byID[id]
+	if req == nil {
 		return process{}, false
 	}
-	return process{s.VM, s.Incarnation}, true
+	return process{req.VM, req.Incarnation}, true
 }
 
 // isFrozen reports whether a VM or the whole machine was frozen during a span.
@@ -99,8 +99,8 @@
 			c.checkBackoff(n, p, arrivals[n.Endpoint])
 		}
 	}
-	for i, n := range c.EndpointLimits {
-		c.checkEndpointLimit(i, n, arrivals[n.Endpoint])
+	for i, limit := range c.EndpointLimits {
+		c.checkEndpointLimit(i, limit, arrivals[limit.Endpoint])
 	}
 }
 
