--- a/history/deployment.go
+++ b/history/deployment.go
@@ -9,8 +9,8 @@
 
 // Invariants of a deployment of entry VMs.
 const (
-	// Unsolicited is violated by an endpoint that runs a request that no caller
-	// sent, or one that differs from what was sent.
+	// Unsolicited requires that endpoints run only requests that callers sent, exactly as
+	// they were sent.
 	Unsolicited Invariant = "unasked"
 	// Drained requires that an endpoint that is leaving gets no new requests after DrainWithin.
 	Drained Invariant = "leaving"
@@ -107,8 +107,8 @@
 	SettleTime time.Duration
 	// DrainWithin, ConfigWithin, StopWithin and ResponseSlack are those time bounds.
 	DrainWithin, ConfigWithin, StopWithin, ResponseSlack time.Duration
-	// CloseRaceWithin is the maximum duration of a request that failed because it
-	// crossed the close of its idle connection.
+	// CloseRaceWithin is the maximum duration of a request that failed because the VM
+	// closed its idle connection while the request was on its way.
 	CloseRaceWithin time.Duration
 	// RetryWindow, RetryRatio and RetrySlack bound the retries of a service.
 	RetryWindow time.Duration
@@ -205,7 +205,7 @@
 	if len(c.arrivals[req.ID]) > c.MaxEndpoints {
 		c.addViolation(BoundedRetries, req.ID, "sent to %d endpoints", len(c.arrivals[req.ID]))
 	}
-	// A request that crosses the close of an idle connection is never read by the VM.
+	// The VM never reads a request that is sent while it closes the idle connection.
 	accepted := len(c.arrivals[req.ID]) > 0 || req.To-req.From > c.CloseRaceWithin
 	if !req.Complete && !req.Disconnected && accepted && c.noUnplannedFaults(req.Span) {
 		c.addViolation(GracefulShutdown, req.ID, "connection to %s lost with status %d after %v", req.VM, req.Status, req.To-req.From)
@@ -242,7 +242,7 @@
 	}
 }
 
-// checkAllowances moves each organisation's window over its runs.
+// checkAllowances checks the units of each organisation's runs in a sliding window.
 func (c *deploymentCheck) checkAllowances() {
 	for _, l := range c.Allowances {
 		var runs []Run
@@ -267,7 +267,8 @@
 	}
 }
 
-// checkRetries moves the window over the arrivals after the first of each request.
+// checkRetries checks the retries of each service in a sliding window. Every arrival of a
+// request after its first is a retry.
 func (c *deploymentCheck) checkRetries() {
 	seen := make(map[string]bool)
 	retryTimes := make(map[string][]time.Duration)
--- a/history/notices.go
+++ b/history/notices.go
@@ -8,7 +8,7 @@
 // Invariants about the notices that endpoints put into their responses.
 const (
 	// WithinEndpointLimit requires that the VMs to which an endpoint named a limit
-	// together send it no more than that, within limitFactor and limitSlack.
+	// together stay within that limit, multiplied by limitFactor and with limitSlack added.
 	WithinEndpointLimit Invariant = "limited"
 	// RespectsBackoff requires that a VM sends at most maxDuringBackoff requests to
 	// an endpoint that asked it for backoff.
@@ -21,7 +21,8 @@
 	limitFactor = 1.5
 	limitSlack  = 5
 	// limitSettleTime is the time from when an endpoint first names a limit until the
-	// bound applies. noticeDelay is the time from a response until requests of its VM count.
+	// bound applies. noticeDelay is the time from the response with a notice until the
+	// requests of the VM that received it count.
 	limitSettleTime  = 3 * time.Second
 	noticeDelay      = 500 * time.Millisecond
 	maxDuringBackoff = 2
@@ -29,7 +30,7 @@
 
 // Notice is a response in which an endpoint reported its own state.
 type Notice struct {
-	// ID is the request that was answered.
+	// ID is the request that the response belongs to.
 	ID, Endpoint string
 	At           time.Duration
 	Leaving      bool
