--- a/load/current.go
+++ b/load/current.go
@@ -183,8 +183,8 @@
 // Done implements Policy.
 func (c *corePolicy) Done(_ time.Duration, r *run) {
 	c.step(r.vm, core.Ended{Handle: r.handle, End: core.Complete, Tokens: r.a.output})
-	for _, w := range c.attachments[r.stream] {
-		c.step(w.vm, core.Ended{Handle: w.handle, End: core.Complete})
+	for _, att := range c.attachments[r.stream] {
+		c.step(att.vm, core.Ended{Handle: att.handle, End: core.Complete})
 	}
 	delete(c.attachments, r.stream)
 }
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -63,13 +63,13 @@
 // newNetwork starts VMs of one failure domain with a configuration, runs them for two
 // seconds so that they have joined, and resets the counts.
 func newNetwork(vms, endpoints, cell int, noBackup bool) *network {
-	q := &network{}
+	nw := &network{}
 	var list []claim.VM
 	for i := range vms {
 		list = append(list, claim.VM{ID: uint32(i + 1), Domain: "d"})
 	}
 	for i := range vms {
-		q.nodes = append(q.nodes, core.New(core.Config{
+		nw.nodes = append(nw.nodes, core.New(core.Config{
 			Claim: claim.Config{
 				Self: list[i], Incarnation: uint64(i+1) << 32, VMs: list, CellSize: cell, Lease: time.Second,
 				Retry: 50 * time.Millisecond, Timeout: 2 * time.Second, TTL: 15 * time.Minute, MaxRecords: 1 << 20, NoBackup: noBackup,
@@ -79,15 +79,15 @@
 		}, 0))
 	}
 	rec := &schema.LogRecord{Body: &schema.LogRecord_Document{Document: sizedDocument(5, endpoints)}}
-	for i := range q.nodes {
-		q.step(i, core.LogRead{Next: 1, Records: []core.LogEntry{{Record: rec}}})
+	for i := range nw.nodes {
+		nw.step(i, core.LogRead{Next: 1, Records: []core.LogEntry{{Record: rec}}})
 	}
-	q.runFor(2 * time.Second)
-	q.messages, q.bytes, q.batches = 0, 0, 0
-	return q
+	nw.runFor(2 * time.Second)
+	nw.messages, nw.bytes, nw.batches = 0, 0, 0
+	return nw
 }
 
-func (q *network) step(i int, ev core.Event) {
+func (nw *network) step(i int, ev core.Event) {
 	type delivery struct {
 		from, to int
 		m        *schema.Message
@@ -100,53 +100,53 @@
 				queue = append(queue, delivery{from: from, to: int(ef.To) - 1, m: ef.Message})
 			case core.Dispatch:
 				queue = append(queue, delivery{from: from, to: -1})
-				q.lastHandle = ef.Handle
+				nw.lastHandle = ef.Handle
 			}
 		}
 	}
-	collect(i, q.nodes[i].Step(q.now, ev))
+	collect(i, nw.nodes[i].Step(nw.now, ev))
 	for len(queue) > 0 {
 		h := queue[0]
 		queue = queue[1:]
 		if h.to < 0 {
-			collect(h.from, q.nodes[h.from].Step(q.now, core.Ended{Handle: q.lastHandle, End: core.Complete, Tokens: 100}))
+			collect(h.from, nw.nodes[h.from].Step(nw.now, core.Ended{Handle: nw.lastHandle, End: core.Complete, Tokens: 100}))
 			continue
 		}
-		q.messages++
-		q.bytes += proto.Size(h.m) + envelopeOverhead
-		collect(h.to, q.nodes[h.to].Step(q.now, core.PeerMessage{From: uint32(h.from + 1), Incarnation: uint64(h.from+1) << 32, Message: h.m}))
+		nw.messages++
+		nw.bytes += proto.Size(h.m) + envelopeOverhead
+		collect(h.to, nw.nodes[h.to].Step(nw.now, core.PeerMessage{From: uint32(h.from + 1), Incarnation: uint64(h.from+1) << 32, Message: h.m}))
 	}
 }
 
 // envelopeOverhead is the size in bytes of a message's length prefix in its envelope.
 const envelopeOverhead = 3
 
-func (q *network) runFor(d time.Duration) {
-	for end := q.now + d; q.now < end; q.now += tickInterval {
-		for i := range q.nodes {
-			q.step(i, core.Tick{})
+func (nw *network) runFor(d time.Duration) {
+	for end := nw.now + d; nw.now < end; nw.now += tickInterval {
+		for i := range nw.nodes {
+			nw.step(i, core.Tick{})
 		}
 	}
 }
 
 // sendRequests sends perSecond requests per second to each VM for d.
-func (q *network) sendRequests(perSecond int, d time.Duration) {
+func (nw *network) sendRequests(perSecond int, d time.Duration) {
 	next := uint64(1)
-	rules := q.nodes[0].Rules()
+	rules := nw.nodes[0].Rules()
 	kind, _ := rules.Kind("k")
 	every := time.Second / time.Duration(perSecond)
-	due := q.now
-	for end := q.now + d; q.now < end; q.now += tickInterval {
-		for ; due <= q.now; due += every {
-			for i := range q.nodes {
+	due := nw.now
+	for end := nw.now + d; nw.now < end; nw.now += tickInterval {
+		for ; due <= nw.now; due += every {
+			for i := range nw.nodes {
 				next++
 				spec := rules.Spec(rules.Document.Organisations[0], kind, fmt.Sprintf("%016x-%d", next, i))
-				spec.Attempt, spec.Digest, spec.PromptTokens, spec.Deadline = request.FirstAttempt, 1, 500, q.now+time.Minute
-				q.step(i, core.Arrive{Handle: next<<8 | uint64(i), Spec: spec})
+				spec.Attempt, spec.Digest, spec.PromptTokens, spec.Deadline = request.FirstAttempt, 1, 500, nw.now+time.Minute
+				nw.step(i, core.Arrive{Handle: next<<8 | uint64(i), Spec: spec})
 			}
 		}
-		for i := range q.nodes {
-			q.step(i, core.Tick{})
+		for i := range nw.nodes {
+			nw.step(i, core.Tick{})
 		}
 	}
 }
@@ -207,13 +207,13 @@
 	bytes := &Slope{Name: "idle VM, message bytes a second", Size: "VMs in the cell", Unit: "B/s a VM"}
 	times := &Slope{Name: "idle VM, core time", Size: "VMs in the cell", Unit: "µs/s a VM"}
 	for _, n := range []int{2, 4, 8, 16} {
-		q := newNetwork(n, 8, n, false)
+		nw := newNetwork(n, 8, n, false)
 		before := cpuTime()
-		q.runFor(measureTime)
+		nw.runFor(measureTime)
 		used := cpuTime() - before
 		perVM := float64(n) * measureTime.Seconds()
-		msgs.add(n, float64(q.messages)/perVM)
-		bytes.add(n, float64(q.bytes)/perVM)
+		msgs.add(n, float64(nw.messages)/perVM)
+		bytes.add(n, float64(nw.bytes)/perVM)
 		times.add(n, float64(used.Microseconds())/perVM)
 	}
 	return []*Slope{msgs, bytes, times}
@@ -235,13 +235,13 @@
 	times := &Slope{Name: "claims and decision " + backup + ", core time", Size: "requests/s a VM", Unit: "µs a request"}
 	const vms = 4
 	for _, r := range []int{5, 10, 20, 40} {
-		q := newNetwork(vms, 8, vms, noBackup)
+		nw := newNetwork(vms, 8, vms, noBackup)
 		before := cpuTime()
-		q.sendRequests(r, measureTime)
+		nw.sendRequests(r, measureTime)
 		used := cpuTime() - before
 		perVM := vms * measureTime.Seconds()
-		msgs.add(r, float64(q.messages)/perVM)
-		bytes.add(r, float64(q.bytes)/perVM)
+		msgs.add(r, float64(nw.messages)/perVM)
+		bytes.add(r, float64(nw.bytes)/perVM)
 		times.add(r, float64(used.Microseconds())/perVM)
 	}
 	return []*Slope{msgs, bytes, times}
@@ -330,25 +330,25 @@
 func joinSlope() *Slope {
 	s := &Slope{Name: "handover to a new incarnation of a pair", Size: "records held by the pair", Unit: "B a record"}
 	for _, n := range []int{500, 1000, 2000, 4000} {
-		q := newNetwork(2, 8, 2, false)
-		q.sendRequests(n/20, 10*time.Second)
-		q.messages, q.bytes = 0, 0
-		q.nodes[0] = core.New(core.Config{
+		nw := newNetwork(2, 8, 2, false)
+		nw.sendRequests(n/20, 10*time.Second)
+		nw.messages, nw.bytes = 0, 0
+		nw.nodes[0] = core.New(core.Config{
 			Claim: claim.Config{
 				Self: claim.VM{ID: 1, Domain: "d"}, Incarnation: 9 << 40, VMs: []claim.VM{{ID: 1, Domain: "d"}, {ID: 2, Domain: "d"}}, CellSize: 2,
 				Lease: time.Second, Retry: 50 * time.Millisecond, Timeout: 2 * time.Second, TTL: 15 * time.Minute, MaxRecords: 1 << 20,
 			},
 			DigestInterval: time.Hour, ConfigPollInterval: time.Hour, RepublishInterval: time.Hour,
-		}, q.now)
-		q.runWithIncarnation(0, 9<<40, time.Second)
-		s.add(n, float64(q.bytes))
+		}, nw.now)
+		nw.runWithIncarnation(0, 9<<40, time.Second)
+		s.add(n, float64(nw.bytes))
 	}
 	return s
 }
 
 // runWithIncarnation runs the network like runFor, with another incarnation of one VM,
 // and counts bytes only.
-func (q *network) runWithIncarnation(vm int, inc uint64, d time.Duration) {
+func (nw *network) runWithIncarnation(vm int, inc uint64, d time.Duration) {
 	var queue []core.Send
 	senders := map[*schema.Message]int{}
 	collect := func(i int, effects []core.Effect) {
@@ -359,9 +359,9 @@
 			}
 		}
 	}
-	for end := q.now + d; q.now < end; q.now += tickInterval {
-		for i := range q.nodes {
-			collect(i, q.nodes[i].Step(q.now, core.Tick{}))
+	for end := nw.now + d; nw.now < end; nw.now += tickInterval {
+		for i := range nw.nodes {
+			collect(i, nw.nodes[i].Step(nw.now, core.Tick{}))
 		}
 		for len(queue) > 0 {
 			s := queue[0]
@@ -371,8 +371,8 @@
 			if i == vm {
 				incarnation = inc
 			}
-			q.bytes += proto.Size(s.Message) + envelopeOverhead
-			collect(int(s.To)-1, q.nodes[s.To-1].Step(q.now, core.PeerMessage{From: uint32(i + 1), Incarnation: incarnation, Message: s.Message}))
+			nw.bytes += proto.Size(s.Message) + envelopeOverhead
+			collect(int(s.To)-1, nw.nodes[s.To-1].Step(nw.now, core.PeerMessage{From: uint32(i + 1), Incarnation: incarnation, Message: s.Message}))
 		}
 	}
 }
