--- a/load/baseline.go
+++ b/load/baseline.go
@@ -9,7 +9,7 @@
 )
 
 // baseline dispatches each request immediately, without tiers, claims or a queue.
-// It picks endpoints round-robin or by the lowest load in their last reports.
+// It picks endpoints round-robin or by the lowest load in their latest reports.
 type baseline struct {
 	s            *sim
 	leastLoaded  bool
--- a/load/current.go
+++ b/load/current.go
@@ -12,8 +12,8 @@
 	"github.com/chivefield/chivefield/schema"
 )
 
-// corePolicy is the product's policy: one core.Node per VM, connected by a
-// simulated network.
+// corePolicy is the policy of the scheduler itself: one core.Node per VM, connected
+// by a simulated network.
 type corePolicy struct {
 	s           *sim
 	nodes       []*core.Node
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -59,7 +59,8 @@
 	partition    bool
 }
 
-// Variants are the variants of each workload. The empty one is the workload without changes.
+// Variants are the variants of each workload. The empty one runs the workload without
+// faults or additional load.
 var Variants = []string{"", "burst", "overload", "straggler", "stale", "vm-killed", "partition"}
 
 // Workloads are the names of the workloads, modelled on those of users.
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -189,7 +189,7 @@
 // measureTime is the simulated time of one measurement.
 const measureTime = 20 * time.Second
 
-// Slopes measures all slopes of docs/CAPACITY.md. kind is empty for all.
+// Slopes measures all slopes of docs/CAPACITY.md.
 func Slopes() []*Slope {
 	var out []*Slope
 	out = append(out, cellSlopes()...)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -63,7 +63,7 @@
 	changed      chan struct{}
 }
 
-// LoadReport is the load that an engine reports, with a lag.
+// LoadReport is the load that an engine reports. It may be up to ReportLag old.
 type LoadReport struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
