--- a/history/deployment_test.go
+++ b/history/deployment_test.go
@@ -13,11 +13,11 @@
 // those that expect nil must not be reported.
 func TestDeploymentCheckFindsViolations(t *testing.T) {
 	requests := func(change func(*CallerRequest)) []CallerRequest {
-		v := CallerRequest{ID: "a", VM: "v", Service: "plain", Timeout: time.Second, Span: Span{10 * time.Second, 10100 * time.Millisecond}, Status: 200, Complete: true}
+		req := CallerRequest{ID: "a", VM: "v", Service: "plain", Timeout: time.Second, Span: Span{10 * time.Second, 10100 * time.Millisecond}, Status: 200, Complete: true}
 		if change != nil {
-			change(&v)
+			change(&req)
 		}
-		return []CallerRequest{v}
+		return []CallerRequest{req}
 	}
 	normal := Run{ID: "a", Endpoint: "e", Service: "plain", Span: Span{10 * time.Second, 10 * time.Second}}
 	neverSent := Run{ID: "x", Endpoint: "e", Service: "plain"}
@@ -35,11 +35,11 @@
 	disturbed := map[string][]Span{"v": {{9 * time.Second, 9 * time.Second}}}
 	// notified is a request whose response contains a notice of the endpoint,
 	// sentAfter returns a request sent later.
-	notified := requests(func(v *CallerRequest) { v.Status = 503 })[0]
+	notified := requests(func(req *CallerRequest) { req.Status = 503 })[0]
 	sentAfter := func(later time.Duration) CallerRequest {
-		v := requests(nil)[0]
-		v.ID, v.From, v.To = "b", 10*time.Second+later, 10*time.Second+later
-		return v
+		req := requests(nil)[0]
+		req.ID, req.From, req.To = "b", 10*time.Second+later, 10*time.Second+later
+		return req
 	}
 	runsAfter := func(later time.Duration) []Run {
 		return []Run{{ID: "b", Endpoint: "e", Service: "plain", Span: Span{10*time.Second + later, 10*time.Second + later}}}
@@ -49,20 +49,20 @@
 		d    Deployment
 		want []Invariant
 	}{
-		{"truncated response", Deployment{Requests: requests(func(v *CallerRequest) { v.Fault = "truncated" }), Runs: []Run{normal}}, []Invariant{CompleteResponse}},
+		{"truncated response", Deployment{Requests: requests(func(req *CallerRequest) { req.Fault = "truncated" }), Runs: []Run{normal}}, []Invariant{CompleteResponse}},
 		{"ran twice", Deployment{Requests: requests(nil), Runs: []Run{normal, normal}}, []Invariant{AtMostOnce}},
-		{"ran though refused", Deployment{Requests: requests(func(v *CallerRequest) { v.Status = 503 }), Runs: []Run{normal}}, []Invariant{NotExecuted}},
+		{"ran though refused", Deployment{Requests: requests(func(req *CallerRequest) { req.Status = 503 }), Runs: []Run{normal}}, []Invariant{NotExecuted}},
 		{"answered without having run", Deployment{Requests: requests(nil)}, []Invariant{CompleteResponse}},
-		{"never valid key", Deployment{Requests: requests(func(v *CallerRequest) { v.Forbidden = true }), Runs: []Run{normal}}, []Invariant{Unsolicited}},
+		{"never valid key", Deployment{Requests: requests(func(req *CallerRequest) { req.Forbidden = true }), Runs: []Run{normal}}, []Invariant{Unsolicited}},
 		{"changed in transit", Deployment{Requests: requests(nil), Runs: []Run{changedBody}}, []Invariant{Unsolicited}},
 		{"another service", Deployment{Requests: requests(nil), Runs: []Run{otherService}}, []Invariant{Unsolicited}},
 		{"never sent", Deployment{Arrivals: []Run{neverSent}}, []Invariant{Unsolicited}},
 		{"too many endpoints", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal, normal, normal}, RetrySlack: 9}, []Invariant{BoundedRetries}},
 		{"too many retries", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal, normal}}, []Invariant{BoundedRetries}},
-		{"connection lost", Deployment{Requests: requests(func(v *CallerRequest) { v.Complete, v.Status = false, 0 })}, []Invariant{GracefulShutdown}},
-		{"response too late", Deployment{Requests: requests(func(v *CallerRequest) { v.To = 13 * time.Second }), Runs: []Run{normal}}, []Invariant{RespondsInTime}},
+		{"connection lost", Deployment{Requests: requests(func(req *CallerRequest) { req.Complete, req.Status = false, 0 })}, []Invariant{GracefulShutdown}},
+		{"response too late", Deployment{Requests: requests(func(req *CallerRequest) { req.To = 13 * time.Second }), Runs: []Run{normal}}, []Invariant{RespondsInTime}},
 		{"sent to an endpoint that is leaving", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal}, LeftAt: map[string]time.Duration{"e": 7 * time.Second}}, []Invariant{Drained}},
-		{"continued after the disconnect", Deployment{Requests: requests(func(v *CallerRequest) { v.Disconnected, v.Complete, v.Status = true, false, 0 }), Runs: []Run{longRun}}, []Invariant{StopsAfterDisconnect}},
+		{"continued after the disconnect", Deployment{Requests: requests(func(req *CallerRequest) { req.Disconnected, req.Complete, req.Status = true, false, 0 }), Runs: []Run{longRun}}, []Invariant{StopsAfterDisconnect}},
 		{"allowance exceeded", Deployment{Requests: requests(nil), Runs: []Run{costly}, Allowances: []Allowance{{"org", time.Second, 10}}}, []Invariant{WithinAllowance}},
 		{"configuration not applied", Deployment{Requests: []CallerRequest{probe(2, 9*time.Second, 404)}, Published: map[int]time.Duration{2: 5 * time.Second}}, []Invariant{ConfigApplied}},
 		{"previous configuration still applied", Deployment{Requests: []CallerRequest{probe(1, 9*time.Second, 500)}, Published: map[int]time.Duration{2: 5 * time.Second}}, []Invariant{ConfigApplied}},
@@ -74,7 +74,7 @@
 		{"endpoint limit exceeded", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: slices.Repeat(runsAfter(7*time.Second), 12), RetrySlack: 99, MaxEndpoints: 99, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, NamesLimit: true}}, EndpointLimits: []EndpointLimit{{Endpoint: "e", PerSecond: 1, Span: Span{10 * time.Second, 20 * time.Second}}}}, []Invariant{WithinEndpointLimit}},
 		{"within an endpoint limit", Deployment{Requests: []CallerRequest{notified, sentAfter(7 * time.Second)}, Runs: runsAfter(7 * time.Second), Arrivals: slices.Repeat(runsAfter(7*time.Second), 11), RetrySlack: 99, MaxEndpoints: 99, Notices: []Notice{{ID: "a", Endpoint: "e", At: 11 * time.Second, NamesLimit: true}}, EndpointLimits: []EndpointLimit{{Endpoint: "e", PerSecond: 1, Span: Span{10 * time.Second, 20 * time.Second}}}}, nil},
 		{"no violation", Deployment{Requests: requests(nil), Runs: []Run{normal}, Arrivals: []Run{normal}}, nil},
-		{"excused by faults", Deployment{Requests: requests(func(v *CallerRequest) { v.Complete, v.Status, v.To = false, 0, 13*time.Second }), UnplannedFaults: []Span{{9 * time.Second, 9 * time.Second}}, Disturbed: disturbed}, nil},
+		{"excused by faults", Deployment{Requests: requests(func(req *CallerRequest) { req.Complete, req.Status, req.To = false, 0, 13*time.Second }), UnplannedFaults: []Span{{9 * time.Second, 9 * time.Second}}, Disturbed: disturbed}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
