--- a/history/notices.go
+++ b/history/notices.go
@@ -8,7 +8,7 @@
 // Invariants about the notices that endpoints put into their responses.
 const (
 	// WithinEndpointLimit requires that the VMs to which an endpoint named a limit
-	// together send it no more than that, within limitFactor and limitSlack.
+	// together stay within that limit, multiplied by limitFactor and with limitSlack added.
 	WithinEndpointLimit Invariant = "limited"
 	// RespectsBackoff requires that a VM sends at most maxDuringBackoff requests to
 	// an endpoint that asked it for backoff.
@@ -21,7 +21,8 @@
 	limitFactor = 1.5
 	limitSlack  = 5
 	// limitSettleTime is the time from when an endpoint first names a limit until the
-	// bound applies. noticeDelay is the time from a response until requests of its VM count.
+	// bound applies. noticeDelay is the time from the response with a notice until the
+	// requests of the VM that received it count.
 	limitSettleTime  = 3 * time.Second
 	noticeDelay      = 500 * time.Millisecond
 	maxDuringBackoff = 2
@@ -29,7 +30,7 @@
 
 // Notice is a response in which an endpoint reported its own state.
 type Notice struct {
-	// ID is the request that was answered.
+	// ID is the request that the response belongs to.
 	ID, Endpoint string
 	At           time.Duration
 	Leaving      bool
@@ -57,11 +58,11 @@
 // sender returns the VM process that a caller sent the request to, and which
 // forwarded it to the endpoint.
 func (c *deploymentCheck) sender(id string) (process, bool) {
-	s := c.byID[id]
-	if s == nil {
+	req := c.byID[id]
+	if req == nil {
 		return process{}, false
 	}
-	return process{s.VM, s.Incarnation}, true
+	return process{req.VM, req.Incarnation}, true
 }
 
 // isFrozen reports whether a VM or the whole machine was frozen during a span.
@@ -99,8 +100,8 @@
 			c.checkBackoff(n, p, arrivals[n.Endpoint])
 		}
 	}
-	for i, n := range c.EndpointLimits {
-		c.checkEndpointLimit(i, n, arrivals[n.Endpoint])
+	for i, limit := range c.EndpointLimits {
+		c.checkEndpointLimit(i, limit, arrivals[limit.Endpoint])
 	}
 }
 
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -59,7 +59,8 @@
 	partition    bool
 }
 
-// Variants are the variants of each workload. The empty one is the workload without changes.
+// Variants are the variants of each workload. The empty one runs the workload without
+// faults or additional load.
 var Variants = []string{"", "burst", "overload", "straggler", "stale", "vm-killed", "partition"}
 
 // Workloads are the names of the workloads, modelled on those of users.
@@ -68,7 +69,7 @@
 // UnknownScenarioError is returned for a scenario that does not exist.
 type UnknownScenarioError struct{ Name string }
 
-// Error describes the failure.
+// Error implements error.
 func (e *UnknownScenarioError) Error() string { return "unknown scenario " + e.Name }
 
 // Find returns a scenario by name, such as "atelier" or "karrawong-burst".
